--- a/crates/cli/src/kept.rs
+++ b/crates/cli/src/kept.rs
@@ -38,7 +38,10 @@
     } else {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
         println!("{}: written {:.1} s ago", path.display(), now - kept.saved_at);
-        println!("  {} fronts, {} ended lives of fronts", inventory.lives, inventory.ended_lives);
+        println!(
+            "  {} fronts, {} ended lives of fronts",
+            inventory.incarnations, inventory.ended_incarnations
+        );
         for (class, count) in &inventory.facts {
             println!("  {count} {class}");
         }
--- a/crates/cli/tests/kept.rs
+++ b/crates/cli/tests/kept.rs
@@ -125,9 +125,9 @@
 fn move_clock(path: &Path, by: f64) {
     let (file, kept, _) = File::open(path, front_id("f0")).unwrap();
     let kept = kept.unwrap();
-    let lives = kept.lives.iter().map(|(life, _)| *life).collect();
+    let incarnations = kept.incarnations.iter().map(|(life, _)| *life).collect();
     let saved_at = kept.saved_at + by;
-    file.write(&Changes { lives, settled: kept.settled, saved_at, ..Changes::default() }).unwrap();
+    file.write(&Changes { incarnations, obsolete: kept.obsolete, saved_at, ..Changes::default() }).unwrap();
 }
 
 /// A file whose age cannot be believed, or is past what anybody remembers: nothing of its calls is taken.
--- a/crates/cli/tests/returns.rs
+++ b/crates/cli/tests/returns.rs
@@ -8,8 +8,8 @@
 use process::until;
 use shalespindle_peer_store::File;
 use shalespindle_peer_wire::front_id;
-use shalespindle_peers::Life;
-use shalespindle_replica::{CallWord, Copies, CopiesParams, Fact, Key};
+use shalespindle_peers::Incarnation;
+use shalespindle_replica::{CallRecord, Fact, Key, ReplicaParams, Replicas};
 use shalespindle_rig::{check, look, Faults, Fleet, FleetShape, Row, State};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -107,9 +107,9 @@
     }
 }
 
-fn call(n: u64) -> CallWord {
+fn call(n: u64) -> CallRecord {
     let at = SocketAddr::from(([127, 0, 9, 2], 5060));
-    CallWord {
+    CallRecord {
         epoch: 1,
         server: at,
         leg_call_id: format!("{n:016x}-{n:x}-{n:x}"),
@@ -132,8 +132,8 @@
     shape.more = format!("facts = {}", 3 * calls);
     let mut fleet = Fleet::new(&shape, None).unwrap();
     let (own, wall) = (front_id("f0"), SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64());
-    let params = CopiesParams { most: calls as usize, remember: 300.0 };
-    let mut copies = Copies::new(params, own, Life { number: 1, nonce: 1 });
+    let params = ReplicaParams { max_facts: calls as usize, deletion_retention: 300.0 };
+    let mut copies = Replicas::new(params, own, Incarnation { number: 1, nonce: 1 });
     (0..calls).for_each(|n| {
         copies.write(0.0, Key::Call(n), Fact::Call(Box::new(call(n)))).unwrap();
     });
--- a/crates/front/src/io.rs
+++ b/crates/front/src/io.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use shalespindle_levels::Why;
 use shalespindle_membership::{Change, Listed, Warning};
-use shalespindle_replica::CallWord;
+use shalespindle_replica::CallRecord;
 use shalespindle_sites::{Narrowing, Observed};
 use shalespindle_srv::{In, Step, Ticket};
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
         ticket: u64,
         /// It is one of the fleet's; without `call` it has been released already.
         known: bool,
-        call: Option<Box<CallWord>>,
+        call: Option<Box<CallRecord>>,
     },
     /// A call of this front was released by another, in both directions.
     CallOver {
@@ -80,7 +80,7 @@
     /// What the fleet's word on sites leaves this front.
     Narrowed(Narrowing),
     /// A call of a front that died is to be released in both directions.
-    Release(Box<CallWord>),
+    Release(Box<CallRecord>),
     /// Take no new attaches, answer those in hand, then be done.
     End,
 }
@@ -131,7 +131,7 @@
     /// A call stands here, or stands no more: for other fronts.
     Call {
         call: u64,
-        word: Option<Box<CallWord>>,
+        word: Option<Box<CallRecord>>,
     },
     /// Which call is meant that another front may have set up: by the name of its dialog with the caller, or with
     /// the server. [`Input::Found`] is due within half a second.
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -6,7 +6,7 @@
 use crate::io::{Output, Source};
 use crate::links::{Frame, LegRef};
 use shalespindle_control::interface::Report;
-use shalespindle_replica::{dialog_name, CallWord};
+use shalespindle_replica::{dialog_hash, CallRecord};
 use shalespindle_signalling::message::{address, tag, Message};
 use shalespindle_signalling::transaction::{Client, Todo, LONG};
 use shalespindle_signalling::write::{ResponseHead, Writer};
@@ -50,14 +50,14 @@
         }
         let attach = &self.attaches[key];
         let Some(own) = tag(&attach.called) else { return };
-        let call = dialog_name(own);
+        let call = dialog_hash(own);
         let word = leg.and_then(|at| Some((at, self.leg(at)?))).map(|(at, leg)| {
             let caller = match attach.source {
                 Source::Datagram(from) => Some(from),
                 Source::Stream(_) => None,
             };
             let target = if attach.contact.is_empty() { address(&attach.caller) } else { &attach.contact };
-            Box::new(CallWord {
+            Box::new(CallRecord {
                 epoch: 1,
                 server: self.links[leg.link].address,
                 leg_call_id: format!("{}-{:x}-{:x}", self.tag, at.key, at.serial),
@@ -80,14 +80,14 @@
 
     /// A caller releases a call that is not this front's; false where nobody can be asked.
     pub(crate) fn ask_whose_call(&mut self, now: f64, source: Source, message: &Message) -> bool {
-        let Some(name) = message.to().ok().and_then(tag).map(dialog_name) else { return false };
+        let Some(name) = message.to().ok().and_then(tag).map(dialog_hash) else { return false };
         let head = ResponseHead::of(message, &self.tag);
         self.ask_whose(now, name, false, Asking::Caller { source, head })
     }
 
     /// A server releases a call that is not this front's.
     pub(crate) fn ask_whose_leg(&mut self, now: f64, link: usize, message: &Message) -> bool {
-        let Some(name) = message.call_id().ok().map(dialog_name) else { return false };
+        let Some(name) = message.call_id().ok().map(dialog_hash) else { return false };
         let (connection, head) = (self.links[link].connection, ResponseHead::of(message, &self.tag));
         self.ask_whose(now, name, true, Asking::Server { link, connection, head })
     }
@@ -106,7 +106,7 @@
 
     /// Whose call it is that a caller or a server has released. `known`: it is one of the fleet's; without `call` it
     /// has been released already.
-    pub(crate) fn found(&mut self, now: f64, ticket: u64, known: bool, call: Option<Box<CallWord>>) {
+    pub(crate) fn found(&mut self, now: f64, ticket: u64, known: bool, call: Option<Box<CallRecord>>) {
         let Some(asking) = self.shared.asking.remove(&ticket) else {
             // Answered too late: whoever asked was told that it is nobody's, so both sides are released.
             if let Some(call) = call {
@@ -134,7 +134,7 @@
     }
 
     /// Releases a call that another front set up.
-    pub(crate) fn release_foreign(&mut self, now: f64, call: &CallWord, to_caller: bool, to_server: bool) {
+    pub(crate) fn release_foreign(&mut self, now: f64, call: &CallRecord, to_caller: bool, to_server: bool) {
         if to_server {
             self.release_foreign_leg(now, call);
         }
@@ -143,7 +143,7 @@
         }
     }
 
-    fn release_foreign_leg(&mut self, now: f64, call: &CallWord) {
+    fn release_foreign_leg(&mut self, now: f64, call: &CallRecord) {
         let Some(link) = self.links.iter().position(|l| l.address == call.server) else {
             // Neither its list nor DNS has named that server to this front.
             self.counters.unknown_servers += 1;
@@ -173,7 +173,7 @@
         self.connect_when_due(now, link);
     }
 
-    fn release_foreign_caller(&mut self, now: f64, call: &CallWord, to: SocketAddr) {
+    fn release_foreign_caller(&mut self, now: f64, call: &CallRecord, to: SocketAddr) {
         let (serial, key) = (self.serial(), self.shared.byes.vacant_key());
         let dialog = [&*call.target, &call.local, &call.remote, &call.call_id];
         let bytes = self.caller_bye("UDP", format_args!("{key:x}-{serial:x}-y"), dialog).finish();
--- a/crates/lab/src/country.rs
+++ b/crates/lab/src/country.rs
@@ -3,7 +3,7 @@
 
 use crate::scenario::Scenario;
 use shalespindle_peer_wire::front_id;
-use shalespindle_peers::{FrontId, Life, Peers, PeersParams, Word as PeerWord};
+use shalespindle_peers::{FrontId, Incarnation, PeerReport, Peers, PeersParams};
 use shalespindle_sites::{Narrowing, Observed, Out, Sites, SitesMessage, SitesParams, Table, Word};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 /// What crosses between fronts.
 #[derive(Clone, Debug)]
 pub enum Frame {
-    Beat(Vec<PeerWord>),
+    Beat(Vec<PeerReport>),
     Sites(FrontId, SitesMessage),
 }
 
@@ -55,10 +55,10 @@
 
     pub fn start(&mut self, now: f64, front: usize) {
         self.lives += 1;
-        let (own, life) = (self.names[front], Life { number: self.lives, nonce: front as u64 });
+        let (own, life) = (self.names[front], Incarnation { number: self.lives, nonce: front as u64 });
         // Beats of fronts are not in step.
         let begin = now + self.every * (front as f64 / self.names.len() as f64);
-        let params = PeersParams::beating(self.every);
+        let params = PeersParams::with_heartbeat_interval(self.every);
         let peers = Peers::new(params, own, life, &self.names, self.lives, begin);
         let sites = Sites::new(self.params.clone(), self.table.clone(), own, self.lives, begin);
         self.sides[front] = Some(Side { peers, sites });
@@ -71,7 +71,7 @@
     pub fn heard(&mut self, now: f64, front: usize, frame: Frame) {
         let Some(side) = &mut self.sides[front] else { return };
         match frame {
-            Frame::Beat(words) => words.into_iter().for_each(|word| side.peers.hear(now, word)),
+            Frame::Beat(words) => words.into_iter().for_each(|word| side.peers.record(now, word)),
             Frame::Sites(from, message) => side.sites.heard(now, &side.peers, from, message),
         }
     }
@@ -83,14 +83,14 @@
     }
 
     pub fn due(&self, front: usize) -> f64 {
-        self.sides[front].as_ref().map_or(f64::INFINITY, |s| s.peers.due().min(s.sites.due()))
+        self.sides[front].as_ref().map_or(f64::INFINITY, |s| s.peers.next_heartbeat().min(s.sites.due()))
     }
 
     pub fn turn(&mut self, now: f64, front: usize) -> Vec<Given> {
         let Some(side) = &mut self.sides[front] else { return Vec::new() };
         let mut given = Vec::new();
         if side.peers.turn(now) {
-            let words = side.peers.words();
+            let words = side.peers.reports();
             for to in side.peers.targets() {
                 given.push(Given::Frame { to: self.places[&to], frame: Frame::Beat(words.clone()) });
             }
--- a/crates/lab/src/fleet_size.rs
+++ b/crates/lab/src/fleet_size.rs
@@ -6,8 +6,8 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use shalespindle_peer_wire::{front_id, Body, Codec};
-use shalespindle_peers::{FrontId, Life};
-use shalespindle_replica::{CallWord, Fleet, FleetParams, Message, Out, ServerWord, Told};
+use shalespindle_peers::{FrontId, Incarnation};
+use shalespindle_replica::{CallRecord, Fleet, FleetParams, Message, Output, ServerRecord, Told};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -102,8 +102,8 @@
 impl Sim {
     fn new(shape: &SizeShape) -> Sim {
         let names: Vec<FrontId> = (0..shape.fronts).map(|n| front_id(&format!("f{n}"))).collect();
-        let mut params = FleetParams::beating(EVERY);
-        params.copies.most = 2_000_000;
+        let mut params = FleetParams::with_heartbeat_interval(EVERY);
+        params.replicas.max_facts = 2_000_000;
         let mut sim = Sim {
             params,
             now: 0.0,
@@ -125,7 +125,7 @@
 
     fn start(&mut self, place: usize, life: u64) {
         // As large as a process has them: its start in milliseconds of Unix time, and 64 random bits.
-        let life = Life { number: LIFE_BASE + life, nonce: self.rng.random() };
+        let life = Incarnation { number: LIFE_BASE + life, nonce: self.rng.random() };
         let own = self.names[place];
         // Beats of fronts are not in step.
         let begin = self.now + EVERY * self.rng.random::<f64>();
@@ -146,19 +146,19 @@
             let Some((fleet, codec)) = &mut self.fronts[to] else { continue };
             self.received_bytes[to] += frame.len() as u64;
             if let Ok((from, Body::Fleet(message))) = codec.read(&frame) {
-                fleet.heard(now, from, message);
+                fleet.receive(now, from, message);
             }
         }
         for place in 0..self.fronts.len() {
             let Some((fleet, codec)) = &mut self.fronts[place] else { continue };
-            if fleet.wake_at() <= now {
+            if fleet.next_wakeup() <= now {
                 fleet.turn(now);
             }
-            while fleet.next_news().is_some() {}
+            while fleet.next_event().is_some() {}
             while let Some(out) = fleet.next_output() {
-                let Out::Send { to, message } = out else { continue };
+                let Output::Send { to, message } = out else { continue };
                 let is_digest = matches!(message, Message::Digest { .. });
-                let Some(frame) = codec.write(to, fleet.life(), message) else { continue };
+                let Some(frame) = codec.write(to, fleet.incarnation(), message) else { continue };
                 let sent = &mut self.sent[place];
                 *sent = (sent.0 + 1, sent.1 + frame.len() as u64);
                 self.digest_bytes += if is_digest { frame.len() as u64 } else { 0 };
@@ -212,9 +212,9 @@
     }
 }
 
-fn call(n: u64) -> CallWord {
+fn call(n: u64) -> CallRecord {
     let at = SocketAddr::from(([10, 0, (n / 250 % 250) as u8, (n % 250) as u8], 5060));
-    CallWord {
+    CallRecord {
         epoch: 1,
         server: SocketAddr::from(([10, 1, 0, (n % 16) as u8], 5060)),
         leg_call_id: format!("{n:016x}-{:x}-{:x}", n % 4096, n % 65_536),
@@ -240,7 +240,7 @@
         // Looked at now and then: a look at all is dear.
         sim.look % 20 == 0
             && (0..count).all(|n| {
-                let knows = |f: &mut Fleet| names.iter().all(|of| f.copies().life(*of).number > 0);
+                let knows = |f: &mut Fleet| names.iter().all(|of| f.replicas().incarnation(*of).number > 0);
                 sim.at(n).is_some_and(knows)
             })
     });
@@ -262,14 +262,14 @@
 fn spread(sim: &mut Sim, out: &mut Size) {
     let now = sim.now;
     let address = SocketAddr::from(([10, 1, 0, 1], 5060));
-    let word = ServerWord { pool: 1, incarnation: 1, told: Told::Draining, age: None };
+    let word = ServerRecord { pool: 1, incarnation: 1, reported: Told::Draining, age: None };
     if let Some(front) = sim.at(0) {
-        front.tell_server(now, address, word);
+        front.publish_server(now, address, word);
     }
     let (of, count) = (sim.names[0], sim.fronts.len());
     let mut half = None;
     out.spread_all = sim.until(60.0, |sim| {
-        let knows = sim.fronts.iter().flatten().filter(|f| f.0.copies().held(of) > 0).count();
+        let knows = sim.fronts.iter().flatten().filter(|f| f.0.replicas().fact_count(of) > 0).count();
         if 2 * knows > count {
             half.get_or_insert(sim.now - now);
         }
@@ -292,13 +292,13 @@
                 let ends = look + (STANDS * FINE / EVERY) as u64;
                 ending.entry(ends).or_default().push((place, next));
                 if let Some(front) = sim.at(place) {
-                    front.tell_call(now, next, Some(call(next)));
+                    front.publish_call(now, next, Some(call(next)));
                 }
             }
         }
         for (place, n) in ending.remove(&look).unwrap_or_default() {
             if let Some(front) = sim.at(place) {
-                front.tell_call(now, n, None);
+                front.publish_call(now, n, None);
             }
         }
     };
@@ -309,7 +309,7 @@
     for (place, n) in std::mem::take(&mut ending).into_values().flatten() {
         let now = sim.now;
         if let Some(front) = sim.at(place) {
-            front.tell_call(now, n, None);
+            front.publish_call(now, n, None);
         }
     }
     sim.pass(10.0);
@@ -320,12 +320,13 @@
     for n in 0..shape.calls {
         let now = sim.now;
         if let Some(front) = sim.at((n % count as u64) as usize) {
-            front.tell_call(now, n, Some(call(n)));
+            front.publish_call(now, n, Some(call(n)));
         }
     }
     let has = |sim: &mut Sim, place: usize| -> u64 {
         let names = sim.names.clone();
-        sim.at(place).map_or(0, |f| names.iter().map(|name| f.copies().calls_of(*name).count() as u64).sum())
+        sim.at(place)
+            .map_or(0, |f| names.iter().map(|name| f.replicas().calls_of(*name).count() as u64).sum())
     };
     let all: BTreeSet<usize> = (0..count).collect();
     let mut lacks = all.clone();
--- a/crates/peer-service/src/keep.rs
+++ b/crates/peer-service/src/keep.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 use shalespindle_peer_store::{Outcome, Store};
-use shalespindle_peers::{FrontId, Life};
-use shalespindle_replica::{Fleet, Keeping, Kept, Restored};
+use shalespindle_peers::{FrontId, Incarnation};
+use shalespindle_replica::{Fleet, Restored, SaveSchedule, Snapshot};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
@@ -36,7 +36,7 @@
 /// The file and when it is written. Without a file nothing is kept, and the front goes on as one that returns empty.
 pub(crate) struct Keeper {
     store: Option<Store>,
-    keeping: Keeping,
+    keeping: SaveSchedule,
     state: KeepState,
     restored: Restored,
     saves: u64,
@@ -46,7 +46,7 @@
 
 impl Keeper {
     /// What an earlier process of this front kept, if there is any.
-    pub fn open(keep: Option<&Keep>, own: FrontId, now: f64) -> (Keeper, Option<Kept>) {
+    pub fn open(keep: Option<&Keep>, own: FrontId, now: f64) -> (Keeper, Option<Snapshot>) {
         let every = keep.map_or(1.0, |k| k.every);
         let (store, state, kept) = match keep {
             None => (None, KeepState::Off, None),
@@ -59,27 +59,27 @@
                 }
             },
         };
-        let keeping = Keeping::new(every, now);
+        let keeping = SaveSchedule::new(every, now);
         let restored = Restored::default();
         (Keeper { store, keeping, state, restored, saves: 0, failed: 0, facts: 0 }, kept)
     }
 
     /// The fleet takes what was kept, and remembers from now on what changes.
-    pub fn restore(&mut self, now: f64, fleet: &mut Fleet, kept: Option<Kept>) {
+    pub fn restore(&mut self, now: f64, fleet: &mut Fleet, kept: Option<Snapshot>) {
         if self.store.is_none() {
             return;
         }
-        fleet.keep_changes();
+        fleet.track_changes();
         let Some(kept) = kept else { return };
         let ago = wall() - kept.saved_at;
         self.restored = fleet.restore(now, wall(), kept);
-        let Restored { lives, facts, refused, too_old } = self.restored;
+        let Restored { incarnations, facts, refused, too_old } = self.restored;
         match too_old {
             true => {
                 warn!(target: "shalespindle::fleet", ago, "what was kept is too old, or its clock differs: not taken")
             }
             false => {
-                info!(target: "shalespindle::fleet", ago, lives, facts, refused, "what was kept is taken")
+                info!(target: "shalespindle::fleet", ago, lives = incarnations, facts, refused, "what was kept is taken")
             }
         }
     }
@@ -104,9 +104,9 @@
                 }
             }
         }
-        if let Some(whole) = self.keeping.due(now) {
+        if let Some(whole) = self.keeping.start_write(now) {
             let changes = fleet.changes(now, wall(), whole);
-            if self.keeping.is_worth(now, &changes) && !store.offer(changes) {
+            if self.keeping.should_write(now, &changes) && !store.offer(changes) {
                 // Its thread has ended: what was taken from the fleet is lost, so the next step is a whole one.
                 self.keeping.failed(now);
                 self.state = KeepState::Failing("whoever writes has ended".into());
@@ -133,7 +133,7 @@
             ("steps_not_kept", Some(self.failed)),
             ("facts_kept", Some(self.facts)),
             ("kept_ms_ago", since),
-            ("lives_restored", Some(self.restored.lives)),
+            ("lives_restored", Some(self.restored.incarnations)),
             ("facts_restored", Some(self.restored.facts)),
             ("lives_not_restored", Some(self.restored.refused)),
         ];
@@ -141,7 +141,7 @@
     }
 }
 
-fn open(file: &Path, own: FrontId) -> Result<(Store, Option<Kept>), String> {
+fn open(file: &Path, own: FrontId) -> Result<(Store, Option<Snapshot>), String> {
     let opened = Store::open(file, own).map_err(|e| e.to_string())?;
     if let Some((aside, why)) = opened.aside {
         let aside = aside.display();
@@ -154,8 +154,8 @@
 }
 
 /// This process's life: above any that is known from before.
-pub(crate) fn life(kept: Option<&Kept>, own: FrontId, nonce: u64) -> Life {
+pub(crate) fn life(kept: Option<&Snapshot>, own: FrontId, nonce: u64) -> Incarnation {
     // A clock that was set back gives a life that the others know to be over, and say so.
-    let wished = Life { number: (wall() * 1000.0) as u64, nonce };
-    kept.map_or(wished, |kept| kept.next_life(own, wished))
+    let wished = Incarnation { number: (wall() * 1000.0) as u64, nonce };
+    kept.map_or(wished, |kept| kept.next_incarnation(own, wished))
 }
--- a/crates/peer-service/src/lib.rs
+++ b/crates/peer-service/src/lib.rs
@@ -101,7 +101,8 @@
         let now = ground.now();
         let (mut keeper, kept) = Keeper::open(what.keep.as_ref(), own, now);
         let life = keep::life(kept.as_ref(), own, what.seed);
-        let (most, fanout, bytes) = (what.params.peers.most, what.params.peers.fanout, what.params.bytes);
+        let (most, fanout, bytes) =
+            (what.params.peers.max_fronts, what.params.peers.fanout, what.params.max_message_bytes);
         let sites = what.sites.map(|(params, table)| Sites::new(params, table, own, what.seed, now));
         let mut fleet = Fleet::new(what.params, own, life, &directory.listed(), what.seed, now);
         keeper.restore(now, &mut fleet, kept);
--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -7,7 +7,7 @@
 use shalespindle_peer_store::Store;
 use shalespindle_peer_wire::{front_id, Body, Codec, DropCounts};
 use shalespindle_peers::{Change, FrontId, State};
-use shalespindle_replica::{CallWord, Fleet, News, Out, ServerWord};
+use shalespindle_replica::{CallRecord, Fleet, FleetEvent, Output, ServerRecord};
 use shalespindle_sites::{Narrowing, Observed, Order, SitesFault, SitesStatus};
 use shalespindle_sockets::{Ground, Mail};
 use std::collections::BTreeMap;
@@ -22,11 +22,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Saying {
     /// Its pool list told this of a server.
-    Server { address: SocketAddr, word: ServerWord },
+    Server { address: SocketAddr, word: ServerRecord },
     /// An operator's word on the level for all fronts; none lets it go.
     Level { level: Option<u8>, lasts: f64 },
     /// A call stands here, or stands no more.
-    Call { call: u64, word: Option<Box<CallWord>> },
+    Call { call: u64, word: Option<Box<CallRecord>> },
     /// What this front sees of sites, and what is asked of it.
     Sees(Observed),
     /// Whose call is it, by the name of its dialog with the caller or with the server; [`Heard::Found`] answers.
@@ -36,14 +36,14 @@
 /// What this front hears of the others.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
-    News(News),
+    News(FleetEvent),
     /// What the fleet's word on sites leaves this front.
     Narrowed(Narrowing),
     /// Known: one of the fleet's; without the word it has been released already.
     Found {
         ticket: u64,
         known: bool,
-        word: Option<Box<CallWord>>,
+        word: Option<Box<CallRecord>>,
     },
 }
 
@@ -178,7 +178,7 @@
     pub fn run(mut self) {
         loop {
             let sites = self.sites.as_ref().map_or(f64::INFINITY, |sites| sites.core.due());
-            let mut next = self.mail.next_within(self.ground.until(self.fleet.wake_at().min(sites)));
+            let mut next = self.mail.next_within(self.ground.until(self.fleet.next_wakeup().min(sites)));
             let mut taken = 0;
             while let Some(letter) = next {
                 if !self.take(letter) {
@@ -206,7 +206,7 @@
             Letter::Datagram(bytes) => {
                 self.traffic.taken_bytes += bytes.len() as u64;
                 match (self.codec.read(&bytes), &mut self.sites) {
-                    (Ok((from, Body::Fleet(message))), _) => self.fleet.heard(now, from, message),
+                    (Ok((from, Body::Fleet(message))), _) => self.fleet.receive(now, from, message),
                     (Ok((from, Body::Sites(message))), Some(sites)) => {
                         sites.core.heard(now, self.fleet.peers(), from, message);
                     }
@@ -237,19 +237,19 @@
 
     fn say(&mut self, now: f64, saying: Saying) {
         match saying {
-            Saying::Server { address, word } => self.fleet.tell_server(now, address, word),
+            Saying::Server { address, word } => self.fleet.publish_server(now, address, word),
             Saying::Level { level, lasts } => {
-                let by = self.directory.name(self.fleet.copies().own());
-                self.fleet.tell_level(now, level, lasts, &by);
+                let by = self.directory.name(self.fleet.replicas().own());
+                self.fleet.publish_level(now, level, lasts, &by);
             }
-            Saying::Call { call, word } => self.fleet.tell_call(now, call, word.map(|w| *w)),
+            Saying::Call { call, word } => self.fleet.publish_call(now, call, word.map(|w| *w)),
             Saying::Sees(seen) => {
                 if let Some(sites) = &mut self.sites {
                     sites.core.observed(now, self.fleet.peers(), &seen);
                 }
             }
             Saying::Whose { ticket, name, by_leg } => {
-                let found = self.fleet.whose(now, name, by_leg);
+                let found = self.fleet.end_call(now, name, by_leg);
                 let (known, word) = (found.is_some(), found.and_then(|f| f.1).map(Box::new));
                 (self.heard)(Heard::Found { ticket, known, word });
             }
@@ -259,17 +259,17 @@
     fn carry(&mut self) {
         while let Some(out) = self.fleet.next_output() {
             match out {
-                Out::Send { to, message } => self.send(to, message),
-                Out::Peer(change) => self.log(change),
+                Output::Send { to, message } => self.send(to, message),
+                Output::Peer(change) => self.log(change),
             }
         }
-        while let Some(news) = self.fleet.next_news() {
+        while let Some(news) = self.fleet.next_event() {
             (self.heard)(Heard::News(news));
         }
         while let Some(out) = self.sites.as_mut().and_then(|sites| sites.core.next_output()) {
             match out {
                 shalespindle_sites::Out::Send { to, message } => {
-                    let frame = self.codec.write_sites(to, self.fleet.life(), message);
+                    let frame = self.codec.write_sites(to, self.fleet.incarnation(), message);
                     self.send_frame(to, frame);
                 }
                 shalespindle_sites::Out::Narrow(narrowing) => (self.heard)(Heard::Narrowed(narrowing)),
@@ -283,7 +283,7 @@
     }
 
     fn send(&mut self, to: FrontId, message: shalespindle_replica::Message) {
-        let frame = self.codec.write(to, self.fleet.life(), message);
+        let frame = self.codec.write(to, self.fleet.incarnation(), message);
         self.send_frame(to, frame);
     }
 
@@ -321,18 +321,18 @@
                     _ => info!(target: "shalespindle::fleet", peer, from, to, "peer"),
                 }
             }
-            Change::Reborn { front } => {
+            Change::Restarted { front } => {
                 info!(target: "shalespindle::fleet", peer = self.directory.name(front), "peer started anew")
             }
-            Change::Renewed { life } => warn!(
-                target: "shalespindle::fleet", number = life.number,
+            Change::Renewed { incarnation } => warn!(
+                target: "shalespindle::fleet", number = incarnation.number,
                 "a later life of this front's name is known: a clock set back, or another process of this name"
             ),
             Change::Silenced => tracing::error!(
                 target: "shalespindle::fleet", "another process holds this front's name; nothing of its own is told any more"
             ),
-            Change::Alone(true) => warn!(target: "shalespindle::fleet", "no other front is heard"),
-            Change::Alone(false) => info!(target: "shalespindle::fleet", "other fronts are heard again"),
+            Change::Isolated(true) => warn!(target: "shalespindle::fleet", "no other front is heard"),
+            Change::Isolated(false) => info!(target: "shalespindle::fleet", "other fronts are heard again"),
         }
     }
 
@@ -343,20 +343,20 @@
         let DropCounts { large, foreign, version, forged, form, not_for_us, replayed } = dropped;
         let counted = [
             ("digests", counts.digests),
-            ("parts", counts.parts),
-            ("parts_known", counts.known),
+            ("parts", counts.deltas),
+            ("parts_known", counts.already_known),
             ("parts_after_a_gap", counts.gaps),
-            ("of_old_lives", counts.old_lives),
-            ("parts_bad", counts.bad),
-            ("of_strangers", counts.strangers),
-            ("held_up", counts.held_up),
-            ("facts_without_room", counts.full),
+            ("of_old_lives", counts.old_incarnations),
+            ("parts_bad", counts.invalid),
+            ("of_strangers", counts.unlisted),
+            ("held_up", counts.late_turns),
+            ("facts_without_room", counts.rejected_full),
             ("calls_held_for_the_dead", status.calls.orphans as u64),
             ("calls_claimed", status.calls.claims as u64),
-            ("calls_taken_back", status.calls.taken_back),
+            ("calls_taken_back", status.calls.recovered),
             ("calls_released_for_the_dead", status.calls.released),
             ("calls_found", status.calls.found),
-            ("calls_released_twice", status.calls.doubles),
+            ("calls_released_twice", status.calls.double_releases),
             ("frames_large", large),
             ("frames_foreign", foreign),
             ("frames_of_other_versions", version),
@@ -375,31 +375,31 @@
             quiet_for: p.quiet_for,
             facts: p.facts,
             behind: p.behind,
-            mark: p.mark,
+            mark: p.digest,
         });
-        let differ = status.meetings.iter().map(|m| Differ {
+        let differ = status.conflicts.iter().map(|m| Differ {
             address: m.address,
             incarnation: m.incarnation,
-            words: m.words.iter().map(|w| (self.directory.name(w.0), told(w.1))).collect(),
-            settled: told(m.settled),
+            words: m.reports.iter().map(|w| (self.directory.name(w.0), told(w.1))).collect(),
+            settled: told(m.resolved),
             for_s: now - m.since,
         });
-        let doubles = status.doubles.iter().map(|(call, fronts)| {
+        let doubles = status.double_releases.iter().map(|(call, fronts)| {
             (format!("{call:016x}"), fronts.iter().map(|f| self.directory.name(*f)).collect::<Vec<String>>())
         });
         let mut counts: BTreeMap<String, u64> =
             counted.into_iter().map(|(name, n)| (name.to_string(), n)).collect();
         self.keeper.count(now, &mut counts);
         Standing {
-            name: self.directory.name(self.fleet.copies().own()),
-            life: (status.life.number, status.life.nonce),
+            name: self.directory.name(self.fleet.replicas().own()),
+            life: (status.incarnation.number, status.incarnation.nonce),
             silenced: status.silenced,
-            alone: status.alone,
+            alone: status.isolated,
             caught_up: status.caught_up,
             own_facts: status.own_facts,
-            own_mark: status.own_mark,
+            own_mark: status.own_digest,
             peers: peers.collect(),
-            met: status.met,
+            met: status.conflict_count,
             differ: differ.collect(),
             doubles: doubles.collect(),
             counts,
--- a/crates/peer-store/src/file.rs
+++ b/crates/peer-store/src/file.rs
@@ -5,7 +5,7 @@
     Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError,
 };
 use shalespindle_peers::FrontId;
-use shalespindle_replica::{Changes, Kept, KeptFact, KeptLife, Key, LifeName};
+use shalespindle_replica::{Changes, IncarnationKey, Key, Snapshot, StoredFact, StoredIncarnation};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
@@ -77,7 +77,7 @@
 
 impl File {
     /// Opens the file at `path`, or makes it. What it holds is read in the same step.
-    pub fn open(path: &Path, own: FrontId) -> Result<(File, Option<Kept>, Bad), Unusable> {
+    pub fn open(path: &Path, own: FrontId) -> Result<(File, Option<Snapshot>, Bad), Unusable> {
         // Guards against a panic of the storage over bytes that it never wrote.
         let opening = || File::with(Database::create(path).map_err(opened)?, own);
         catch_unwind(AssertUnwindSafe(opening))
@@ -85,11 +85,14 @@
     }
 
     /// The same over any storage.
-    pub fn over(backend: impl StorageBackend, own: FrontId) -> Result<(File, Option<Kept>, Bad), Unusable> {
+    pub fn over(
+        backend: impl StorageBackend,
+        own: FrontId,
+    ) -> Result<(File, Option<Snapshot>, Bad), Unusable> {
         File::with(Database::builder().create_with_backend(backend).map_err(opened)?, own)
     }
 
-    fn with(mut database: Database, own: FrontId) -> Result<(File, Option<Kept>, Bad), Unusable> {
+    fn with(mut database: Database, own: FrontId) -> Result<(File, Option<Snapshot>, Bad), Unusable> {
         // All pages against their checksums: what a disk has changed is found here and not while it is used.
         let intact = catch_unwind(AssertUnwindSafe(|| database.check_integrity()));
         let file = File { database: Some(database), own };
@@ -108,7 +111,7 @@
     }
 
     /// Nothing where nothing was ever written.
-    fn read(&self) -> Result<(Option<Kept>, Bad), Unusable> {
+    fn read(&self) -> Result<(Option<Snapshot>, Bad), Unusable> {
         let reading = self.database()?.begin_read().map_err(spoilt)?;
         let about = match reading.open_table(ABOUT) {
             Ok(about) => about,
@@ -132,7 +135,7 @@
         let saved_at = from_bytes(&number(ABOUT_SAVED)?).map_err(spoilt)?;
         let settled = from_bytes(&number(ABOUT_SETTLED)?).map_err(spoilt)?;
         let mut bad = Bad::default();
-        let mut facts: BTreeMap<LifeName, Vec<(Key, KeptFact)>> = BTreeMap::new();
+        let mut facts: BTreeMap<IncarnationKey, Vec<(Key, StoredFact)>> = BTreeMap::new();
         for row in reading.open_table(FACTS).map_err(spoilt)?.iter().map_err(spoilt)? {
             let (name, value) = row.map_err(spoilt)?;
             match fact(name.value(), value.value()) {
@@ -143,12 +146,12 @@
         let mut lives = Vec::new();
         for row in reading.open_table(LIVES).map_err(spoilt)?.iter().map_err(spoilt)? {
             let (name, value) = row.map_err(spoilt)?;
-            match unchecked::<KeptLife>(name.value(), value.value()) {
-                Some(life) => lives.push((life, facts.remove(&life.name()).unwrap_or_default())),
+            match unchecked::<StoredIncarnation>(name.value(), value.value()) {
+                Some(life) => lives.push((life, facts.remove(&life.key()).unwrap_or_default())),
                 None => bad.0 += 1,
             }
         }
-        Ok((Some(Kept { lives, settled, saved_at }), bad))
+        Ok((Some(Snapshot { incarnations: lives, obsolete: settled, saved_at }), bad))
     }
 
     /// Writes one step: all of it or nothing.
@@ -160,14 +163,14 @@
 
     fn step(&self, database: &Database, changes: &Changes) -> Result<(), redb::Error> {
         let writing = database.begin_write()?;
-        if changes.whole {
+        if changes.complete {
             writing.delete_table(FACTS)?;
             writing.delete_table(LIVES)?;
         }
         {
             let mut facts = writing.open_table(FACTS)?;
             let mut lives = writing.open_table(LIVES)?;
-            let names: Vec<Vec<u8>> = changes.lives.iter().map(|l| life_name(l.name())).collect();
+            let names: Vec<Vec<u8>> = changes.incarnations.iter().map(|l| life_name(l.key())).collect();
             let kept = lives.iter()?.map(|row| Ok(row?.0.value().to_vec()));
             let kept: Vec<Vec<u8>> = kept.collect::<Result<_, redb::StorageError>>()?;
             for over in kept.iter().filter(|name| !names.contains(name)) {
@@ -178,7 +181,7 @@
                     facts.remove(name.as_slice())?;
                 }
             }
-            for (life, name) in changes.lives.iter().zip(&names) {
+            for (life, name) in changes.incarnations.iter().zip(&names) {
                 lives.insert(name.as_slice(), checked(name, life).as_slice())?;
             }
             for (life, key, fact) in &changes.facts {
@@ -189,7 +192,7 @@
                 };
             }
             let mut about = writing.open_table(ABOUT)?;
-            let settled = &changes.settled;
+            let settled = &changes.obsolete;
             let says = [
                 (ABOUT_VERSION, to_stdvec(&VERSION)),
                 (ABOUT_FRONT, to_stdvec(&self.own.0)),
@@ -205,7 +208,7 @@
 }
 
 /// Fixed length, so that the facts of a life are a range.
-fn life_name((front, (number, nonce)): LifeName) -> Vec<u8> {
+fn life_name((front, (number, nonce)): IncarnationKey) -> Vec<u8> {
     [front, number, nonce].iter().flat_map(|n| n.to_be_bytes()).collect()
 }
 
@@ -214,7 +217,7 @@
     [life, &[u8::MAX; 64]].concat()
 }
 
-fn fact_name(life: LifeName, key: &Key) -> Vec<u8> {
+fn fact_name(life: IncarnationKey, key: &Key) -> Vec<u8> {
     // Keys are small and of plain numbers: their form cannot fail.
     [life_name(life), to_stdvec(key).unwrap_or_default()].concat()
 }
@@ -237,7 +240,7 @@
     (check == sum(name, value)).then(|| from_bytes(value).ok()).flatten()
 }
 
-fn fact(name: &[u8], bytes: &[u8]) -> Option<(LifeName, Key, KeptFact)> {
+fn fact(name: &[u8], bytes: &[u8]) -> Option<(IncarnationKey, Key, StoredFact)> {
     let fact = unchecked(name, bytes)?;
     let (life, key) = name.split_at_checked(24)?;
     let mut numbers = life.chunks_exact(8).map(|n| n.try_into().map(u64::from_be_bytes).unwrap_or(0));
--- a/crates/peer-store/src/thread.rs
+++ b/crates/peer-store/src/thread.rs
@@ -4,7 +4,7 @@
 use crate::sys::mpsc::{channel, sync_channel, Receiver, SyncSender, TrySendError};
 use crate::sys::thread::{Builder, JoinHandle};
 use shalespindle_peers::FrontId;
-use shalespindle_replica::{Changes, Kept};
+use shalespindle_replica::{Changes, Snapshot};
 use std::path::{Path, PathBuf};
 
 /// What became of a step.
@@ -25,7 +25,7 @@
 pub struct Opened {
     pub store: Store,
     /// What was kept; none in a new file.
-    pub kept: Option<Kept>,
+    pub kept: Option<Snapshot>,
     /// Facts that could not be read.
     pub bad: Bad,
     /// Where a file that could not be read was put aside, and why.
@@ -35,7 +35,7 @@
 /// What came of opening a file.
 struct Found {
     file: File,
-    kept: Option<Kept>,
+    kept: Option<Snapshot>,
     bad: Bad,
     aside: Option<(PathBuf, String)>,
 }
--- a/crates/peer-store/tests/file.rs
+++ b/crates/peer-store/tests/file.rs
@@ -2,8 +2,8 @@
 
 use redb::StorageBackend;
 use shalespindle_peer_store::{Bad, File, Outcome, Store, Unusable};
-use shalespindle_peers::{FrontId, Life};
-use shalespindle_replica::{CallWord, Changes, Copies, CopiesParams, Fact, Kept, Key, OverWord};
+use shalespindle_peers::{FrontId, Incarnation};
+use shalespindle_replica::{CallEnd, CallRecord, Changes, Fact, Key, ReplicaParams, Replicas, Snapshot};
 use std::io;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -94,7 +94,7 @@
 
 fn call(n: u64) -> Fact {
     let text = |what: &str| format!("{what}-{n}");
-    Fact::Call(Box::new(CallWord {
+    Fact::Call(Box::new(CallRecord {
         epoch: 1,
         server: "127.0.0.1:5070".parse().unwrap(),
         leg_call_id: text("leg"),
@@ -110,23 +110,26 @@
 }
 
 /// Copies that keep what changes.
-fn copies() -> Copies {
-    let mut copies =
-        Copies::new(CopiesParams { most: 10_000, remember: 300.0 }, OWN, Life { number: 3, nonce: 4 });
-    copies.keep_changes();
+fn copies() -> Replicas {
+    let mut copies = Replicas::new(
+        ReplicaParams { max_facts: 10_000, deletion_retention: 300.0 },
+        OWN,
+        Incarnation { number: 3, nonce: 4 },
+    );
+    copies.track_changes();
     copies
 }
 
-fn stand(copies: &mut Copies, calls: std::ops::Range<u64>) {
+fn stand(copies: &mut Replicas, calls: std::ops::Range<u64>) {
     calls.for_each(|n| assert!(copies.write(1.0, Key::Call(n), call(n)).unwrap()));
 }
 
-fn read(bytes: Vec<u8>) -> Result<(Option<Kept>, Bad), Unusable> {
+fn read(bytes: Vec<u8>) -> Result<(Option<Snapshot>, Bad), Unusable> {
     File::over(Disk::holding(bytes), OWN).map(|(_, kept, bad)| (kept, bad))
 }
 
 /// Two steps, and what the disk held before the second.
-fn two_steps() -> (Vec<u8>, Vec<Op>, Kept, Kept) {
+fn two_steps() -> (Vec<u8>, Vec<Op>, Snapshot, Snapshot) {
     let disk = Disk::default();
     let mut copies = copies();
     let (file, kept, _) = File::over(disk.clone(), OWN).unwrap();
@@ -137,7 +140,7 @@
     disk.0.lock().unwrap().ops.clear();
     stand(&mut copies, 40..60);
     copies.delete(2.0, Key::Call(5));
-    copies.write(2.0, Key::Over(5), Fact::Over(OverWord { claim: false })).unwrap();
+    copies.write(2.0, Key::CallEnd(5), Fact::CallEnd(CallEnd { claim: false })).unwrap();
     file.write(&copies.changes(2.0, 1002.0, false)).unwrap();
     let ops = disk.0.lock().unwrap().ops.clone();
     let first = read(before.clone()).unwrap().0.unwrap();
@@ -148,7 +151,7 @@
 #[test]
 fn what_was_written_is_read_and_what_is_over_is_gone() {
     let (_, _, first, second) = two_steps();
-    let facts = |kept: &Kept| kept.lives.iter().map(|l| l.1.len()).collect::<Vec<_>>();
+    let facts = |kept: &Snapshot| kept.incarnations.iter().map(|l| l.1.len()).collect::<Vec<_>>();
     assert_eq!((facts(&first), first.saved_at), (vec![40], 1001.0));
     // Sixty but for the one that ended untold, and the word that it is over.
     assert_eq!((facts(&second), second.saved_at), (vec![60], 1002.0));
@@ -161,7 +164,7 @@
     file.write(&copies.changes(1.0, 1001.0, true)).unwrap();
     file.write(&Changes { saved_at: 1002.0, ..Changes::default() }).unwrap();
     let (kept, bad) = read(disk.bytes()).unwrap();
-    assert_eq!((kept.unwrap().lives, bad), (Vec::new(), Bad(0)));
+    assert_eq!((kept.unwrap().incarnations, bad), (Vec::new(), Bad(0)));
 }
 
 /// The last step is cut short after any of its writes, within any of them, and with any of those since the last sync
@@ -227,7 +230,8 @@
                 faults += 1;
             }
             Ok((_, Some(kept), _)) => {
-                same += usize::from(kept.lives.iter().all(|(life, facts)| life.facts == facts.len()));
+                same +=
+                    usize::from(kept.incarnations.iter().all(|(life, facts)| life.fact_count == facts.len()));
             }
             Ok((_, None, _)) | Err(_) => spoilt += 1,
         }
@@ -272,7 +276,7 @@
     assert_eq!(outcome(&store), Outcome::Saved { facts: 9000 });
     drop(store);
     let kept = read(disk.bytes()).unwrap().0.unwrap();
-    assert_eq!((kept.saved_at, kept.lives[0].1.len()), (1004.0, 9000));
+    assert_eq!((kept.saved_at, kept.incarnations[0].1.len()), (1004.0, 9000));
 }
 
 #[test]
--- a/crates/peer-store/tests/interleavings.rs
+++ b/crates/peer-store/tests/interleavings.rs
@@ -15,7 +15,7 @@
 #[allow(dead_code)]
 mod file {
     use shalespindle_peers::FrontId;
-    use shalespindle_replica::{Changes, Kept};
+    use shalespindle_replica::{Changes, Snapshot};
     use shuttle::rand::Rng;
     use std::path::Path;
     use std::sync::{Arc, Mutex};
@@ -39,7 +39,7 @@
     }
 
     impl File {
-        pub fn open(_: &Path, _: FrontId) -> Result<(File, Option<Kept>, Bad), Unusable> {
+        pub fn open(_: &Path, _: FrontId) -> Result<(File, Option<Snapshot>, Bad), Unusable> {
             Err(Unusable::Disk("not here".into()))
         }
 
@@ -48,14 +48,14 @@
                 return Err("no room".into());
             }
             shuttle::thread::yield_now();
-            self.written.lock().unwrap().push((changes.saved_at, changes.whole));
+            self.written.lock().unwrap().push((changes.saved_at, changes.complete));
             Ok(())
         }
     }
 }
 
 use file::{File, Written};
-use shalespindle_replica::{Changes, Keeping, KeptLife, Reach};
+use shalespindle_replica::{Changes, Cursor, SaveSchedule, StoredIncarnation};
 use thread::{Outcome, Store};
 
 /// An owner of so many turns; `heeds`: it waits for what became of a step before it hands the next over.
@@ -64,7 +64,7 @@
     let file = |written: &Written| File { written: written.clone(), fails };
     let again = written.clone();
     let store = Store::over(file(&written), move || Ok(File { written: again.clone(), fails })).unwrap();
-    let (mut keeping, mut offered, mut failed) = (Keeping::new(1.0, 0.0), Vec::new(), 0);
+    let (mut keeping, mut offered, mut failed) = (SaveSchedule::new(1.0, 0.0), Vec::new(), 0);
     for turn in 0..turns {
         // Long enough for every pause to be over.
         let now = f64::from(turn) * 1000.0;
@@ -77,12 +77,20 @@
                 }
             }
         }
-        let due = if heeds { keeping.due(now) } else { Some(false) };
+        let due = if heeds { keeping.start_write(now) } else { Some(false) };
         if let Some(whole) = due {
-            let reach = Reach { seq: u64::from(turn), floor: 0 };
-            let life = KeptLife { front: 1, life: (1, 1), reach, ended: None, dropped: false, facts: 0 };
-            let changes = Changes { whole, lives: vec![life], saved_at: now, ..Changes::default() };
-            assert!(keeping.is_worth(now, &changes));
+            let reach = Cursor { seq: u64::from(turn), floor: 0 };
+            let life = StoredIncarnation {
+                front: 1,
+                incarnation: (1, 1),
+                cursor: reach,
+                ended: None,
+                dropped: false,
+                fact_count: 0,
+            };
+            let changes =
+                Changes { complete: whole, incarnations: vec![life], saved_at: now, ..Changes::default() };
+            assert!(keeping.should_write(now, &changes));
             let taken = store.offer(changes);
             assert!(taken, "whoever heeds what became of the last step finds room for the next");
             offered.push((now, whole));
--- a/crates/peer-wire/src/lib.rs
+++ b/crates/peer-wire/src/lib.rs
@@ -5,7 +5,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use shalespindle_coordinator::{Incarnation, Message as CoordinatorMessage, NodeId};
-use shalespindle_peers::{FrontId, Life};
+use shalespindle_peers::{FrontId, Incarnation as FrontIncarnation};
 use shalespindle_replica::Message;
 use shalespindle_sites::SitesMessage;
 use std::collections::BTreeMap;
@@ -132,12 +132,17 @@
     }
 
     /// A frame; none where the message is too large for one.
-    pub fn write(&mut self, to: FrontId, life: Life, message: Message) -> Option<Vec<u8>> {
+    pub fn write(&mut self, to: FrontId, life: FrontIncarnation, message: Message) -> Option<Vec<u8>> {
         self.frame(VERSION, to, life, message)
     }
 
     /// A frame about sites, in the version that only fronts read that know of them.
-    pub fn write_sites(&mut self, to: FrontId, life: Life, message: SitesMessage) -> Option<Vec<u8>> {
+    pub fn write_sites(
+        &mut self,
+        to: FrontId,
+        life: FrontIncarnation,
+        message: SitesMessage,
+    ) -> Option<Vec<u8>> {
         self.frame(SITES_VERSION, to, life, message)
     }
 
@@ -148,11 +153,17 @@
         incarnation: Incarnation,
         message: CoordinatorMessage,
     ) -> Option<Vec<u8>> {
-        let life = Life { number: incarnation.number, nonce: incarnation.nonce };
+        let life = FrontIncarnation { number: incarnation.number, nonce: incarnation.nonce };
         self.frame(COORDINATOR_VERSION, FrontId(to.0), life, message)
     }
 
-    fn frame(&mut self, version: u8, to: FrontId, life: Life, message: impl Serialize) -> Option<Vec<u8>> {
+    fn frame(
+        &mut self,
+        version: u8,
+        to: FrontId,
+        life: FrontIncarnation,
+        message: impl Serialize,
+    ) -> Option<Vec<u8>> {
         self.number += 1;
         let life = (life.number, life.nonce);
         let envelope = Envelope { from: self.own.0, to: to.0, life, number: self.number, message };
--- a/crates/peer-wire/tests/frames.rs
+++ b/crates/peer-wire/tests/frames.rs
@@ -5,14 +5,14 @@
 use shalespindle_peer_wire::{
     front_id, Body, Codec, Dropped, COORDINATOR_VERSION, LARGEST, SITES_VERSION, VERSION,
 };
-use shalespindle_peers::{FrontId, Life};
+use shalespindle_peers::{FrontId, Incarnation};
 use shalespindle_replica::{
-    Fact, Item, Key, Known, LevelWord, Message, Part, PastReach, Reach, ServerWord, Told,
+    Cursor, Delta, DigestEntry, EndedCursor, Fact, Item, Key, LevelOrder, Message, ServerRecord, Told,
 };
 use shalespindle_sites::{Rumour, Sight, SiteSight, SitesMessage};
 
 const KEY: [u8; 32] = [7; 32];
-const LIFE: Life = Life { number: 1_700_000_000_000, nonce: u64::MAX };
+const LIFE: Incarnation = Incarnation { number: 1_700_000_000_000, nonce: u64::MAX };
 
 fn pair() -> (Codec, Codec, FrontId) {
     let (a, b) = (front_id("a"), front_id("b"));
@@ -20,16 +20,25 @@
 }
 
 fn digest(n: u64) -> Message {
-    let reach = Some(Reach { seq: u64::MAX, floor: n });
+    let cursor = Some(Cursor { seq: u64::MAX, floor: n });
     let life = (u64::MAX, u64::MAX);
-    let past = vec![PastReach { life, reach: Reach { seq: n, floor: 1 } }; 2];
-    let known = Known { front: u64::MAX, life, beat: u64::MAX, left: true, reach, settled: life, past };
-    Message::Digest { known: vec![known; 3], whole: true, answer: false }
+    let ended = vec![EndedCursor { incarnation: life, cursor: Cursor { seq: n, floor: 1 } }; 2];
+    let known = DigestEntry {
+        front: u64::MAX,
+        incarnation: life,
+        heartbeat: u64::MAX,
+        left: true,
+        cursor,
+        obsolete_up_to: life,
+        ended,
+    };
+    Message::Digest { entries: vec![known; 3], complete: true, wants_answer: false }
 }
 
 fn parts() -> Message {
-    let server = ServerWord { pool: 9, incarnation: u64::MAX, told: Told::Draining, age: Some(2.5) };
-    let level = LevelWord { level: Some(3), lasts: 60.0, version: 4, by: "front-of-kochi".into() };
+    let server = ServerRecord { pool: 9, incarnation: u64::MAX, reported: Told::Draining, age: Some(2.5) };
+    let level =
+        LevelOrder { level: Some(3), valid_for: 60.0, version: 4, issued_by: "front-of-kochi".into() };
     let items = vec![
         Item {
             seq: 4,
@@ -40,9 +49,17 @@
         Item { seq: 5, age: 0.5, key: Key::Level, fact: Some(Fact::Level(level)) },
         Item { seq: 8, age: 9.0, key: Key::Server("127.0.0.1:1".parse().unwrap()), fact: None },
     ];
-    Message::Parts {
-        parts: vec![Part { front: 3, life: (1, 2), floor: 1, from: 3, to: 9, last: 12, items }],
-        follow: true,
+    Message::Deltas {
+        deltas: vec![Delta {
+            front: 3,
+            incarnation: (1, 2),
+            floor: 1,
+            from: 3,
+            to: 9,
+            sender_seq: 12,
+            items,
+        }],
+        more_follow: true,
     }
 }
 
@@ -62,8 +79,8 @@
         assert_eq!(b.read(&frames[n]).is_ok(), new, "{n}");
     }
     // An earlier life says nothing any more.
-    let earlier = Life { number: LIFE.number - 1, ..LIFE };
-    let later = Life { number: LIFE.number + 1, ..LIFE };
+    let earlier = Incarnation { number: LIFE.number - 1, ..LIFE };
+    let later = Incarnation { number: LIFE.number + 1, ..LIFE };
     assert!(b.read(&a.write(to, later, digest(0)).unwrap()).is_ok());
     assert_eq!(b.read(&a.write(to, earlier, digest(0)).unwrap()), Err(Dropped::Replayed));
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -19,17 +19,17 @@
 /// One run of one front's process: `number` grows with each start, `nonce` tells two processes apart that
 /// took the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life {
+pub struct Incarnation {
     pub number: u64,
     pub nonce: u64,
 }
 
 /// What is said of one front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct PeerReport {
     pub front: FrontId,
-    pub life: Life,
-    pub beat: u64,
+    pub incarnation: Incarnation,
+    pub heartbeat: u64,
     /// It departed in order.
     pub left: bool,
 }
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
     /// On the list, never heard of.
-    Unheard,
+    NeverSeen,
     Alive,
     /// Its beat has not risen for a while.
     Suspect,
@@ -51,7 +51,7 @@
 impl State {
     pub fn name(self) -> &'static str {
         match self {
-            State::Unheard => "unheard",
+            State::NeverSeen => "unheard",
             State::Alive => "alive",
             State::Suspect => "suspect",
             State::Gone => "gone",
@@ -69,24 +69,24 @@
         to: State,
     },
     /// It is a new process under an old name.
-    Reborn {
+    Restarted {
         front: FrontId,
     },
     /// This front's own name was heard from a life that is not this one: it took a higher one.
     Renewed {
-        life: Life,
+        incarnation: Incarnation,
     },
     /// Another process holds this front's name and does not let go: this one says nothing of its own any more.
     Silenced,
     /// This front missed everybody at once: more likely it is cut off itself.
-    Alone(bool),
+    Isolated(bool),
 }
 
 /// What the module is started with. Times are seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeersParams {
     /// Between two beats of this front.
-    pub every: f64,
+    pub heartbeat_interval: f64,
     /// Fronts told at each beat.
     pub fanout: usize,
     /// Without a rise of its beat a front is suspect after this,
@@ -94,12 +94,18 @@
     /// and gone after this.
     pub gone_after: f64,
     /// Fronts on the list at most.
-    pub most: usize,
+    pub max_fronts: usize,
 }
 
 impl PeersParams {
     /// By the time between beats alone: suspect after five of them, gone after fifteen.
-    pub fn beating(every: f64) -> PeersParams {
-        PeersParams { every, fanout: 3, suspect_after: 5.0 * every, gone_after: 15.0 * every, most: 1024 }
+    pub fn with_heartbeat_interval(heartbeat_interval: f64) -> PeersParams {
+        PeersParams {
+            heartbeat_interval,
+            fanout: 3,
+            suspect_after: 5.0 * heartbeat_interval,
+            gone_after: 15.0 * heartbeat_interval,
+            max_fronts: 1024,
+        }
     }
 }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,20 +1,20 @@
 //! The fronts on the list, their lives and beats.
 
-use crate::{Change, FrontId, Life, PeersParams, Round, State, Word};
+use crate::{Change, FrontId, Incarnation, PeerReport, PeersParams, Round, State};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A turn that comes later than this many beats shows that this front stood still.
-const HELD_UP: f64 = 1.0;
+const LATE_TURN: f64 = 1.0;
 /// So often a front renews its life against another process of its name before it gives way.
-const MOST_RENEWALS: u32 = 4;
+const MAX_RENEWALS: u32 = 4;
 /// A renewal is forgotten after so many times the time to be gone.
-const RENEWAL_FORGOTTEN: f64 = 4.0;
+const RENEWAL_MEMORY: f64 = 4.0;
 
 struct Peer {
-    life: Life,
-    beat: u64,
+    incarnation: Incarnation,
+    heartbeat: u64,
     /// When its beat last rose, on this front's clock; moved on by the times that this front stood still.
-    risen_at: f64,
+    heartbeat_at: f64,
     state: State,
 }
 
@@ -22,21 +22,21 @@
 pub struct Peers {
     params: PeersParams,
     own: FrontId,
-    life: Life,
-    beat: u64,
+    incarnation: Incarnation,
+    heartbeat: u64,
     left: bool,
     table: BTreeMap<FrontId, Peer>,
     round: Round,
-    beat_at: f64,
+    next_heartbeat_at: f64,
     renewals: u32,
     renewed_at: f64,
     silenced: bool,
-    alone: bool,
+    isolated: bool,
     changes: VecDeque<Change>,
     /// Words that changed nothing: of old lives, and of fronts that are not on the list.
-    old_lives: u64,
-    strangers: u64,
-    held_up: u64,
+    old_incarnations: u64,
+    unlisted: u64,
+    late_turns: u64,
 }
 
 impl Peers {
@@ -44,7 +44,7 @@
     pub fn new(
         params: PeersParams,
         own: FrontId,
-        life: Life,
+        incarnation: Incarnation,
         listed: &[FrontId],
         seed: u64,
         now: f64,
@@ -52,20 +52,20 @@
         let mut peers = Peers {
             params,
             own,
-            life,
-            beat: 0,
+            incarnation,
+            heartbeat: 0,
             left: false,
             table: BTreeMap::new(),
             round: Round::new(seed),
-            beat_at: now,
+            next_heartbeat_at: now,
             renewals: 0,
             renewed_at: now,
             silenced: false,
-            alone: false,
+            isolated: false,
             changes: VecDeque::new(),
-            old_lives: 0,
-            strangers: 0,
-            held_up: 0,
+            old_incarnations: 0,
+            unlisted: 0,
+            late_turns: 0,
         };
         peers.relist(now, listed);
         peers
@@ -74,11 +74,17 @@
     /// The list of fronts changed; this one need not be on it. Those not on it are forgotten.
     pub fn relist(&mut self, now: f64, listed: &[FrontId]) {
         let wanted = |f: &FrontId| *f != self.own;
-        let listed: Vec<FrontId> = listed.iter().copied().filter(wanted).take(self.params.most).collect();
+        let listed: Vec<FrontId> =
+            listed.iter().copied().filter(wanted).take(self.params.max_fronts).collect();
         self.table.retain(|front, _| listed.contains(front));
         self.round.clear();
         for front in listed {
-            let unheard = Peer { life: Life::default(), beat: 0, risen_at: now, state: State::Unheard };
+            let unheard = Peer {
+                incarnation: Incarnation::default(),
+                heartbeat: 0,
+                heartbeat_at: now,
+                state: State::NeverSeen,
+            };
             self.table.entry(front).or_insert(unheard);
         }
     }
@@ -86,94 +92,96 @@
     // ---- what is heard ----
 
     /// What a front said of itself or of another.
-    pub fn hear(&mut self, now: f64, word: Word) {
-        if word.front == self.own {
-            return self.hear_of_self(now, word);
+    pub fn record(&mut self, now: f64, report: PeerReport) {
+        if report.front == self.own {
+            return self.record_own(now, report);
         }
-        let Some(peer) = self.table.get_mut(&word.front) else {
-            self.strangers += 1;
+        let Some(peer) = self.table.get_mut(&report.front) else {
+            self.unlisted += 1;
             return;
         };
-        if word.life < peer.life {
-            self.old_lives += 1;
+        if report.incarnation < peer.incarnation {
+            self.old_incarnations += 1;
             return;
         }
-        let reborn = word.life > peer.life;
-        if reborn && peer.state != State::Unheard {
-            self.changes.push_back(Change::Reborn { front: word.front });
+        let restarted = report.incarnation > peer.incarnation;
+        if restarted && peer.state != State::NeverSeen {
+            self.changes.push_back(Change::Restarted { front: report.front });
         }
-        if reborn || word.beat > peer.beat {
-            (peer.life, peer.beat, peer.risen_at) = (word.life, word.beat, now);
-        } else if !word.left {
+        if restarted || report.heartbeat > peer.heartbeat {
+            (peer.incarnation, peer.heartbeat, peer.heartbeat_at) =
+                (report.incarnation, report.heartbeat, now);
+        } else if !report.left {
             return;
         }
         // A departure is final for a life: a late beat of before it does not bring the front back.
-        let was_left = peer.state == State::Left && !reborn;
-        let to = if word.left || was_left { State::Left } else { State::Alive };
-        self.become_so(word.front, to);
+        let was_left = peer.state == State::Left && !restarted;
+        let to = if report.left || was_left { State::Left } else { State::Alive };
+        self.set_state(report.front, to);
     }
 
     /// Guards against two processes under one name, and against a start with a clock that was set back: the
     /// higher life counts everywhere, so this front must have it, or be silent.
-    fn hear_of_self(&mut self, now: f64, word: Word) {
-        if word.life <= self.life || self.silenced {
+    fn record_own(&mut self, now: f64, report: PeerReport) {
+        if report.incarnation <= self.incarnation || self.silenced {
             return;
         }
-        if now - self.renewed_at > RENEWAL_FORGOTTEN * self.params.gone_after {
+        if now - self.renewed_at > RENEWAL_MEMORY * self.params.gone_after {
             self.renewals = 0;
         }
         self.renewals += 1;
         self.renewed_at = now;
         // Of two processes that keep overtaking each other one must give way, and both must know which.
-        if self.renewals > MOST_RENEWALS && self.life.nonce < word.life.nonce {
+        if self.renewals > MAX_RENEWALS && self.incarnation.nonce < report.incarnation.nonce {
             self.silenced = true;
             self.changes.push_back(Change::Silenced);
             return;
         }
-        self.life = Life { number: word.life.number + 1, nonce: self.life.nonce };
-        self.beat = 0;
-        self.changes.push_back(Change::Renewed { life: self.life });
+        self.incarnation =
+            Incarnation { number: report.incarnation.number + 1, nonce: self.incarnation.nonce };
+        self.heartbeat = 0;
+        self.changes.push_back(Change::Renewed { incarnation: self.incarnation });
     }
 
     // ---- time ----
 
     /// When [`Peers::turn`] is due.
-    pub fn due(&self) -> f64 {
-        self.beat_at
+    pub fn next_heartbeat(&self) -> f64 {
+        self.next_heartbeat_at
     }
 
     /// Beats when it is time to, and judges the others; true when it has beaten, and [`Peers::targets`] are to
     /// be told.
     pub fn turn(&mut self, now: f64) -> bool {
-        if now < self.beat_at {
+        if now < self.next_heartbeat_at {
             return false;
         }
-        let late = now - self.beat_at;
-        if late > HELD_UP * self.params.every {
+        let late = now - self.next_heartbeat_at;
+        if late > LATE_TURN * self.params.heartbeat_interval {
             // Guards others against a front that stood still: what it did not hear meanwhile is its own fault.
-            self.held_up += 1;
+            self.late_turns += 1;
             for peer in self.table.values_mut() {
-                peer.risen_at += late;
+                peer.heartbeat_at += late;
             }
         }
-        self.beat_at = now + self.params.every;
-        self.beat += 1;
-        self.judge(now);
+        self.next_heartbeat_at = now + self.params.heartbeat_interval;
+        self.heartbeat += 1;
+        self.update_states(now);
         true
     }
 
-    fn judge(&mut self, now: f64) {
-        let quiet = |p: &Peer| now - p.risen_at;
-        let counted = || self.table.values().filter(|p| !matches!(p.state, State::Unheard | State::Left));
+    fn update_states(&mut self, now: f64) {
+        let quiet = |p: &Peer| now - p.heartbeat_at;
+        let counted = || self.table.values().filter(|p| !matches!(p.state, State::NeverSeen | State::Left));
         let (all, missed) =
             (counted().count(), counted().filter(|p| quiet(p) >= self.params.suspect_after).count());
         // One peer that is missed may be gone; all of two or more are more likely missed by a front cut off.
-        let alone = all >= 2 && missed == all;
-        if alone != std::mem::replace(&mut self.alone, alone) {
-            self.changes.push_back(Change::Alone(alone));
+        let isolated = all >= 2 && missed == all;
+        if isolated != std::mem::replace(&mut self.isolated, isolated) {
+            self.changes.push_back(Change::Isolated(isolated));
         }
         // A front alone waits twice as long before it calls others gone: what they hold is taken over then.
-        let gone_after = self.params.gone_after * if alone { 2.0 } else { 1.0 };
+        let gone_after = self.params.gone_after * if isolated { 2.0 } else { 1.0 };
         let mut turned = Vec::new();
         for (front, peer) in &self.table {
             let to = match peer.state {
@@ -184,11 +192,11 @@
             turned.push((*front, to));
         }
         for (front, to) in turned {
-            self.become_so(front, to);
+            self.set_state(front, to);
         }
     }
 
-    fn become_so(&mut self, front: FrontId, to: State) {
+    fn set_state(&mut self, front: FrontId, to: State) {
         let Some(peer) = self.table.get_mut(&front) else { return };
         let from = std::mem::replace(&mut peer.state, to);
         if from != to {
@@ -199,7 +207,7 @@
     /// This front departs in order. Its words say so from now on.
     pub fn leave(&mut self) {
         self.left = true;
-        self.beat += 1;
+        self.heartbeat += 1;
     }
 
     // ---- what it tells ----
@@ -212,21 +220,26 @@
     }
 
     /// What this front says of itself; nothing once it has given its name up.
-    pub fn own_word(&self) -> Option<Word> {
-        let word = Word { front: self.own, life: self.life, beat: self.beat, left: self.left };
-        (!self.silenced).then_some(word)
+    pub fn own_report(&self) -> Option<PeerReport> {
+        let report = PeerReport {
+            front: self.own,
+            incarnation: self.incarnation,
+            heartbeat: self.heartbeat,
+            left: self.left,
+        };
+        (!self.silenced).then_some(report)
     }
 
     /// What it knows of the others, itself first.
-    pub fn words(&self) -> Vec<Word> {
-        let heard = self.table.iter().filter(|(_, p)| p.state != State::Unheard);
-        let others = heard.map(|(front, p)| Word {
+    pub fn reports(&self) -> Vec<PeerReport> {
+        let heard = self.table.iter().filter(|(_, p)| p.state != State::NeverSeen);
+        let others = heard.map(|(front, p)| PeerReport {
             front: *front,
-            life: p.life,
-            beat: p.beat,
+            incarnation: p.incarnation,
+            heartbeat: p.heartbeat,
             left: p.state == State::Left,
         });
-        self.own_word().into_iter().chain(others).collect()
+        self.own_report().into_iter().chain(others).collect()
     }
 
     pub fn next_change(&mut self) -> Option<Change> {
@@ -240,20 +253,20 @@
     }
 
     /// Between two beats, seconds.
-    pub fn every(&self) -> f64 {
-        self.params.every
+    pub fn heartbeat_interval(&self) -> f64 {
+        self.params.heartbeat_interval
     }
 
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     pub fn is_silenced(&self) -> bool {
         self.silenced
     }
 
-    pub fn is_alone(&self) -> bool {
-        self.alone
+    pub fn is_isolated(&self) -> bool {
+        self.isolated
     }
 
     pub fn is_listed(&self, front: FrontId) -> bool {
@@ -261,12 +274,12 @@
     }
 
     /// Other fronts on the list.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.table.len()
     }
 
     /// All fronts, this one among them, in the order of their ids: the same on fronts with the same list.
-    pub fn fleet(&self) -> impl Iterator<Item = FrontId> + '_ {
+    pub fn all_fronts(&self) -> impl Iterator<Item = FrontId> + '_ {
         let before = self.table.range(..self.own).map(|(front, _)| *front);
         let after = self.table.range(self.own..).map(|(front, _)| *front);
         before.chain([self.own]).chain(after)
@@ -277,17 +290,17 @@
         self.table.get(&front).map(|p| p.state)
     }
 
-    pub fn life_of(&self, front: FrontId) -> Option<Life> {
-        self.table.get(&front).map(|p| p.life)
+    pub fn incarnation_of(&self, front: FrontId) -> Option<Incarnation> {
+        self.table.get(&front).map(|p| p.incarnation)
     }
 
     /// Each front with its state and the seconds since its beat last rose.
     pub fn all(&self, now: f64) -> impl Iterator<Item = (FrontId, State, f64)> + '_ {
-        self.table.iter().map(move |(front, p)| (*front, p.state, now - p.risen_at))
+        self.table.iter().map(move |(front, p)| (*front, p.state, now - p.heartbeat_at))
     }
 
     /// Words of old lives, words of fronts not on the list, turns that came too late.
     pub fn counts(&self) -> (u64, u64, u64) {
-        (self.old_lives, self.strangers, self.held_up)
+        (self.old_incarnations, self.unlisted, self.late_turns)
     }
 }
--- a/crates/peers/tests/lives.rs
+++ b/crates/peers/tests/incarnations.rs
@@ -1,24 +1,31 @@
 //! Lives, suspicion, departure and return, under a clock of the test's own.
 
-use shalespindle_peers::{Change, FrontId, Life, Peers, PeersParams, State, Word};
+use shalespindle_peers::{Change, FrontId, Incarnation, PeerReport, Peers, PeersParams, State};
 
-const EVERY: f64 = 0.2;
+const HEARTBEAT_INTERVAL: f64 = 0.2;
 
 fn id(n: u64) -> FrontId {
     FrontId(n)
 }
 
-fn life(number: u64, nonce: u64) -> Life {
-    Life { number, nonce }
+fn incarnation(number: u64, nonce: u64) -> Incarnation {
+    Incarnation { number, nonce }
 }
 
 fn front(own: u64, of: u64, now: f64) -> Peers {
     let listed: Vec<FrontId> = (0..of).map(id).collect();
-    Peers::new(PeersParams::beating(EVERY), id(own), life(10, own), &listed, own + 1, now)
+    Peers::new(
+        PeersParams::with_heartbeat_interval(HEARTBEAT_INTERVAL),
+        id(own),
+        incarnation(10, own),
+        &listed,
+        own + 1,
+        now,
+    )
 }
 
-fn word(n: u64, number: u64, beat: u64) -> Word {
-    Word { front: id(n), life: life(number, n), beat, left: false }
+fn report(n: u64, number: u64, heartbeat: u64) -> PeerReport {
+    PeerReport { front: id(n), incarnation: incarnation(number, n), heartbeat, left: false }
 }
 
 fn changes(peers: &mut Peers) -> Vec<Change> {
@@ -33,15 +40,15 @@
             if !fronts[place].turn(now) {
                 continue;
             }
-            let words = fronts[place].words();
+            let reports = fronts[place].reports();
             for target in fronts[place].targets() {
                 let to = target.0 as usize;
                 if to < fronts.len() && hears(place, to, now) {
-                    words.iter().for_each(|w| fronts[to].hear(now, *w));
+                    reports.iter().for_each(|w| fronts[to].record(now, *w));
                 }
             }
         }
-        now += EVERY / 4.0;
+        now += HEARTBEAT_INTERVAL / 4.0;
     }
     now
 }
@@ -59,13 +66,20 @@
     assert_eq!(fronts[0].state(id(4)), Some(State::Suspect));
     let now = play(&mut fronts, now, now + 3.0, |from, _, _| from != 4);
     assert_eq!(fronts[0].state(id(4)), Some(State::Gone));
-    assert!(fronts[..4].iter().all(|f| !f.is_alone()));
-    fronts[4] = Peers::new(PeersParams::beating(EVERY), id(4), life(11, 4), &[id(0), id(1)], 9, now);
+    assert!(fronts[..4].iter().all(|f| !f.is_isolated()));
+    fronts[4] = Peers::new(
+        PeersParams::with_heartbeat_interval(HEARTBEAT_INTERVAL),
+        id(4),
+        incarnation(11, 4),
+        &[id(0), id(1)],
+        9,
+        now,
+    );
     let now = play(&mut fronts, now, now + 2.0, |_, _, _| true);
     assert!(fronts[..4].iter().all(|f| f.state(id(4)) == Some(State::Alive)));
-    assert!(changes(&mut fronts[0]).contains(&Change::Reborn { front: id(4) }));
+    assert!(changes(&mut fronts[0]).contains(&Change::Restarted { front: id(4) }));
     // What the old life said, coming late, changes nothing.
-    fronts[0].hear(now, Word { left: true, ..word(4, 10, 9999) });
+    fronts[0].record(now, PeerReport { left: true, ..report(4, 10, 9999) });
     assert_eq!(fronts[0].state(id(4)), Some(State::Alive));
     assert_eq!(fronts[0].counts().0, 1);
 }
@@ -94,9 +108,9 @@
     // Silence that it lives through is another matter.
     let late = play(&mut fronts[..1], now, now + 1.5, |_, _, _| false);
     assert_eq!(fronts[0].state(id(1)), Some(State::Suspect));
-    assert!(fronts[0].is_alone());
+    assert!(fronts[0].is_isolated());
     let late = play(&mut fronts[..1], late, late + 2.0, |_, _, _| false);
-    assert_eq!(fronts[0].state(id(1)), Some(State::Suspect), "alone, it waits twice as long");
+    assert_eq!(fronts[0].state(id(1)), Some(State::Suspect), "isolated, it waits twice as long");
     play(&mut fronts[..1], late, late + 4.0, |_, _, _| false);
     assert_eq!(fronts[0].state(id(1)), Some(State::Gone));
 }
@@ -104,56 +118,84 @@
 #[test]
 fn a_front_that_leaves_is_not_brought_back_by_a_late_beat() {
     let mut f = front(0, 2, 0.0);
-    f.hear(0.1, word(1, 10, 5));
-    f.hear(0.2, Word { left: true, ..word(1, 10, 7) });
+    f.record(0.1, report(1, 10, 5));
+    f.record(0.2, PeerReport { left: true, ..report(1, 10, 7) });
     assert_eq!(f.state(id(1)), Some(State::Left));
-    f.hear(0.3, word(1, 10, 6));
-    f.hear(0.4, word(1, 10, 8));
+    f.record(0.3, report(1, 10, 6));
+    f.record(0.4, report(1, 10, 8));
     assert_eq!(f.state(id(1)), Some(State::Left));
-    f.hear(0.5, word(1, 11, 1));
+    f.record(0.5, report(1, 11, 1));
     assert_eq!(f.state(id(1)), Some(State::Alive));
     // The list shrinks and grows.
     f.relist(1.0, &[id(0)]);
-    f.hear(1.1, word(1, 11, 2));
+    f.record(1.1, report(1, 11, 2));
     assert_eq!((f.state(id(1)), f.counts().1), (None, 1));
     f.relist(1.2, &[id(0), id(1)]);
-    f.hear(1.3, word(1, 11, 3));
+    f.record(1.3, report(1, 11, 3));
     assert_eq!(f.state(id(1)), Some(State::Alive));
 }
 
 #[test]
 fn a_clock_set_back_gives_a_life_that_is_renewed_and_two_processes_of_one_name_come_to_one() {
     // Others still know of life 10; this one starts with 7.
-    let mut f = Peers::new(PeersParams::beating(EVERY), id(0), life(7, 1), &[id(1)], 3, 0.0);
-    f.hear(0.1, word(0, 10, 400));
-    assert_eq!(f.life(), life(11, 1));
-    assert_eq!(changes(&mut f), [Change::Renewed { life: life(11, 1) }]);
-    assert!(f.own_word().is_some());
+    let mut f = Peers::new(
+        PeersParams::with_heartbeat_interval(HEARTBEAT_INTERVAL),
+        id(0),
+        incarnation(7, 1),
+        &[id(1)],
+        3,
+        0.0,
+    );
+    f.record(0.1, report(0, 10, 400));
+    assert_eq!(f.incarnation(), incarnation(11, 1));
+    assert_eq!(changes(&mut f), [Change::Renewed { incarnation: incarnation(11, 1) }]);
+    assert!(f.own_report().is_some());
 
     // Two processes under the name of front 0, with a third between them.
     let both: Vec<FrontId> = (0..2).map(id).collect();
-    let mut a = Peers::new(PeersParams::beating(EVERY), id(0), life(20, 5), &both, 1, 0.0);
-    let mut b = Peers::new(PeersParams::beating(EVERY), id(0), life(20, 9), &both, 2, 0.0);
+    let mut a = Peers::new(
+        PeersParams::with_heartbeat_interval(HEARTBEAT_INTERVAL),
+        id(0),
+        incarnation(20, 5),
+        &both,
+        1,
+        0.0,
+    );
+    let mut b = Peers::new(
+        PeersParams::with_heartbeat_interval(HEARTBEAT_INTERVAL),
+        id(0),
+        incarnation(20, 9),
+        &both,
+        2,
+        0.0,
+    );
     let mut between = front(1, 2, 0.0);
     let mut now = 0.0;
     for _ in 0..200 {
-        now += EVERY;
+        now += HEARTBEAT_INTERVAL;
         for twin in [&mut a, &mut b] {
             twin.turn(now);
-            twin.words().into_iter().for_each(|w| between.hear(now, w));
-            between.words().into_iter().for_each(|w| twin.hear(now, w));
+            twin.reports().into_iter().for_each(|w| between.record(now, w));
+            between.reports().into_iter().for_each(|w| twin.record(now, w));
         }
     }
     assert!(a.is_silenced() && !b.is_silenced(), "the lower nonce gives way");
-    assert_eq!(between.life_of(id(0)), Some(b.life()));
-    assert!(a.words().iter().all(|w| w.front != id(0)));
+    assert_eq!(between.incarnation_of(id(0)), Some(b.incarnation()));
+    assert!(a.reports().iter().all(|w| w.front != id(0)));
 }
 
 #[test]
 fn every_front_is_told_in_each_round_and_the_order_is_the_seeds() {
     let drawn = |seed: u64| {
         let listed: Vec<FrontId> = (0..20).map(id).collect();
-        let mut f = Peers::new(PeersParams::beating(EVERY), id(0), life(1, 1), &listed, seed, 0.0);
+        let mut f = Peers::new(
+            PeersParams::with_heartbeat_interval(HEARTBEAT_INTERVAL),
+            id(0),
+            incarnation(1, 1),
+            &listed,
+            seed,
+            0.0,
+        );
         (0..7).flat_map(|_| f.targets()).collect::<Vec<_>>()
     };
     let mut told = drawn(1)[..19].to_vec();
--- a/crates/replica/src/calls.rs
+++ b/crates/replica/src/calls.rs
@@ -6,25 +6,25 @@
 //! call is over says so at once, whoever owns it. Two that release one call can only be on two sides of a cut, and of
 //! these only the side with more than half of the fronts does; where both did all the same, it is counted and listed.
 
-use crate::copies::Copies;
-use crate::facts::{CallWord, Fact, Key, OverWord};
-use crate::message::Reach;
-use crate::view::News;
-use shalespindle_peers::{FrontId, Life, Peers, State};
+use crate::facts::{CallEnd, CallRecord, Fact, Key};
+use crate::message::Cursor;
+use crate::replicas::Replicas;
+use crate::view::FleetEvent;
+use shalespindle_peers::{FrontId, Incarnation, Peers, State};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Calls taken back in one beat at most.
-const BACK_A_BEAT: usize = 1024;
+const MAX_RECOVERED_PER_HEARTBEAT: usize = 1024;
 /// Beats from the first word of another front on this one's lives to the taking back of its calls: the rest tell
 /// meanwhile how far they know them.
-const TOLD_WITHIN: f64 = 3.0;
+const RECOVERY_DELAY: f64 = 3.0;
 /// Part of the holding time after which a front takes back what it knows of, though somebody knew more.
-const WAITED_FOR_MORE: f64 = 0.5;
+const MAX_RECOVERY_WAIT: f64 = 0.5;
 /// Beats between a claim and the release: others' claims come to be known meanwhile.
-const CLAIMED_FOR: f64 = 4.0;
+const CLAIM_DELAY: f64 = 4.0;
 /// Double releases kept for operators.
-const MOST_DOUBLES: usize = 1000;
+const MAX_DOUBLE_RELEASES: usize = 1000;
 
 /// What calls are held by. Times are seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,23 +36,23 @@
 /// A call that stood at the end of a life.
 #[derive(Clone, Copy, Debug)]
 struct Orphan {
-    of: FrontId,
+    owner: FrontId,
     since: f64,
 }
 
 #[derive(Clone, Debug)]
 struct Claim {
-    word: CallWord,
-    of: FrontId,
+    record: CallRecord,
+    owner: FrontId,
     at: f64,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallOut {
+pub enum CallOutput {
     Write(Key, Fact),
     Delete(Key),
-    News(News),
+    Event(FleetEvent),
 }
 
 /// What has been counted, and what is held now.
@@ -60,13 +60,13 @@
 pub struct CallCounts {
     pub orphans: usize,
     pub claims: usize,
-    pub taken_back: u64,
+    pub recovered: u64,
     /// Released here for a front that died.
     pub released: u64,
     /// Found here for a caller or a server that asked.
     pub found: u64,
     /// Released by two fronts.
-    pub doubles: u64,
+    pub double_releases: u64,
 }
 
 pub struct Calls {
@@ -75,19 +75,19 @@
     claims: BTreeMap<u64, Claim>,
     /// Calls by the name of their dialog with the server, and back.
     by_leg: BTreeMap<u64, u64>,
-    legs: BTreeMap<u64, u64>,
-    doubles: BTreeMap<u64, Vec<FrontId>>,
+    leg_of: BTreeMap<u64, u64>,
+    double_releases: BTreeMap<u64, Vec<FrontId>>,
     /// Calls that this front took back, and from which of its lives.
-    taken: BTreeMap<u64, Life>,
+    recovered: BTreeMap<u64, Incarnation>,
     /// How far those lives were known when that was last looked at.
-    known: Vec<(Life, Reach)>,
-    out: VecDeque<CallOut>,
+    known_cursors: Vec<(Incarnation, Cursor)>,
+    out: VecDeque<CallOutput>,
     counts: CallCounts,
 }
 
 /// The name by which fronts know a dialog; the same for the same text in every process of one build, and a front
 /// of another build merely does not find it.
-pub fn dialog_name(text: &str) -> u64 {
+pub fn dialog_hash(text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
     hasher.finish()
@@ -101,14 +101,14 @@
 
 /// Of the fronts that live, and this one, the one that acts for a call of another; by rendezvous, so that the end
 /// of one front moves its calls alone.
-fn is_responsible(call: u64, of: FrontId, peers: &Peers, now: f64) -> bool {
+fn is_responsible(call: u64, owner: FrontId, peers: &Peers, now: f64) -> bool {
     let own = weight(call, peers.own());
-    let others = peers.all(now).filter(|(front, state, _)| *state == State::Alive && *front != of);
+    let others = peers.all(now).filter(|(front, state, _)| *state == State::Alive && *front != owner);
     !peers.is_silenced() && others.map(|(front, ..)| weight(call, front)).all(|w| w < own)
 }
 
 /// Of all fronts on the list this one and those that it hears are more than half.
-fn are_most(peers: &Peers, now: f64) -> bool {
+fn has_majority(peers: &Peers, now: f64) -> bool {
     let (alive, all) = peers
         .all(now)
         .fold((1, 1), |(alive, all), (_, state, _)| (alive + usize::from(state == State::Alive), all + 1));
@@ -122,104 +122,113 @@
             orphans: BTreeMap::new(),
             claims: BTreeMap::new(),
             by_leg: BTreeMap::new(),
-            legs: BTreeMap::new(),
-            doubles: BTreeMap::new(),
-            taken: BTreeMap::new(),
-            known: Vec::new(),
+            leg_of: BTreeMap::new(),
+            double_releases: BTreeMap::new(),
+            recovered: BTreeMap::new(),
+            known_cursors: Vec::new(),
             out: VecDeque::new(),
             counts: CallCounts::default(),
         }
     }
 
-    fn index(&mut self, call: u64, word: &CallWord) {
-        let leg = dialog_name(&word.leg_call_id);
+    fn index(&mut self, call: u64, record: &CallRecord) {
+        let leg = dialog_hash(&record.leg_call_id);
         self.by_leg.insert(leg, call);
-        self.legs.insert(call, leg);
+        self.leg_of.insert(call, leg);
     }
 
-    fn forget_leg(&mut self, call: u64) {
-        if let Some(leg) = self.legs.remove(&call) {
+    fn unindex(&mut self, call: u64) {
+        if let Some(leg) = self.leg_of.remove(&call) {
             self.by_leg.remove(&leg);
         }
     }
 
     /// The facts of a call may have changed.
-    pub fn changed(&mut self, copies: &Copies, call: u64) {
-        let mut owners = owners(copies, call);
+    pub fn call_changed(&mut self, replicas: &Replicas, call: u64) {
+        let mut owners = owners(replicas, call);
         let owner = owners.next();
         // Ended lives are looked through only for a call that no life holds.
-        let past = if owner.is_none() { copies.past_call(call) } else { None };
-        let past = past.filter(|_| !is_over(copies, call));
-        match owner.map(|o| o.1).or(past.map(|p| p.word)) {
-            Some(word) => self.index(call, word),
-            None => self.forget_leg(call),
+        let ended = if owner.is_none() { replicas.orphaned_call(call) } else { None };
+        let ended = ended.filter(|_| !is_ended(replicas, call));
+        match owner.map(|o| o.1).or(ended.map(|p| p.record)) {
+            Some(record) => self.index(call, record),
+            None => self.unindex(call),
         }
-        match past {
-            Some(past) => drop(self.orphans.insert(call, Orphan { of: past.of, since: past.since })),
+        match ended {
+            Some(ended) => drop(self.orphans.insert(call, Orphan { owner: ended.owner, since: ended.since })),
             None => {
                 let orphan = self.orphans.remove(&call);
-                let its_own = |o: &Orphan| owner.into_iter().chain(owners).any(|(front, _)| front == o.of);
+                let owned_again =
+                    |o: &Orphan| owner.into_iter().chain(owners).any(|(front, _)| front == o.owner);
                 // Its front has it back.
-                if orphan.is_some_and(|o| its_own(&o)) {
+                if orphan.is_some_and(|o| owned_again(&o)) {
                     self.unclaim(call);
                 }
             }
         }
-        let mut over: Vec<FrontId> = overs(copies, call).filter(|o| !o.1).map(|o| o.0).collect();
-        if over.is_empty() {
+        let mut ended_by: Vec<FrontId> = call_ends(replicas, call).filter(|o| !o.1).map(|o| o.0).collect();
+        if ended_by.is_empty() {
             return;
         }
         self.orphans.remove(&call);
-        if self.claims.remove(&call).is_some() && !over.contains(&copies.own()) {
-            self.out.push_back(CallOut::Delete(Key::Over(call)));
+        if self.claims.remove(&call).is_some() && !ended_by.contains(&replicas.own()) {
+            self.out.push_back(CallOutput::Delete(Key::CallEnd(call)));
         }
-        over.sort();
-        if over.len() > 1 && self.doubles.get(&call) != Some(&over) {
-            self.counts.doubles += u64::from(!self.doubles.contains_key(&call));
-            if self.doubles.len() < MOST_DOUBLES {
-                self.doubles.insert(call, over.clone());
+        ended_by.sort();
+        if ended_by.len() > 1 && self.double_releases.get(&call) != Some(&ended_by) {
+            self.counts.double_releases += u64::from(!self.double_releases.contains_key(&call));
+            if self.double_releases.len() < MAX_DOUBLE_RELEASES {
+                self.double_releases.insert(call, ended_by.clone());
             }
         }
         // This front's own call was released by another.
-        let own = copies.own_fact(&Key::Call(call)).is_some();
-        if own && over.iter().any(|front| *front != copies.own()) {
-            self.out.push_back(CallOut::Delete(Key::Call(call)));
-            self.out.push_back(CallOut::News(News::CallOver { call }));
+        let own = replicas.own_fact(&Key::Call(call)).is_some();
+        if own && ended_by.iter().any(|front| *front != replicas.own()) {
+            self.out.push_back(CallOutput::Delete(Key::Call(call)));
+            self.out.push_back(CallOutput::Event(FleetEvent::CallEnded { call }));
         }
     }
 
     /// Guards against what was taken back from a copy that went less far than another's, heard of later: the call had
     /// ended.
-    fn correct(&mut self, copies: &Copies) {
-        let stands = |call: &u64| copies.own_fact(&Key::Call(*call)).is_some();
-        self.taken.retain(|call, _| stands(call));
-        let ended = self.taken.iter().filter(|(call, life)| copies.past_lacks(copies.own(), **life, **call));
-        self.out.extend(ended.map(|(call, _)| CallOut::Delete(Key::Call(*call))));
+    fn drop_ended_calls(&mut self, replicas: &Replicas) {
+        let is_active = |call: &u64| replicas.own_fact(&Key::Call(*call)).is_some();
+        self.recovered.retain(|call, _| is_active(call));
+        let ended = self
+            .recovered
+            .iter()
+            .filter(|(call, incarnation)| replicas.ended_lacks(replicas.own(), **incarnation, **call));
+        self.out.extend(ended.map(|(call, _)| CallOutput::Delete(Key::Call(*call))));
     }
 
     fn unclaim(&mut self, call: u64) {
         if self.claims.remove(&call).is_some() {
-            self.out.push_back(CallOut::Delete(Key::Over(call)));
+            self.out.push_back(CallOutput::Delete(Key::CallEnd(call)));
         }
     }
 
     /// A caller or a server tells that a call is over, by the name of its dialog with this side: the call, now known
     /// to be over everywhere; without its word where that was known already.
-    pub fn whose(&mut self, copies: &Copies, name: u64, by_leg: bool) -> Option<(u64, Option<CallWord>)> {
-        let call = if by_leg { *self.by_leg.get(&name)? } else { name };
-        if is_over(copies, call) {
+    pub fn end_call(
+        &mut self,
+        replicas: &Replicas,
+        dialog: u64,
+        by_leg: bool,
+    ) -> Option<(u64, Option<CallRecord>)> {
+        let call = if by_leg { *self.by_leg.get(&dialog)? } else { dialog };
+        if is_ended(replicas, call) {
             return Some((call, None));
         }
-        let past = || copies.past_call(call).map(|p| p.word);
-        let word = owners(copies, call).next().map(|o| o.1).or_else(past)?.clone();
+        let ended = || replicas.orphaned_call(call).map(|p| p.record);
+        let record = owners(replicas, call).next().map(|o| o.1).or_else(ended)?.clone();
         self.counts.found += 1;
         self.orphans.remove(&call);
         self.claims.remove(&call);
-        self.out.push_back(CallOut::Write(Key::Over(call), Fact::Over(OverWord { claim: false })));
-        if owners(copies, call).any(|(front, _)| front == copies.own()) {
-            self.out.push_back(CallOut::Delete(Key::Call(call)));
+        self.out.push_back(CallOutput::Write(Key::CallEnd(call), Fact::CallEnd(CallEnd { claim: false })));
+        if owners(replicas, call).any(|(front, _)| front == replicas.own()) {
+            self.out.push_back(CallOutput::Delete(Key::Call(call)));
         }
-        Some((call, Some(word)))
+        Some((call, Some(record)))
     }
 
     /// Takes back, claims and releases what is due; `gone` are fronts and since when they are gone.
@@ -228,89 +237,96 @@
         &mut self,
         now: f64,
         peers: &Peers,
-        copies: &Copies,
+        replicas: &Replicas,
         gone: &[(FrontId, f64)],
-        told_at: Option<f64>,
+        reported_at: Option<f64>,
     ) {
-        let every = peers.every();
-        self.take_back(now, peers, copies, told_at);
-        if are_most(peers, now) {
-            self.claim(now, peers, copies, gone);
+        let heartbeat_interval = peers.heartbeat_interval();
+        self.recover(now, peers, replicas, reported_at);
+        if has_majority(peers, now) {
+            self.claim(now, peers, replicas, gone);
         }
-        self.release(now, peers, copies, every);
+        self.release(now, peers, replicas, heartbeat_interval);
     }
 
     /// Calls of this front's earlier lives become its own again.
-    fn take_back(&mut self, now: f64, peers: &Peers, copies: &Copies, told_at: Option<f64>) {
+    fn recover(&mut self, now: f64, peers: &Peers, replicas: &Replicas, reported_at: Option<f64>) {
         if peers.is_silenced() {
             return;
         }
-        let told = told_at.is_some_and(|at| now - at >= TOLD_WITHIN * peers.every());
-        let whole = told && copies.pasts_are_whole(copies.own());
-        let known = copies.pasts(copies.own());
-        if whole && known != self.known {
-            self.correct(copies);
-            self.known = known;
+        let reported = reported_at.is_some_and(|at| now - at >= RECOVERY_DELAY * peers.heartbeat_interval());
+        let complete = reported && replicas.ended_are_complete(replicas.own());
+        let known_cursors = replicas.ended_cursors(replicas.own());
+        if complete && known_cursors != self.known_cursors {
+            self.drop_ended_calls(replicas);
+            self.known_cursors = known_cursors;
         }
-        let due = |o: &Orphan| whole || now - o.since >= WAITED_FOR_MORE * self.params.hold;
-        let own = self.orphans.iter().filter(|(_, o)| o.of == copies.own() && due(o));
-        for call in own.map(|(call, _)| *call).take(BACK_A_BEAT).collect::<Vec<_>>() {
-            let Some(past) = copies.past_call(call) else { continue };
-            let mut word = past.word.clone();
-            self.taken.insert(call, past.life);
-            word.epoch = word.epoch.saturating_add(1);
-            self.counts.taken_back += 1;
-            self.out.push_back(CallOut::Write(Key::Call(call), Fact::Call(Box::new(word))));
+        let due = |o: &Orphan| complete || now - o.since >= MAX_RECOVERY_WAIT * self.params.hold;
+        let own = self.orphans.iter().filter(|(_, o)| o.owner == replicas.own() && due(o));
+        for call in own.map(|(call, _)| *call).take(MAX_RECOVERED_PER_HEARTBEAT).collect::<Vec<_>>() {
+            let Some(ended) = replicas.orphaned_call(call) else { continue };
+            let mut record = ended.record.clone();
+            self.recovered.insert(call, ended.incarnation);
+            record.epoch = record.epoch.saturating_add(1);
+            self.counts.recovered += 1;
+            self.out.push_back(CallOutput::Write(Key::Call(call), Fact::Call(Box::new(record))));
         }
     }
 
-    fn claim(&mut self, now: f64, peers: &Peers, copies: &Copies, gone: &[(FrontId, f64)]) {
-        let held = |o: &Orphan| o.of != copies.own() && now - o.since >= self.params.hold;
+    fn claim(&mut self, now: f64, peers: &Peers, replicas: &Replicas, gone: &[(FrontId, f64)]) {
+        let held = |o: &Orphan| o.owner != replicas.own() && now - o.since >= self.params.hold;
         let orphans = self.orphans.iter().filter(|(_, o)| held(o));
-        let orphans = orphans.filter_map(|(call, o)| Some((*call, o.of, copies.past_call(*call)?.word)));
+        let orphans =
+            orphans.filter_map(|(call, o)| Some((*call, o.owner, replicas.orphaned_call(*call)?.record)));
         let gone = gone.iter().filter(|(_, since)| now - since >= self.params.hold);
-        let theirs = gone.flat_map(|(of, _)| copies.calls_of(*of).map(|(call, word)| (call, *of, word)));
+        let theirs =
+            gone.flat_map(|(of, _)| replicas.calls_of(*of).map(|(call, record)| (call, *of, record)));
         // A claim of a front that died since is void.
-        let stands = |(front, claim): (FrontId, bool)| !claim || peers.state(front) == Some(State::Alive);
+        let is_valid = |(front, claim): (FrontId, bool)| !claim || peers.state(front) == Some(State::Alive);
         let known = |call: u64| {
-            self.claims.contains_key(&call) || overs(copies, call).any(stands) || copies.was_over(call)
+            self.claims.contains_key(&call)
+                || call_ends(replicas, call).any(is_valid)
+                || replicas.ended_earlier(call)
         };
         let due = orphans.chain(theirs);
         let due = due.filter(|(call, of, _)| !known(*call) && is_responsible(*call, *of, peers, now));
         // Only what is claimed is copied: the rest is looked at again with each beat.
-        let due: Vec<(u64, Claim)> =
-            due.map(|(call, of, word)| (call, Claim { word: word.clone(), of, at: now })).collect();
+        let due: Vec<(u64, Claim)> = due
+            .map(|(call, of, record)| (call, Claim { record: record.clone(), owner: of, at: now }))
+            .collect();
         for (call, claim) in due {
             self.claims.insert(call, claim);
-            self.out.push_back(CallOut::Write(Key::Over(call), Fact::Over(OverWord { claim: true })));
+            self.out.push_back(CallOutput::Write(Key::CallEnd(call), Fact::CallEnd(CallEnd { claim: true })));
         }
     }
 
-    fn release(&mut self, now: f64, peers: &Peers, copies: &Copies, every: f64) {
-        let ripe = self.claims.iter().filter(|(_, c)| now - c.at >= CLAIMED_FOR * every);
-        for call in ripe.map(|(call, _)| *call).collect::<Vec<_>>() {
+    fn release(&mut self, now: f64, peers: &Peers, replicas: &Replicas, heartbeat_interval: f64) {
+        let due = self.claims.iter().filter(|(_, c)| now - c.at >= CLAIM_DELAY * heartbeat_interval);
+        for call in due.map(|(call, _)| *call).collect::<Vec<_>>() {
             let Some(claim) = self.claims.get(&call) else { continue };
             let orphan = self.orphans.contains_key(&call);
-            let lives = matches!(peers.state(claim.of), Some(State::Alive | State::Suspect));
-            let returned = !orphan && lives;
-            let others = overs(copies, call).filter(|o| o.0 != copies.own());
+            let is_present = matches!(peers.state(claim.owner), Some(State::Alive | State::Suspect));
+            let returned = !orphan && is_present;
+            let others = call_ends(replicas, call).filter(|o| o.0 != replicas.own());
             // Of two that claim, the higher front; one that has released already comes before any claim.
             let yields = others.clone().any(|(front, claims)| {
-                !claims || front > copies.own() && peers.state(front) == Some(State::Alive)
+                !claims || front > replicas.own() && peers.state(front) == Some(State::Alive)
             });
-            if returned || yields || copies.was_over(call) || !are_most(peers, now) {
+            if returned || yields || replicas.ended_earlier(call) || !has_majority(peers, now) {
                 self.unclaim(call);
                 continue;
             }
             let Some(claim) = self.claims.remove(&call) else { continue };
             self.orphans.remove(&call);
             self.counts.released += 1;
-            self.out.push_back(CallOut::Write(Key::Over(call), Fact::Over(OverWord { claim: false })));
-            self.out.push_back(CallOut::News(News::Release { call, word: Box::new(claim.word) }));
+            self.out
+                .push_back(CallOutput::Write(Key::CallEnd(call), Fact::CallEnd(CallEnd { claim: false })));
+            self.out
+                .push_back(CallOutput::Event(FleetEvent::Release { call, record: Box::new(claim.record) }));
         }
     }
 
-    pub fn next_output(&mut self) -> Option<CallOut> {
+    pub fn next_output(&mut self) -> Option<CallOutput> {
         self.out.pop_front()
     }
 
@@ -319,26 +335,26 @@
     }
 
     /// Calls that two or more fronts released.
-    pub fn doubles(&self) -> impl Iterator<Item = (u64, &[FrontId])> {
-        self.doubles.iter().map(|(call, fronts)| (*call, fronts.as_slice()))
+    pub fn double_releases(&self) -> impl Iterator<Item = (u64, &[FrontId])> {
+        self.double_releases.iter().map(|(call, fronts)| (*call, fronts.as_slice()))
     }
 }
 
-fn owners(copies: &Copies, call: u64) -> impl Iterator<Item = (FrontId, &CallWord)> {
-    copies.of(Key::Call(call)).filter_map(|(front, _, fact)| match fact {
-        Fact::Call(word) => Some((front, &**word)),
+fn owners(replicas: &Replicas, call: u64) -> impl Iterator<Item = (FrontId, &CallRecord)> {
+    replicas.facts_for(Key::Call(call)).filter_map(|(front, _, fact)| match fact {
+        Fact::Call(record) => Some((front, &**record)),
         _ => None,
     })
 }
 
 /// Who says that it is over, and whether that is a claim only.
-fn overs(copies: &Copies, call: u64) -> impl Iterator<Item = (FrontId, bool)> + Clone + '_ {
-    copies.of(Key::Over(call)).filter_map(|(front, _, fact)| match fact {
-        Fact::Over(over) => Some((front, over.claim)),
+fn call_ends(replicas: &Replicas, call: u64) -> impl Iterator<Item = (FrontId, bool)> + Clone + '_ {
+    replicas.facts_for(Key::CallEnd(call)).filter_map(|(front, _, fact)| match fact {
+        Fact::CallEnd(end) => Some((front, end.claim)),
         _ => None,
     })
 }
 
-fn is_over(copies: &Copies, call: u64) -> bool {
-    overs(copies, call).any(|o| !o.1) || copies.was_over(call)
+fn is_ended(replicas: &Replicas, call: u64) -> bool {
+    call_ends(replicas, call).any(|o| !o.1) || replicas.ended_earlier(call)
 }
--- a/crates/replica/src/facts.rs
+++ b/crates/replica/src/facts.rs
@@ -7,38 +7,38 @@
 
 /// A warning or its absence: what a front's own list last told of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ServerWord {
+pub struct ServerRecord {
     pub pool: u16,
     /// Counts the starts of its processor.
     pub incarnation: u64,
-    pub told: Told,
+    pub reported: Told,
     /// Seconds between its start and the moment at which the fact was written; none when long ago.
     pub age: Option<f64>,
 }
 
 /// An operator's word on the level of reduced service, for all fronts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LevelWord {
+pub struct LevelOrder {
     /// None ends a pin.
     pub level: Option<u8>,
     /// How long it holds from when it was written, seconds.
-    pub lasts: f64,
+    pub valid_for: f64,
     /// Grows with every word that any operator says; the highest counts, then the higher front.
     pub version: u64,
     /// Who said it: the name of the front that was asked.
-    pub by: String,
+    pub issued_by: String,
 }
 
-impl LevelWord {
+impl LevelOrder {
     /// Of several words the one of the highest rank counts.
     pub(crate) fn rank(&self) -> (u64, &str) {
-        (self.version, &self.by)
+        (self.version, &self.issued_by)
     }
 }
 
 /// A standing call: enough for another front to release it in both directions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct CallWord {
+pub struct CallRecord {
     /// Grows each time that it changes hands.
     pub epoch: u32,
     /// The server, and this side's dialog with it.
@@ -56,7 +56,7 @@
     pub caller: Option<SocketAddr>,
 }
 
-impl CallWord {
+impl CallRecord {
     fn texts(&self) -> [&String; 8] {
         let leg = [&self.leg_call_id, &self.leg_from, &self.leg_to, &self.leg_target];
         let caller = [&self.call_id, &self.local, &self.remote, &self.target];
@@ -65,14 +65,14 @@
 
     /// Short enough to be told, and without line ends that could make two headers of one.
     pub fn is_sound(&self) -> bool {
-        let sound = |t: &&String| t.len() <= LONGEST_NAME && !t.contains(['\r', '\n']);
+        let sound = |t: &&String| t.len() <= MAX_NAME_BYTES && !t.contains(['\r', '\n']);
         self.texts().iter().all(sound)
     }
 }
 
 /// A call is over, or is about to be released by who says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct OverWord {
+pub struct CallEnd {
     pub claim: bool,
 }
 
@@ -83,53 +83,57 @@
     Level,
     /// By the name of the call's dialog with its caller.
     Call(u64),
-    Over(u64),
+    CallEnd(u64),
 }
 
-impl Hash for ServerWord {
+impl Hash for ServerRecord {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        (self.pool, self.incarnation, self.told, self.age.map(f64::to_bits)).hash(state);
+        (self.pool, self.incarnation, self.reported, self.age.map(f64::to_bits)).hash(state);
     }
 }
 
-impl Hash for LevelWord {
+impl Hash for LevelOrder {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        (self.level, self.lasts.to_bits(), self.version, &self.by).hash(state);
+        (self.level, self.valid_for.to_bits(), self.version, &self.issued_by).hash(state);
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub enum Fact {
-    Server(ServerWord),
-    Level(LevelWord),
-    Call(Box<CallWord>),
-    Over(OverWord),
+    Server(ServerRecord),
+    Level(LevelOrder),
+    Call(Box<CallRecord>),
+    CallEnd(CallEnd),
 }
 
 /// Bytes that any fact with its key and number may take on the wire at most, the name in it aside.
-const ROOM: usize = 72;
+const MAX_FACT_BYTES: usize = 72;
 /// The longest name in a fact.
-pub const LONGEST_NAME: usize = 255;
+pub const MAX_NAME_BYTES: usize = 255;
 
 impl Fact {
     /// The fact belongs under that key and holds no figure out of range.
     pub fn is_sound(&self, key: &Key) -> bool {
         let good = |seconds: f64| seconds.is_finite() && seconds >= 0.0;
         match (self, key) {
-            (Fact::Server(word), Key::Server(_)) => word.age.is_none_or(good),
-            (Fact::Level(word), Key::Level) => good(word.lasts) && word.by.len() <= LONGEST_NAME,
-            (Fact::Call(word), Key::Call(_)) => word.is_sound(),
-            (Fact::Over(_), Key::Over(_)) => true,
+            (Fact::Server(record), Key::Server(_)) => record.age.is_none_or(good),
+            (Fact::Level(record), Key::Level) => {
+                good(record.valid_for) && record.issued_by.len() <= MAX_NAME_BYTES
+            }
+            (Fact::Call(record), Key::Call(_)) => record.is_sound(),
+            (Fact::CallEnd(_), Key::CallEnd(_)) => true,
             _ => false,
         }
     }
 }
 
 /// No less than what the codec makes of an item.
-pub(crate) fn room(fact: Option<&Fact>) -> usize {
+pub(crate) fn max_encoded_size(fact: Option<&Fact>) -> usize {
     match fact {
-        Some(Fact::Level(word)) => ROOM + word.by.len(),
-        Some(Fact::Call(word)) => ROOM + 64 + word.texts().iter().map(|t| t.len()).sum::<usize>(),
-        _ => ROOM,
+        Some(Fact::Level(record)) => MAX_FACT_BYTES + record.issued_by.len(),
+        Some(Fact::Call(record)) => {
+            MAX_FACT_BYTES + 64 + record.texts().iter().map(|t| t.len()).sum::<usize>()
+        }
+        _ => MAX_FACT_BYTES,
     }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -11,22 +11,25 @@
 //! docs/design-notes/replication.md has the ways weighed.
 
 mod calls;
-mod copies;
-mod copy;
+
 mod exchange;
 mod facts;
 mod fleet;
-mod kept;
 mod message;
+mod replica;
+mod replicas;
+mod snapshot;
 mod status;
 mod view;
 
-pub use calls::{dialog_name, CallCounts, Calls, CallsParams};
-pub use copies::{Applied, Copies, CopiesParams, Full};
-pub use facts::{CallWord, Fact, Key, LevelWord, OverWord, ServerWord};
-pub use fleet::{Counts, Fleet, FleetParams, Out};
-pub use kept::{Changes, Inventory, Keeping, Kept, KeptFact, KeptLife, LifeName, Restored};
-pub use message::{Item, Known, Message, Part, PastReach, Reach};
+pub use calls::{dialog_hash, CallCounts, Calls, CallsParams};
+pub use facts::{CallEnd, CallRecord, Fact, Key, LevelOrder, ServerRecord};
+pub use fleet::{Counts, Fleet, FleetParams, Output};
+pub use message::{Cursor, Delta, DigestEntry, EndedCursor, Item, Message};
+pub use replicas::{Applied, Full, ReplicaParams, Replicas};
 pub use shalespindle_membership::Told;
+pub use snapshot::{
+    Changes, IncarnationKey, Inventory, Restored, SaveSchedule, Snapshot, StoredFact, StoredIncarnation,
+};
 pub use status::{FleetStatus, PeerStatus};
-pub use view::{Meeting, News, View};
+pub use view::{Conflict, FleetEvent, View};
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -2,8 +2,8 @@
 
 use crate::calls::CallCounts;
 use crate::fleet::{Counts, Fleet};
-use crate::view::Meeting;
-use shalespindle_peers::{FrontId, Life, State};
+use crate::view::Conflict;
+use shalespindle_peers::{FrontId, Incarnation, State};
 
 /// A peer, for operators.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,54 +16,61 @@
     pub facts: usize,
     pub behind: u64,
     /// Equal where the copies of it are equal.
-    pub mark: u64,
+    pub digest: u64,
 }
 
 /// The whole, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetStatus {
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub silenced: bool,
-    pub alone: bool,
+    pub isolated: bool,
     /// A peer was heard and what it had is here.
     pub caught_up: bool,
     pub own_facts: usize,
-    pub own_mark: u64,
+    pub own_digest: u64,
     pub peers: Vec<PeerStatus>,
-    pub met: u64,
-    pub meetings: Vec<Meeting>,
+    pub conflict_count: u64,
+    pub conflicts: Vec<Conflict>,
     pub calls: CallCounts,
     /// Calls that two or more fronts released, and which.
-    pub doubles: Vec<(u64, Vec<FrontId>)>,
+    pub double_releases: Vec<(u64, Vec<FrontId>)>,
     pub counts: Counts,
 }
 
 impl Fleet {
     pub fn status(&self, now: f64) -> FleetStatus {
-        let (old_lives, strangers, held_up) = self.peers.counts();
+        let (old_incarnations, unlisted, late_turns) = self.peers.counts();
         let mut counts = self.counts;
-        counts.old_lives += old_lives;
-        counts.strangers += strangers;
-        counts.held_up = held_up;
+        counts.old_incarnations += old_incarnations;
+        counts.unlisted += unlisted;
+        counts.late_turns = late_turns;
         let peer = |(front, state, quiet_for): (FrontId, State, f64)| {
-            let held = self.peers.life_of(front).and_then(|life| self.copies.reach(front, life));
-            let ahead = self.ahead.get(&front).filter(|a| Some(a.0) == self.peers.life_of(front));
+            let held = self
+                .peers
+                .incarnation_of(front)
+                .and_then(|incarnation| self.replicas.cursor(front, incarnation));
+            let ahead = self.ahead.get(&front).filter(|a| Some(a.0) == self.peers.incarnation_of(front));
             let behind = ahead.map_or(0, |a| a.1.saturating_sub(held.unwrap_or_default().seq));
-            let (facts, mark) = (self.copies.held(front), self.copies.mark(front));
-            PeerStatus { front, state, quiet_for, facts, behind, mark }
+            let (facts, digest) = (self.replicas.fact_count(front), self.replicas.digest(front));
+            PeerStatus { front, state, quiet_for, facts, behind, digest }
         };
         FleetStatus {
-            life: self.peers.life(),
+            incarnation: self.peers.incarnation(),
             silenced: self.peers.is_silenced(),
-            alone: self.peers.is_alone(),
+            isolated: self.peers.is_isolated(),
             caught_up: self.caught_up,
-            own_facts: self.copies.held(self.peers.own()),
-            own_mark: self.copies.mark(self.peers.own()),
+            own_facts: self.replicas.fact_count(self.peers.own()),
+            own_digest: self.replicas.digest(self.peers.own()),
             peers: self.peers.all(now).map(peer).collect(),
-            met: self.view.met_so_far(),
-            meetings: self.view.meetings().cloned().collect(),
+            conflict_count: self.view.conflict_count(),
+            conflicts: self.view.conflicts().cloned().collect(),
             calls: self.calls.counts(),
-            doubles: self.calls.doubles().map(|(call, fronts)| (call, fronts.to_vec())).collect(),
+            double_releases: self
+                .calls
+                .double_releases()
+                .map(|(call, fronts)| (call, fronts.to_vec()))
+                .collect(),
             counts,
         }
     }
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -5,20 +5,20 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use shalespindle_peers::{FrontId, Life};
-use shalespindle_replica::{CallWord, Fleet, FleetParams, Message, News, Out, ServerWord};
+use shalespindle_peers::{FrontId, Incarnation};
+use shalespindle_replica::{CallRecord, Fleet, FleetEvent, FleetParams, Message, Output, ServerRecord};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub const EVERY: f64 = 0.2;
+pub const HEARTBEAT_INTERVAL: f64 = 0.2;
 
 pub fn server(n: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], n))
 }
 
 /// A call of that number.
-pub fn word(n: u64) -> CallWord {
-    CallWord {
+pub fn record(n: u64) -> CallRecord {
+    CallRecord {
         epoch: 1,
         server: "127.0.0.1:5070".parse().unwrap(),
         leg_call_id: format!("leg-{n}"),
@@ -39,14 +39,14 @@
     rng: ChaCha8Rng,
     pub now: f64,
     /// Due time, to, from, message.
-    pub under_way: Vec<(f64, usize, usize, Message)>,
+    pub in_flight: Vec<(f64, usize, usize, Message)>,
     /// Parts of messages lost and doubled.
     pub loss: f64,
     /// Longest delay of a message beside a step of the clock, seconds; each has one of its own.
-    pub late: f64,
+    pub max_delay: f64,
     /// Pairs that do not hear: from, to.
     pub cut: Vec<(usize, usize)>,
-    pub news: BTreeMap<usize, Vec<News>>,
+    pub events: BTreeMap<usize, Vec<FleetEvent>>,
     pub sent: usize,
 }
 
@@ -57,61 +57,61 @@
             fronts: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0.0,
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             loss: 0.0,
-            late: 0.0,
+            max_delay: 0.0,
             cut: Vec::new(),
-            news: BTreeMap::new(),
+            events: BTreeMap::new(),
             sent: 0,
         };
         net.fronts = (0..count).map(|n| Some(net.front(n, count, 1))).collect();
         net
     }
 
-    fn front(&self, own: usize, of: usize, life: u64) -> Fleet {
+    fn front(&self, own: usize, of: usize, incarnation: u64) -> Fleet {
         let listed: Vec<FrontId> = (0..of as u64).map(FrontId).collect();
-        let life = Life { number: life, nonce: own as u64 };
+        let incarnation = Incarnation { number: incarnation, nonce: own as u64 };
         Fleet::new(
             self.params.clone(),
             FrontId(own as u64),
-            life,
+            incarnation,
             &listed,
-            own as u64 + 10 * life.number,
+            own as u64 + 10 * incarnation.number,
             self.now,
         )
     }
 
-    pub fn restart(&mut self, n: usize, life: u64) {
-        self.fronts[n] = Some(self.front(n, self.fronts.len(), life));
+    pub fn restart(&mut self, n: usize, incarnation: u64) {
+        self.fronts[n] = Some(self.front(n, self.fronts.len(), incarnation));
     }
 
-    pub fn pass(&mut self, seconds: f64) {
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
-            self.now += EVERY / 8.0;
-            let (due, later) = std::mem::take(&mut self.under_way).into_iter().partition(|u| u.0 <= self.now);
-            self.under_way = later;
+            self.now += HEARTBEAT_INTERVAL / 8.0;
+            let (due, later) = std::mem::take(&mut self.in_flight).into_iter().partition(|u| u.0 <= self.now);
+            self.in_flight = later;
             let due: Vec<(f64, usize, usize, Message)> = due;
             for (_, to, from, message) in due {
                 if let Some(front) = &mut self.fronts[to] {
-                    front.heard(self.now, FrontId(from as u64), message);
+                    front.receive(self.now, FrontId(from as u64), message);
                 }
             }
             for place in 0..self.fronts.len() {
                 let Some(front) = &mut self.fronts[place] else { continue };
                 front.turn(self.now);
-                while let Some(news) = front.next_news() {
-                    self.news.entry(place).or_default().push(news);
+                while let Some(events) = front.next_event() {
+                    self.events.entry(place).or_default().push(events);
                 }
                 while let Some(out) = front.next_output() {
-                    let Out::Send { to, message } = out else { continue };
+                    let Output::Send { to, message } = out else { continue };
                     let to = to.0 as usize;
                     self.sent += 1;
                     for _ in 0..2 {
                         let lost = self.rng.random::<f64>() < self.loss || self.cut.contains(&(place, to));
-                        let late = self.late * self.rng.random::<f64>();
+                        let late = self.max_delay * self.rng.random::<f64>();
                         if !lost {
-                            self.under_way.push((self.now + late, to, place, message.clone()));
+                            self.in_flight.push((self.now + late, to, place, message.clone()));
                         }
                         // Doubled as often as lost.
                         if self.rng.random::<f64>() >= self.loss {
@@ -128,45 +128,48 @@
     }
 
     /// Calls of these numbers stand at a front.
-    pub fn stands(&mut self, front: usize, calls: std::ops::Range<u64>) {
+    pub fn establish(&mut self, front: usize, calls: std::ops::Range<u64>) {
         let now = self.now;
-        calls.for_each(|n| self.at(front).tell_call(now, n, Some(word(n))));
+        calls.for_each(|n| self.at(front).publish_call(now, n, Some(record(n))));
     }
 
     /// All copies of all fronts that live are equal.
-    pub fn is_equal(&self) -> bool {
+    pub fn replicas_are_equal(&self) -> bool {
         let living = || self.fronts.iter().flatten();
         (0..self.fronts.len() as u64).all(|of| {
-            let mut copies = living().map(|f| f.copies().facts(FrontId(of)));
-            let first = copies.next();
-            copies.all(|c| Some(&c) == first.as_ref())
+            let mut replicas = living().map(|f| f.replicas().facts(FrontId(of)));
+            let first = replicas.next();
+            replicas.all(|c| Some(&c) == first.as_ref())
         })
     }
 
-    pub fn tell(&mut self, front: usize, n: u16, word: ServerWord) {
+    pub fn publish(&mut self, front: usize, n: u16, record: ServerRecord) {
         let now = self.now;
-        self.fronts[front].as_mut().unwrap().tell_server(now, server(n), word);
+        self.fronts[front].as_mut().unwrap().publish_server(now, server(n), record);
     }
 
-    pub fn forget(&mut self, front: usize, n: u16) {
+    pub fn withdraw(&mut self, front: usize, n: u16) {
         let now = self.now;
-        self.fronts[front].as_mut().unwrap().forget_server(now, server(n));
+        self.fronts[front].as_mut().unwrap().withdraw_server(now, server(n));
     }
 
     pub fn owned(&self, front: usize) -> usize {
-        self.fronts[front].as_ref().unwrap().copies().calls_of(FrontId(front as u64)).count()
+        self.fronts[front].as_ref().unwrap().replicas().calls_of(FrontId(front as u64)).count()
     }
 
     /// What a front was to release for one that died.
     pub fn released(&self, front: usize) -> Vec<u64> {
-        let news = self.news.get(&front).into_iter().flatten();
-        news.filter_map(|n| if let News::Release { call, .. } = n { Some(*call) } else { None }).collect()
+        let events = self.events.get(&front).into_iter().flatten();
+        events
+            .filter_map(|n| if let FleetEvent::Release { call, .. } = n { Some(*call) } else { None })
+            .collect()
     }
 
     /// What a front was told of its own calls, in their order.
-    pub fn over(&self, front: usize) -> Vec<u64> {
-        let news = self.news.get(&front).into_iter().flatten();
-        let over = news.filter_map(|n| if let News::CallOver { call } = n { Some(*call) } else { None });
+    pub fn ended(&self, front: usize) -> Vec<u64> {
+        let events = self.events.get(&front).into_iter().flatten();
+        let over =
+            events.filter_map(|n| if let FleetEvent::CallEnded { call } = n { Some(*call) } else { None });
         let mut over: Vec<u64> = over.collect();
         over.sort();
         over
--- a/crates/replica/tests/walk.rs
+++ b/crates/replica/tests/model.rs
@@ -3,11 +3,11 @@
 //! healed on the side, and all copies must come to be equal, with nothing back that was deleted. A copy that
 //! skips a check is found.
 
-use shalespindle_peers::{FrontId, Life};
-use shalespindle_replica::{Applied, Copies, CopiesParams, Fact, Key, LevelWord, Part, Reach};
+use shalespindle_peers::{FrontId, Incarnation};
+use shalespindle_replica::{Applied, Cursor, Delta, Fact, Key, LevelOrder, ReplicaParams, Replicas};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-const PARAMS: CopiesParams = CopiesParams { most: 8, remember: 10.0 };
+const PARAMS: ReplicaParams = ReplicaParams { max_facts: 8, deletion_retention: 10.0 };
 const WRITER: FrontId = FrontId(0);
 /// Seconds between two steps: deletions are forgotten after three of them.
 const STEP: f64 = 4.0;
@@ -23,11 +23,11 @@
 
 fn fact(n: u8, version: u64) -> Fact {
     match n {
-        0 => Fact::Level(LevelWord { level: None, lasts: 1.0, version, by: String::new() }),
-        _ => Fact::Server(shalespindle_replica::ServerWord {
+        0 => Fact::Level(LevelOrder { level: None, valid_for: 1.0, version, issued_by: String::new() }),
+        _ => Fact::Server(shalespindle_replica::ServerRecord {
             pool: 1,
             incarnation: version,
-            told: shalespindle_replica::Told::Ready,
+            reported: shalespindle_replica::Told::Ready,
             age: None,
         }),
     }
@@ -51,14 +51,14 @@
 #[derive(Clone)]
 struct World {
     now: f64,
-    life: Life,
-    copies: Vec<Copies>,
+    incarnation: Incarnation,
+    replicas: Vec<Replicas>,
     /// Parts under way: to whom, what.
-    under_way: Vec<(usize, Part)>,
+    in_flight: Vec<(usize, Delta)>,
     /// What the writer holds, by its own account.
     truth: BTreeMap<Key, Fact>,
     /// What it held at the end of each life, with numbers, and how far it had come.
-    ended: BTreeMap<Life, (u64, Vec<Held>)>,
+    ended: BTreeMap<Incarnation, (u64, Vec<Held>)>,
     version: u64,
 }
 
@@ -84,7 +84,7 @@
     /// A reader starts empty.
     Crash(usize),
     /// The writer starts anew, under a new life and empty.
-    Reborn,
+    Restarted,
 }
 
 const STEPS: [Step; 15] = [
@@ -102,117 +102,120 @@
     Step::Arrive { kept: true },
     Step::Lost,
     Step::Crash(1),
-    Step::Reborn,
+    Step::Restarted,
 ];
 
 impl World {
     fn new() -> World {
-        let life = Life { number: 1, nonce: 1 };
-        let copies =
-            (0..3).map(|n| Copies::new(PARAMS, FrontId(n), Life { number: 1, nonce: n + 1 })).collect();
+        let incarnation = Incarnation { number: 1, nonce: 1 };
+        let replicas = (0..3)
+            .map(|n| Replicas::new(PARAMS, FrontId(n), Incarnation { number: 1, nonce: n + 1 }))
+            .collect();
         World {
             now: 0.0,
-            life,
-            copies,
-            under_way: Vec::new(),
+            incarnation,
+            replicas,
+            in_flight: Vec::new(),
             truth: BTreeMap::new(),
             ended: BTreeMap::new(),
             version: 0,
         }
     }
 
-    fn reach(&self, of: usize) -> (Life, Reach) {
-        let life = self.copies[of].life(WRITER).max(Life { number: 1, nonce: 1 });
-        (life, self.copies[of].reach(WRITER, life).unwrap_or_default())
+    fn cursor(&self, of: usize) -> (Incarnation, Cursor) {
+        let incarnation = self.replicas[of].incarnation(WRITER).max(Incarnation { number: 1, nonce: 1 });
+        (incarnation, self.replicas[of].cursor(WRITER, incarnation).unwrap_or_default())
     }
 
-    fn answer(&mut self, to: usize, from: usize, planted: Planted) -> Option<Part> {
-        let (life, mut reach) = self.reach(to);
+    fn answer(&mut self, to: usize, from: usize, planted: Planted) -> Option<Delta> {
+        let (incarnation, mut cursor) = self.cursor(to);
         if planted == Planted::FloorPassedOver {
             // As one that never forgets would be told.
-            reach.floor = self.copies[from].reach(WRITER, self.life).unwrap_or_default().floor;
+            cursor.floor = self.replicas[from].cursor(WRITER, self.incarnation).unwrap_or_default().floor;
         }
-        self.copies[from].part(self.now, WRITER, life, reach, ONE)
+        self.replicas[from].delta(self.now, WRITER, incarnation, cursor, ONE)
     }
 
-    fn answer_past(&mut self, to: usize, from: usize, life: Life) -> Option<Part> {
-        let reach = self.copies[to].past_reach(self.now, WRITER, life, 0)?;
-        let has = self.copies[from].pasts(WRITER).iter().any(|p| p.0 == life);
+    fn answer_past(&mut self, to: usize, from: usize, incarnation: Incarnation) -> Option<Delta> {
+        let cursor = self.replicas[to].ended_cursor(self.now, WRITER, incarnation, 0)?;
+        let has = self.replicas[from].ended_cursors(WRITER).iter().any(|p| p.0 == incarnation);
         // One that has not heard of the end takes it for a current one's.
-        let knows = self.copies[to].life(WRITER) > life;
-        (has && knows).then(|| self.copies[from].part(self.now, WRITER, life, reach, ONE)).flatten()
+        let knows = self.replicas[to].incarnation(WRITER) > incarnation;
+        (has && knows)
+            .then(|| self.replicas[from].delta(self.now, WRITER, incarnation, cursor, ONE))
+            .flatten()
     }
 
-    fn arrive(&mut self, to: usize, part: &Part, planted: Planted) -> Applied {
-        let mut part = part.clone();
+    fn arrive(&mut self, to: usize, delta: &Delta, planted: Planted) -> Applied {
+        let mut delta = delta.clone();
         if planted == Planted::GapTaken {
-            let (_, reach) = self.reach(to);
-            part.from = part.from.min(reach.seq);
+            let (_, cursor) = self.cursor(to);
+            delta.from = delta.from.min(cursor.seq);
         }
-        self.copies[to].apply(self.now, &part)
+        self.replicas[to].apply(self.now, &delta)
     }
 
     /// False where the step has nothing to do here.
     fn step(&mut self, step: Step, planted: Planted) -> bool {
         self.now += STEP;
         let now = self.now;
-        self.copies[0].tick(now);
+        self.replicas[0].tick(now);
         match step {
             Step::Write(n) => {
                 self.version += 1;
                 let fact = fact(n, self.version);
                 self.truth.insert(key(n), fact.clone());
-                self.copies[0].write(now, key(n), fact).is_ok()
+                self.replicas[0].write(now, key(n), fact).is_ok()
             }
             Step::Delete(n) => {
                 self.truth.remove(&key(n));
-                self.copies[0].delete(now, key(n))
+                self.replicas[0].delete(now, key(n))
             }
             Step::Ask { to, from } => match self.answer(to, from, planted) {
-                Some(part) if self.under_way.len() < 2 => {
-                    self.under_way.push((to, part));
+                Some(delta) if self.in_flight.len() < 2 => {
+                    self.in_flight.push((to, delta));
                     true
                 }
                 _ => false,
             },
             Step::AskPast { to, from } => {
-                let last = self.copies[from].pasts(WRITER).last().map(|p| p.0);
-                match last.and_then(|life| self.answer_past(to, from, life)) {
-                    Some(part) if self.under_way.len() < 2 => {
-                        self.under_way.push((to, part));
+                let last = self.replicas[from].ended_cursors(WRITER).last().map(|p| p.0);
+                match last.and_then(|incarnation| self.answer_past(to, from, incarnation)) {
+                    Some(delta) if self.in_flight.len() < 2 => {
+                        self.in_flight.push((to, delta));
                         true
                     }
                     _ => false,
                 }
             }
             Step::Arrive { kept } => {
-                let Some((to, part)) = self.under_way.first().cloned() else { return false };
-                self.arrive(to, &part, planted);
+                let Some((to, delta)) = self.in_flight.first().cloned() else { return false };
+                self.arrive(to, &delta, planted);
                 if !kept {
-                    self.under_way.remove(0);
+                    self.in_flight.remove(0);
                 }
                 true
             }
             Step::Lost => {
-                !self.under_way.is_empty() && {
-                    self.under_way.remove(0);
+                !self.in_flight.is_empty() && {
+                    self.in_flight.remove(0);
                     true
                 }
             }
             Step::Crash(n) => {
-                let life = Life { number: 1, nonce: n as u64 + 1 };
-                let empty = Copies::new(PARAMS, FrontId(n as u64), life);
-                let changed = self.copies[n] != empty;
-                self.copies[n] = empty;
+                let incarnation = Incarnation { number: 1, nonce: n as u64 + 1 };
+                let empty = Replicas::new(PARAMS, FrontId(n as u64), incarnation);
+                let changed = self.replicas[n] != empty;
+                self.replicas[n] = empty;
                 changed
             }
-            Step::Reborn => {
-                let (_, reach) = self.reach(0);
-                self.ended.insert(self.life, (reach.seq, self.copies[0].facts(WRITER)));
+            Step::Restarted => {
+                let (_, cursor) = self.cursor(0);
+                self.ended.insert(self.incarnation, (cursor.seq, self.replicas[0].facts(WRITER)));
                 self.truth.clear();
-                self.life.number += 1;
-                self.copies[0] = Copies::new(PARAMS, WRITER, self.life);
-                self.life.number <= 3
+                self.incarnation.number += 1;
+                self.replicas[0] = Replicas::new(PARAMS, WRITER, self.incarnation);
+                self.incarnation.number <= 3
             }
         }
     }
@@ -220,23 +223,23 @@
     /// Everybody hears everybody again: the first copy that is not as the writer's.
     fn healed(mut self, planted: Planted) -> Option<String> {
         // What is still under way may come at any time: before all else, say.
-        for (to, part) in std::mem::take(&mut self.under_way) {
-            self.arrive(to, &part, planted);
+        for (to, delta) in std::mem::take(&mut self.in_flight) {
+            self.arrive(to, &delta, planted);
         }
         // Each exchange brings one item: the writer's and the readers' among themselves.
         for _ in 0..12 {
             for (to, from) in [(1, 0), (2, 1), (2, 0), (1, 2)] {
                 // A digest says the writer's life to all.
-                self.copies[to].lives(self.now, WRITER, self.life);
-                if let Some(part) = self.answer(to, from, planted) {
-                    self.arrive(to, &part, planted);
+                self.replicas[to].advance_incarnation(self.now, WRITER, self.incarnation);
+                if let Some(delta) = self.answer(to, from, planted) {
+                    self.arrive(to, &delta, planted);
                 }
             }
-            for life in self.ended.keys().copied().collect::<Vec<_>>() {
+            for incarnation in self.ended.keys().copied().collect::<Vec<_>>() {
                 for (to, from) in [(2, 1), (1, 2), (0, 1)] {
                     let told = planted != Planted::PastNotTold;
-                    if let Some(part) = self.answer_past(to, from, life).filter(|_| told) {
-                        self.arrive(to, &part, planted);
+                    if let Some(delta) = self.answer_past(to, from, incarnation).filter(|_| told) {
+                        self.arrive(to, &delta, planted);
                     }
                 }
             }
@@ -247,11 +250,11 @@
         let wanted: Vec<(Key, Fact)> = self.truth.clone().into_iter().collect();
         (0..3).find_map(|n| {
             let held: Vec<(Key, Fact)> =
-                self.copies[n].facts(WRITER).into_iter().map(|(k, _, f)| (k, f)).collect();
-            let (first, this) = (&self.copies[0], &self.copies[n]);
+                self.replicas[n].facts(WRITER).into_iter().map(|(k, _, f)| (k, f)).collect();
+            let (first, this) = (&self.replicas[0], &self.replicas[n]);
             let wrong = held != wanted
-                || this.mark(WRITER) != first.mark(WRITER)
-                || this.held(WRITER) != wanted.len();
+                || this.digest(WRITER) != first.digest(WRITER)
+                || this.fact_count(WRITER) != wanted.len();
             wrong.then(|| format!("front {n} holds {held:?}, wanted {wanted:?}"))
         })
     }
@@ -261,14 +264,18 @@
     /// Copies of an ended life go equally far, and those that go to its end are as it was then. Of one that nobody has to
     /// its end, copies may differ by what its writer wrote again or deleted after that.
     fn past_differs(&self) -> Option<String> {
-        self.ended.iter().find_map(|(life, (end, truth))| {
+        self.ended.iter().find_map(|(incarnation, (end, truth))| {
             let held: Vec<_> = (0..3)
                 .map(|n| {
-                    let reach = self.copies[n].pasts(WRITER).iter().find(|p| p.0 == *life).map(|p| p.1.seq);
-                    (reach, self.copies[n].facts_of(WRITER, *life))
+                    let cursor = self.replicas[n]
+                        .ended_cursors(WRITER)
+                        .iter()
+                        .find(|p| p.0 == *incarnation)
+                        .map(|p| p.1.seq);
+                    (cursor, self.replicas[n].facts_of(WRITER, *incarnation))
                 })
                 .collect();
-            let reach = held[0].0;
+            let cursor = held[0].0;
             let first: BTreeSet<String> = held[0].1.iter().map(|f| format!("{f:?}")).collect();
             let lasted = |f: &Held| truth.iter().any(|t| t.0 == f.0 && t.1 == f.1);
             let wrong = held.iter().any(|(far, facts)| {
@@ -277,9 +284,9 @@
                     let f = format!("{f:?}");
                     first.contains(&f) != other.contains(&f)
                 });
-                *far != reach || *far == Some(*end) && facts != truth || apart.into_iter().any(lasted)
+                *far != cursor || *far == Some(*end) && facts != truth || apart.into_iter().any(lasted)
             });
-            wrong.then(|| format!("{life:?} ended at {end} with {truth:?}, held are {held:?}"))
+            wrong.then(|| format!("{incarnation:?} ended at {end} with {truth:?}, held are {held:?}"))
         })
     }
 }
@@ -298,7 +305,7 @@
                 }
                 let state = format!(
                     "{:?}{:?}{:?}{:?}{:?}",
-                    world.copies, world.under_way, world.truth, world.ended, world.life
+                    world.replicas, world.in_flight, world.truth, world.ended, world.incarnation
                 );
                 if !seen.insert(state) {
                     continue;
@@ -356,24 +363,24 @@
     for n in 1..5 {
         world.step(Step::Write(n), Planted::Nothing);
     }
-    while let Some(part) = world.answer(1, 0, Planted::Nothing) {
-        world.arrive(1, &part, Planted::Nothing);
+    while let Some(delta) = world.answer(1, 0, Planted::Nothing) {
+        world.arrive(1, &delta, Planted::Nothing);
     }
-    assert_eq!(world.copies[1].held(WRITER), 4);
+    assert_eq!(world.replicas[1].fact_count(WRITER), 4);
     world.step(Step::Delete(1), Planted::Nothing);
     for _ in 0..4 {
         world.step(Step::Write(4), Planted::Nothing);
     }
     // One item at a time, and at every moment all that still holds is held.
-    let mut parts = 0;
-    while let Some(part) = world.answer(1, 0, Planted::Nothing) {
-        world.arrive(1, &part, Planted::Nothing);
-        parts += 1;
-        let held: BTreeSet<Key> = world.copies[1].facts(WRITER).into_iter().map(|f| f.0).collect();
-        assert!([2, 3, 4].into_iter().all(|n| held.contains(&key(n))), "after {parts}: {held:?}");
+    let mut deltas = 0;
+    while let Some(delta) = world.answer(1, 0, Planted::Nothing) {
+        world.arrive(1, &delta, Planted::Nothing);
+        deltas += 1;
+        let held: BTreeSet<Key> = world.replicas[1].facts(WRITER).into_iter().map(|f| f.0).collect();
+        assert!([2, 3, 4].into_iter().all(|n| held.contains(&key(n))), "after {deltas}: {held:?}");
     }
-    assert!(parts >= 3);
-    assert_eq!(world.copies[1].held(WRITER), 3);
+    assert!(deltas >= 3);
+    assert_eq!(world.replicas[1].fact_count(WRITER), 3);
 }
 
 #[test]
@@ -382,44 +389,45 @@
     for n in 1..4 {
         world.step(Step::Write(n), Planted::Nothing);
     }
-    let good = world.copies[0].part(world.now, WRITER, world.life, Reach::default(), 10_000).unwrap();
-    let bad = |change: &dyn Fn(&mut Part)| {
-        let mut part = good.clone();
-        change(&mut part);
-        let mut copies = world.copies[1].clone();
-        copies.apply(world.now, &part)
+    let good =
+        world.replicas[0].delta(world.now, WRITER, world.incarnation, Cursor::default(), 10_000).unwrap();
+    let bad = |change: &dyn Fn(&mut Delta)| {
+        let mut delta = good.clone();
+        change(&mut delta);
+        let mut replicas = world.replicas[1].clone();
+        replicas.apply(world.now, &delta)
     };
-    assert_eq!(bad(&|p| p.items.swap(0, 1)), Applied::Bad);
-    assert_eq!(bad(&|p| p.items[0].key = Key::Level), Applied::Bad);
-    assert_eq!(bad(&|p| p.items[0].age = f64::NAN), Applied::Bad);
-    assert_eq!(bad(&|p| p.to = 1), Applied::Bad);
-    assert_eq!(bad(&|p| p.from = 2), Applied::Bad);
+    assert_eq!(bad(&|p| p.items.swap(0, 1)), Applied::Invalid);
+    assert_eq!(bad(&|p| p.items[0].key = Key::Level), Applied::Invalid);
+    assert_eq!(bad(&|p| p.items[0].age = f64::NAN), Applied::Invalid);
+    assert_eq!(bad(&|p| p.to = 1), Applied::Invalid);
+    assert_eq!(bad(&|p| p.from = 2), Applied::Invalid);
     assert_eq!(
         bad(&|p| {
             p.items = (1..20)
                 .map(|n| shalespindle_replica::Item { seq: n.into(), key: key(n), ..p.items[0].clone() })
                 .collect();
-            (p.to, p.last) = (19, 19);
+            (p.to, p.sender_seq) = (19, 19);
         }),
-        Applied::Bad
+        Applied::Invalid
     );
     assert_eq!(
-        bad(&|p| (p.front, p.life) = (1, (1, 2))),
-        Applied::Known,
+        bad(&|p| (p.front, p.incarnation) = (1, (1, 2))),
+        Applied::AlreadyKnown,
         "what is said of this front itself"
     );
-    assert!(matches!(bad(&|_| ()), Applied::News { .. }));
+    assert!(matches!(bad(&|_| ()), Applied::Changed { .. }));
 }
 
 #[test]
 fn a_writer_without_room_says_so_and_deletions_make_room() {
-    let mut copies = Copies::new(PARAMS, WRITER, Life::default());
+    let mut replicas = Replicas::new(PARAMS, WRITER, Incarnation::default());
     for n in 1..9 {
-        assert_eq!(copies.write(0.0, key(n), fact(n, 1)), Ok(true));
+        assert_eq!(replicas.write(0.0, key(n), fact(n, 1)), Ok(true));
     }
-    assert_eq!(copies.write(0.0, key(1), fact(1, 1)), Ok(false), "the same again");
-    assert!(copies.write(0.0, key(9), fact(9, 1)).is_err());
-    assert!(copies.delete(0.0, key(3)));
-    assert_eq!(copies.write(0.0, key(9), fact(9, 1)), Ok(true));
-    assert_eq!(copies.held(WRITER), 8);
+    assert_eq!(replicas.write(0.0, key(1), fact(1, 1)), Ok(false), "the same again");
+    assert!(replicas.write(0.0, key(9), fact(9, 1)).is_err());
+    assert!(replicas.delete(0.0, key(3)));
+    assert_eq!(replicas.write(0.0, key(9), fact(9, 1)), Ok(true));
+    assert_eq!(replicas.fact_count(WRITER), 8);
 }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -6,7 +6,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use shalespindle_peers::PeersParams;
-use shalespindle_replica::{CallsParams, CopiesParams, FleetParams};
+use shalespindle_replica::{CallsParams, FleetParams, ReplicaParams};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -159,19 +159,19 @@
     pub fn params(&self) -> FleetParams {
         FleetParams {
             peers: PeersParams {
-                every: self.every.seconds(),
+                heartbeat_interval: self.every.seconds(),
                 fanout: self.fanout,
                 suspect_after: self.suspect_after.seconds(),
                 gone_after: self.gone_after.seconds(),
                 // The list may grow in service.
-                most: MOST_FRONTS,
+                max_fronts: MOST_FRONTS,
             },
-            copies: CopiesParams { most: self.facts, remember: self.remember.seconds() },
+            replicas: ReplicaParams { max_facts: self.facts, deletion_retention: self.remember.seconds() },
             calls: CallsParams { hold: self.hold_calls.seconds() },
-            warnings_for: self.warnings_for.seconds(),
-            keep: self.keep.seconds(),
-            bytes: self.bytes,
-            ..FleetParams::beating(self.every.seconds())
+            warning_ttl: self.warnings_for.seconds(),
+            retention: self.keep.seconds(),
+            max_message_bytes: self.bytes,
+            ..FleetParams::with_heartbeat_interval(self.every.seconds())
         }
     }
 
--- a/crates/sites/src/sites.rs
+++ b/crates/sites/src/sites.rs
@@ -149,7 +149,7 @@
     pub fn observed(&mut self, now: f64, peers: &Peers, seen: &Observed) {
         self.observe_at = now + self.sight_every(peers);
         let (sight, fell) = self.rates.sight(now, seen, &self.table);
-        let life = peers.life().number;
+        let life = peers.incarnation().number;
         self.sights.take(self.own, Kept { life, made: now, sight, tellings: TELLINGS });
         for site in fell {
             self.fell(now, site);
@@ -170,7 +170,7 @@
 
     /// A message of a front that has been told apart from a stranger by the codec.
     pub fn heard(&mut self, now: f64, peers: &Peers, from: FrontId, message: SitesMessage) {
-        let Some(life) = peers.life_of(from) else {
+        let Some(life) = peers.incarnation_of(from) else {
             self.bad += 1;
             return;
         };
@@ -284,7 +284,7 @@
     }
 
     fn sight_every(&self, peers: &Peers) -> f64 {
-        let fleet = peers.listed() as f64 + 1.0;
+        let fleet = peers.listed_count() as f64 + 1.0;
         self.params.every * (fleet / OFTEN_UP_TO).max(1.0)
     }
 
@@ -298,8 +298,8 @@
             return;
         }
         self.beat += 1;
-        self.beat_at = now + peers.every();
-        let fleet: Vec<FrontId> = peers.fleet().collect();
+        self.beat_at = now + peers.heartbeat_interval();
+        let fleet: Vec<FrontId> = peers.all_fronts().collect();
         self.sights.all.retain(|front, _| fleet.binary_search(front).is_ok());
         self.speak.retain(|front, _| fleet.binary_search(front).is_ok());
         self.hears(now, peers, fleet.len());
@@ -307,7 +307,7 @@
             let word = self.words[site];
             if let Some((next, votes)) = self.judged(now, site, &word, peers, &fleet) {
                 self.write(now, site, next, votes);
-                self.beat_at = now + peers.every();
+                self.beat_at = now + peers.heartbeat_interval();
             }
         }
         self.look(now, peers, &fleet);
@@ -547,7 +547,7 @@
         let asks = self.beat % ASKED_EVERY == 1;
         let others: Vec<FrontId> = fleet.iter().copied().filter(|f| *f != self.own).collect();
         for to in self.round.next(fanout, &others) {
-            let of = |life: &u64| peers.life_of(to).is_none_or(|l| l.number == *life);
+            let of = |life: &u64| peers.incarnation_of(to).is_none_or(|l| l.number == *life);
             if self.speak.get(&to).is_some_and(of) {
                 messages.iter().for_each(|message| self.tell(Out::Send { to, message: message.clone() }));
             } else if asks {
--- a/crates/sites/src/status.rs
+++ b/crates/sites/src/status.rs
@@ -79,7 +79,7 @@
 
 impl Sites {
     pub fn status(&self, now: f64, peers: &Peers) -> SitesStatus {
-        let fleet: Vec<FrontId> = peers.fleet().collect();
+        let fleet: Vec<FrontId> = peers.all_fronts().collect();
         let demand = self.demand(now, peers, &fleet);
         let needs: f64 = demand
             .whole(self.params.classes.len())
--- a/crates/sites/tests/common/mod.rs
+++ b/crates/sites/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use shalespindle_peers::{FrontId, Life, Peers, PeersParams, Word as PeerWord};
+use shalespindle_peers::{FrontId, Incarnation, PeerReport, Peers, PeersParams};
 use shalespindle_sites::{
     Class, Narrowing, Observed, ObservedServer, Order, Out, SiteSpec, Sites, SitesMessage, SitesParams,
     Stage, Table,
@@ -22,7 +22,7 @@
 }
 
 enum Frame {
-    Beat(Vec<PeerWord>),
+    Beat(Vec<PeerReport>),
     Sites(FrontId, SitesMessage),
 }
 
@@ -113,10 +113,17 @@
 
 impl World {
     pub fn start(&mut self, front: usize) {
-        let life = Life { number: 1 + (self.now * 1000.0) as u64, nonce: front as u64 };
+        let life = Incarnation { number: 1 + (self.now * 1000.0) as u64, nonce: front as u64 };
         let listed: Vec<FrontId> = (0..self.home.len()).map(id).collect();
         let begin = self.now + EVERY * self.rng.random::<f64>();
-        let peers = Peers::new(PeersParams::beating(EVERY), id(front), life, &listed, front as u64, begin);
+        let peers = Peers::new(
+            PeersParams::with_heartbeat_interval(EVERY),
+            id(front),
+            life,
+            &listed,
+            front as u64,
+            begin,
+        );
         let table = self.table.clone();
         let sites = Sites::new(self.params.clone(), table, id(front), front as u64, begin);
         self.fronts[front] = Some(Front { peers, sites, narrowing: Narrowing::default(), life: life.number });
@@ -182,7 +189,7 @@
                 continue;
             };
             match frame {
-                Frame::Beat(words) => words.into_iter().for_each(|w| front.peers.hear(now, w)),
+                Frame::Beat(words) => words.into_iter().for_each(|w| front.peers.record(now, w)),
                 Frame::Sites(from, message) if !old => front.sites.heard(now, &front.peers, from, message),
                 Frame::Sites(..) => {}
             }
@@ -197,7 +204,7 @@
             let Some(front) = &mut self.fronts[at] else { continue };
             let mut sent: Vec<(FrontId, Frame)> = Vec::new();
             if front.peers.turn(now) {
-                let words = front.peers.words();
+                let words = front.peers.reports();
                 let targets = front.peers.targets();
                 sent.extend(targets.into_iter().map(|to| (to, Frame::Beat(words.clone()))));
             }
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::owner::Letter;
 use shalespindle_membership::Listed;
 use shalespindle_peer_service::{Fronts, Keep, Saying, Start};
-use shalespindle_replica::ServerWord;
+use shalespindle_replica::ServerRecord;
 use shalespindle_settings::{read_key, FleetSettings};
 use shalespindle_sites::{SitesParams, Table};
 use shalespindle_sockets::{Ground, Mailbox};
@@ -37,5 +37,5 @@
     // 0 means long ago.
     let age = (listed.started > 0.0).then(|| (now - listed.started).max(0.0));
     let Listed { address, pool, told, incarnation, .. } = *listed;
-    Saying::Server { address, word: ServerWord { pool, incarnation, told, age } }
+    Saying::Server { address, word: ServerRecord { pool, incarnation, reported: told, age } }
 }
--- a/crates/transport/src/owner.rs
+++ b/crates/transport/src/owner.rs
@@ -10,7 +10,7 @@
 use shalespindle_console::{Ask, Reply};
 use shalespindle_front::{Event, Front, Input, LinkId, Output};
 use shalespindle_peer_service::{Heard, Saying, Teller};
-use shalespindle_replica::News;
+use shalespindle_replica::FleetEvent;
 use shalespindle_sockets::{Ground, Mail, Mailbox, Outgoing, Questions, Report, Sent};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -252,16 +252,16 @@
             Letter::Fleet(Heard::Narrowed(narrowing)) => {
                 front.take(now, now, Input::Narrowed(narrowing));
             }
-            Letter::Fleet(Heard::News(News::Server(warning))) => {
+            Letter::Fleet(Heard::News(FleetEvent::Server(warning))) => {
                 front.take(now, now, Input::Warned(warning));
             }
-            Letter::Fleet(Heard::News(News::CallOver { call })) => {
+            Letter::Fleet(Heard::News(FleetEvent::CallEnded { call })) => {
                 front.take(now, now, Input::CallOver { call });
             }
-            Letter::Fleet(Heard::News(News::Release { word, .. })) => {
-                front.take(now, now, Input::Release(word));
+            Letter::Fleet(Heard::News(FleetEvent::Release { record, .. })) => {
+                front.take(now, now, Input::Release(record));
             }
-            Letter::Fleet(Heard::News(News::Level { level, until, .. })) => {
+            Letter::Fleet(Heard::News(FleetEvent::Level { level, until, .. })) => {
                 // False where this front has no such level: its own settings stand.
                 front.pin_level(now, level.map(|level| (usize::from(level), until - now)));
             }
