--- a/crates/cli/tests/names.rs
+++ b/crates/cli/tests/names.rs
@@ -109,7 +109,9 @@
     until_got(
         "the file",
         || std::fs::read(path("members")).unwrap_or_default(),
-        |bytes| shalespindle_membership::read(u64::MAX / 2, bytes).is_ok_and(|known| known.0.len() == 2),
+        |bytes| {
+            shalespindle_membership::decode_members(u64::MAX / 2, bytes).is_ok_and(|known| known.0.len() == 2)
+        },
     );
     drop(front);
     drop(names);
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -1,8 +1,8 @@
 //! A front as a client of the coordinators.
 
-use crate::configuration::{Acknowledgement, ConfigurationVersion, Outdated, VersionId};
+use crate::configuration::{Acknowledgement, ConfigurationVersion, OutdatedVersion, VersionId};
 use crate::follower::Follower;
-use crate::message::{Continuity, Heartbeat, Message, Subscription, Update, MOST_PUBLISHED, MOST_SERVERS};
+use crate::message::{Continuity, Heartbeat, Message, Subscription, Update, MAX_PUBLISHED, MAX_SERVERS};
 use crate::statement::{Incarnation, Key, NodeId, ServerState, Statement, Value, Version};
 use crate::store::fingerprint;
 use crate::Outgoing;
@@ -18,23 +18,23 @@
     /// Between two heartbeats.
     pub heartbeat_every: f64,
     /// An answer that has not come after this is asked for again,
-    pub answer_within: f64,
+    pub answer_timeout: f64,
     /// and after this another coordinator is tried.
-    pub lost_after: f64,
+    pub failover_after: f64,
     /// Once all have been tried the next round begins after at most this, drawn from the seed.
-    pub longest_pause: f64,
+    pub max_pause: f64,
     /// Own statements at most.
-    pub most_published: usize,
+    pub max_published: usize,
 }
 
 impl Default for ClientParams {
     fn default() -> ClientParams {
         ClientParams {
             heartbeat_every: 1.0,
-            answer_within: 0.4,
-            lost_after: 2.0,
-            longest_pause: 2.0,
-            most_published: 512,
+            answer_timeout: 0.4,
+            failover_after: 2.0,
+            max_pause: 2.0,
+            max_published: 512,
         }
     }
 }
@@ -68,7 +68,7 @@
     /// Own statements that no coordinator has said to hold.
     pub unpublished: usize,
     /// Own statements that had no room.
-    pub without_room: u64,
+    pub rejected_statements: u64,
 }
 
 /// What a client holds: the newest statement of anybody of each kind.
@@ -119,7 +119,7 @@
     is_connected: bool,
     in_force: Option<ConfigurationVersion>,
     acts_on: VersionId,
-    without_room: u64,
+    rejected_statements: u64,
     rng: ChaCha8Rng,
     outgoing: VecDeque<Outgoing>,
     events: VecDeque<ClientEvent>,
@@ -162,7 +162,7 @@
             is_connected: false,
             in_force: None,
             acts_on: VersionId::default(),
-            without_room: 0,
+            rejected_statements: 0,
             rng,
             outgoing: VecDeque::new(),
             events: VecDeque::new(),
@@ -173,7 +173,7 @@
 
     /// The servers that it wants to be told of; those past the bound are left out.
     pub fn subscribe(&mut self, now: f64, servers: impl IntoIterator<Item = SocketAddr>) {
-        let servers: BTreeSet<SocketAddr> = servers.into_iter().take(MOST_SERVERS).collect();
+        let servers: BTreeSet<SocketAddr> = servers.into_iter().take(MAX_SERVERS).collect();
         if servers == self.servers {
             return;
         }
@@ -185,14 +185,14 @@
     }
 
     /// What its own list tells of a server; none: nothing any more.
-    pub fn tell_server(&mut self, now: f64, address: SocketAddr, state: Option<ServerState>) {
+    pub fn report_server(&mut self, now: f64, address: SocketAddr, state: Option<ServerState>) {
         self.publish(now, Key::Server(address), state.map(Value::Server));
     }
 
     /// An operator announces a configuration version at this front, for all.
-    pub fn announce(&mut self, now: f64, number: u64, digest: u64) -> Result<VersionId, Outdated> {
+    pub fn announce(&mut self, now: f64, number: u64, digest: u64) -> Result<VersionId, OutdatedVersion> {
         let replaces = self.in_force.map(|version| version.id).unwrap_or_default();
-        Outdated::check(number, replaces)?;
+        OutdatedVersion::check(number, replaces)?;
         let id = VersionId { number, publisher: Some(self.own) };
         let version = ConfigurationVersion { id, digest, replaces };
         self.publish(now, Key::Configuration, Some(Value::Configuration(version)));
@@ -201,14 +201,14 @@
     }
 
     /// The host acts on the version in force.
-    pub fn act(&mut self, now: f64) {
+    pub fn accept_version(&mut self, now: f64) {
         let Some(version) = self.in_force else { return };
         self.acts_on = version.id;
         self.acknowledge(now, Acknowledgement::ActsOn(version.id));
     }
 
     /// The host refuses the version in force, and goes on with the one that it acts on.
-    pub fn refuse(&mut self, now: f64, reason: &str) {
+    pub fn refuse_version(&mut self, now: f64, reason: &str) {
         let Some(version) = self.in_force else { return };
         self.acknowledge(now, Acknowledgement::refused(version.id, self.acts_on, reason));
     }
@@ -223,8 +223,8 @@
     }
 
     fn publish(&mut self, now: f64, key: Key, value: Option<Value>) {
-        if !self.published.contains_key(&key) && self.published.len() >= self.params.most_published {
-            self.without_room += 1;
+        if !self.published.contains_key(&key) && self.published.len() >= self.params.max_published {
+            self.rejected_statements += 1;
             return;
         }
         self.sequence += 1;
@@ -243,7 +243,7 @@
     // ---- what is heard ----
 
     /// A message of another node, told apart from a stranger by the codec.
-    pub fn heard(&mut self, now: f64, from: NodeId, message: Message) {
+    pub fn receive(&mut self, now: f64, from: NodeId, message: Message) {
         if self.coordinators.get(self.current) != Some(&from) {
             return;
         }
@@ -257,9 +257,9 @@
     }
 
     fn busy_heard(&mut self, now: f64, retry_after: f64) {
-        let wait = if retry_after.is_finite() { retry_after } else { self.params.longest_pause };
+        let wait = if retry_after.is_finite() { retry_after } else { self.params.max_pause };
         self.asked_at = None;
-        self.next_heartbeat_at = now + wait.clamp(0.0, self.params.longest_pause);
+        self.next_heartbeat_at = now + wait.clamp(0.0, self.params.max_pause);
     }
 
     fn update_heard(&mut self, now: f64, update: Update) {
@@ -377,13 +377,13 @@
 
     /// When [`Client::poll`] is due.
     pub fn wake_at(&self) -> f64 {
-        let awaited = self.asked_at.map_or(f64::INFINITY, |at| at + self.params.lost_after);
+        let awaited = self.asked_at.map_or(f64::INFINITY, |at| at + self.params.failover_after);
         self.next_heartbeat_at.min(awaited)
     }
 
     /// Deals with what is due.
     pub fn poll(&mut self, now: f64) {
-        if self.asked_at.is_some_and(|at| now - at >= self.params.lost_after) {
+        if self.asked_at.is_some_and(|at| now - at >= self.params.failover_after) {
             self.try_next(now);
         }
         if now < self.next_heartbeat_at {
@@ -392,7 +392,7 @@
         self.heartbeat += 1;
         // An answer that does not come is asked for again sooner than the next heartbeat would.
         let asks_again = self.asked_at.is_some() || self.unpublished().next().is_some();
-        let after = if asks_again { self.params.answer_within } else { self.params.heartbeat_every };
+        let after = if asks_again { self.params.answer_timeout } else { self.params.heartbeat_every };
         self.next_heartbeat_at = now + after;
         self.asked_at.get_or_insert(now);
         self.send_heartbeat(true, false);
@@ -412,20 +412,20 @@
         self.current = (self.current + 1) % self.coordinators.len().max(1);
         self.tried += 1;
         let pause = match self.tried >= self.coordinators.len() {
-            true => self.params.longest_pause,
+            true => self.params.max_pause,
             // Those of one coordinator come to the others spread over a moment.
-            false => self.params.answer_within,
+            false => self.params.answer_timeout,
         };
         self.next_heartbeat_at = now + pause * self.rng.random::<f64>();
     }
 
-    fn send_heartbeat(&mut self, wants_answer: bool, leaves: bool) {
+    fn send_heartbeat(&mut self, wants_answer: bool, is_leaving: bool) {
         let Some(to) = self.coordinators.get(self.current).copied() else { return };
         let cursor = self.follower.cursor();
         let mut publish: Vec<Statement> = self.unpublished().cloned().collect();
         publish.sort_by_key(|statement| statement.version.sequence);
         publish.extend(self.to_return.iter().cloned());
-        publish.truncate(MOST_PUBLISHED);
+        publish.truncate(MAX_PUBLISHED);
         // Whether anybody is there is asked in few bytes: all else follows the first answer.
         if !self.is_connected {
             publish.clear();
@@ -441,7 +441,7 @@
             subscription: is_unknown.then(servers),
             publish: if wants_answer { publish } else { Vec::new() },
             wants_answer,
-            leaves,
+            is_leaving,
         };
         self.outgoing.push_back(Outgoing { to, message: Message::Heartbeat(heartbeat) });
     }
@@ -476,7 +476,7 @@
             acts_on: self.acts_on,
             held: self.held.len(),
             unpublished: self.unpublished().count(),
-            without_room: self.without_room,
+            rejected_statements: self.rejected_statements,
         }
     }
 
--- a/crates/coordinator/src/configuration.rs
+++ b/crates/coordinator/src/configuration.rs
@@ -74,7 +74,7 @@
 /// A version was announced under a number that is not higher than the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("version {announced} is not newer than version {in_force}, which is in force: announce it as {next} or higher")]
-pub struct Outdated {
+pub struct OutdatedVersion {
     /// The number that was announced.
     pub announced: u64,
     /// The number in force.
@@ -83,12 +83,12 @@
     pub next: u64,
 }
 
-impl Outdated {
-    pub(crate) fn check(announced: u64, in_force: VersionId) -> Result<(), Outdated> {
+impl OutdatedVersion {
+    pub(crate) fn check(announced: u64, in_force: VersionId) -> Result<(), OutdatedVersion> {
         if announced > in_force.number {
             return Ok(());
         }
-        Err(Outdated { announced, in_force: in_force.number, next: in_force.number.saturating_add(1) })
+        Err(OutdatedVersion { announced, in_force: in_force.number, next: in_force.number.saturating_add(1) })
     }
 }
 
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -1,8 +1,8 @@
 //! One coordinator: sessions of its clients, and its following of the other coordinators.
 
-use crate::configuration::{ConfigurationVersion, Outdated, VersionId};
+use crate::configuration::{ConfigurationVersion, OutdatedVersion, VersionId};
 use crate::follower::Follower;
-use crate::message::{Heartbeat, Message, Update, MOST_PUBLISHED};
+use crate::message::{Heartbeat, Message, Update, MAX_PUBLISHED};
 use crate::session::Session;
 use crate::statement::{Incarnation, Key, LevelPin, MemberState, NodeId, Statement, Value, Version};
 use crate::store::{Applied, Filter, Source, Store};
@@ -22,21 +22,21 @@
     /// Without a heartbeat a client is suspected after this.
     pub suspect_after: f64,
     /// Changes are gathered for so long before clients are told.
-    pub gather: f64,
+    pub batch_delay: f64,
     /// An update that is not acknowledged goes out again after this.
     pub resend_after: f64,
     /// Deletions are remembered for so long.
-    pub remember: f64,
+    pub deletion_retention: f64,
     /// Two replicas that hold something else for so long are brought level by a snapshot.
     pub repair_after: f64,
     /// Sessions at most.
-    pub most_sessions: usize,
+    pub max_sessions: usize,
     /// Statements and deletions held at most.
-    pub most_statements: usize,
+    pub max_statements: usize,
     /// Snapshots under way at once.
-    pub most_snapshots: usize,
+    pub max_snapshots: usize,
     /// Bytes of statements sent in a second at most.
-    pub bytes_a_second: f64,
+    pub max_bytes_per_second: f64,
     /// Bytes of statements in one update to a front at most, and to another coordinator.
     pub update_bytes: usize,
     /// See `update_bytes`.
@@ -50,14 +50,14 @@
         CoordinatorParams {
             heartbeat_every: 0.5,
             suspect_after: 4.0,
-            gather: 0.05,
+            batch_delay: 0.05,
             resend_after: 0.3,
-            remember: 86_400.0,
+            deletion_retention: 86_400.0,
             repair_after: 3.0,
-            most_sessions: 1024,
-            most_statements: 200_000,
-            most_snapshots: 16,
-            bytes_a_second: 1e6,
+            max_sessions: 1024,
+            max_statements: 200_000,
+            max_snapshots: 16,
+            max_bytes_per_second: 1e6,
             update_bytes: 1100,
             replica_update_bytes: 8000,
             retry_after: 0.25,
@@ -140,14 +140,14 @@
         let mut coordinator = Coordinator {
             own,
             incarnation,
-            store: Store::new(params.most_statements),
+            store: Store::new(params.max_statements),
             sessions: BTreeMap::new(),
             followed: followed.collect(),
             sequence: 0,
             heartbeat: 0,
             heartbeat_at,
             poll_at: heartbeat_at,
-            allowance: params.bytes_a_second,
+            allowance: params.max_bytes_per_second,
             allowance_at: now,
             served_last: None,
             is_isolated: false,
@@ -165,9 +165,9 @@
     // ---- an operator's words ----
 
     /// Announces a configuration version, for all fronts.
-    pub fn announce(&mut self, now: f64, number: u64, digest: u64) -> Result<VersionId, Outdated> {
+    pub fn announce(&mut self, now: f64, number: u64, digest: u64) -> Result<VersionId, OutdatedVersion> {
         let replaces = self.store.in_force().map(|version| version.id).unwrap_or_default();
-        Outdated::check(number, replaces)?;
+        OutdatedVersion::check(number, replaces)?;
         let id = VersionId { number, publisher: Some(self.own) };
         self.publish(
             now,
@@ -196,7 +196,7 @@
     // ---- what is heard ----
 
     /// A message of another node, told apart from a stranger by the codec.
-    pub fn heard(&mut self, now: f64, from: NodeId, message: Message) {
+    pub fn receive(&mut self, now: f64, from: NodeId, message: Message) {
         match message {
             Message::Heartbeat(heartbeat) => self.heartbeat_heard(now, from, heartbeat),
             Message::Update(update) if update.client == self.incarnation => {
@@ -245,7 +245,7 @@
         subscribe(session, &heartbeat);
         self.follow_cursor(from, &heartbeat);
         self.take_published(now, from, &heartbeat);
-        if heartbeat.leaves {
+        if heartbeat.is_leaving {
             self.end_session(now, from, MemberState::Left);
         }
         self.poll_soon(now);
@@ -258,7 +258,7 @@
             return true;
         }
         let is_peer = self.followed.contains_key(&from);
-        if held.is_none() && !is_peer && self.sessions.len() >= self.params.most_sessions {
+        if held.is_none() && !is_peer && self.sessions.len() >= self.params.max_sessions {
             self.turn_away(from);
             return false;
         }
@@ -297,7 +297,7 @@
     }
 
     fn take_published(&mut self, now: f64, from: NodeId, heartbeat: &Heartbeat) {
-        for statement in heartbeat.publish.iter().take(MOST_PUBLISHED) {
+        for statement in heartbeat.publish.iter().take(MAX_PUBLISHED) {
             let is_own = statement.owner == from
                 && statement.key != Key::Member
                 && statement.version.incarnation == heartbeat.incarnation;
@@ -328,7 +328,7 @@
                 self.poll_soon(now);
             }
             Applied::Known => {}
-            Applied::Full | Applied::Unsound => self.counts.refused += 1,
+            Applied::Full | Applied::Invalid => self.counts.refused += 1,
         }
     }
 
@@ -382,7 +382,7 @@
     }
 
     pub(crate) fn poll_soon(&mut self, now: f64) {
-        self.poll_at = self.poll_at.min(now + self.params.gather);
+        self.poll_at = self.poll_at.min(now + self.params.batch_delay);
     }
 
     /// Deals with what is due.
@@ -392,7 +392,7 @@
             self.heartbeat_at = now + self.params.heartbeat_every;
             self.poll_at = self.heartbeat_at;
             self.suspect(now);
-            self.store.forget_deletions(now - self.params.remember);
+            self.store.forget_deletions(now - self.params.deletion_retention);
             self.heartbeat += 1;
             let peers: Vec<NodeId> = self.followed.keys().copied().collect();
             peers.into_iter().for_each(|peer| self.send_heartbeat(peer, true));
@@ -435,7 +435,7 @@
             subscription: None,
             publish: Vec::new(),
             wants_answer,
-            leaves: false,
+            is_leaving: false,
         };
         self.outgoing.push_back(Outgoing { to, message: Message::Heartbeat(heartbeat) });
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -25,11 +25,9 @@
 mod store;
 
 pub use client::{Client, ClientEvent, ClientParams, ClientStatus};
-pub use configuration::{Acknowledgement, ConfigurationVersion, Outdated, VersionId};
+pub use configuration::{Acknowledgement, ConfigurationVersion, OutdatedVersion, VersionId};
 pub use coordinator::{Coordinator, CoordinatorEvent, CoordinatorParams, Counts};
-pub use message::{
-    Continuity, Cursor, Heartbeat, Message, Subscription, Update, MOST_PUBLISHED, MOST_SERVERS,
-};
+pub use message::{Continuity, Cursor, Heartbeat, Message, Subscription, Update, MAX_PUBLISHED, MAX_SERVERS};
 pub use statement::{
     Incarnation, Key, LevelPin, MemberState, NodeId, ServerState, Statement, Value, Version,
 };
--- a/crates/coordinator/src/message.rs
+++ b/crates/coordinator/src/message.rs
@@ -5,21 +5,21 @@
 use std::net::SocketAddr;
 
 /// Servers that one client may subscribe to.
-pub const MOST_SERVERS: usize = 256;
+pub const MAX_SERVERS: usize = 256;
 /// Statements that one heartbeat may publish.
-pub const MOST_PUBLISHED: usize = 16;
+pub const MAX_PUBLISHED: usize = 16;
 
 /// What a front wants to be told: versions of the configuration, pins of levels, and the newest word on each of these
 /// servers. Coordinators are told everything.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscription {
-    /// Addresses, [`MOST_SERVERS`] at most.
+    /// Addresses, [`MAX_SERVERS`] at most.
     pub servers: Vec<SocketAddr>,
 }
 
 impl Subscription {
     pub(crate) fn is_sound(&self) -> bool {
-        self.servers.len() <= MOST_SERVERS
+        self.servers.len() <= MAX_SERVERS
     }
 }
 
@@ -52,7 +52,7 @@
     /// It wants an answer though there may be no news.
     pub wants_answer: bool,
     /// It departs in order.
-    pub leaves: bool,
+    pub is_leaving: bool,
 }
 
 /// How an update follows what its client holds.
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -13,7 +13,7 @@
 
 impl Coordinator {
     pub(crate) fn refill(&mut self, now: f64) {
-        let rate = self.params.bytes_a_second;
+        let rate = self.params.max_bytes_per_second;
         let gained = rate * (now - self.allowance_at).max(0.0);
         self.allowance = (self.allowance + gained).min(rate);
         self.allowance_at = now;
@@ -63,7 +63,7 @@
             self.send_update(now, client, Continuity::Confirmed, 0, to, Vec::new());
             return false;
         }
-        if begins && snapshots >= self.params.most_snapshots {
+        if begins && snapshots >= self.params.max_snapshots {
             let asks = std::mem::take(&mut session.wants_answer);
             if asks {
                 self.turn_away(client);
--- a/crates/coordinator/src/statement.rs
+++ b/crates/coordinator/src/statement.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::{Acknowledgement, ConfigurationVersion};
 use serde::{Deserialize, Serialize};
-use shalespindle_membership::Told;
+use shalespindle_membership::ReportedState;
 use std::net::SocketAddr;
 
 /// A front or a coordinator, by a name that outlives restarts.
@@ -45,7 +45,7 @@
     /// Counts the starts of the server.
     pub incarnation: u64,
     /// What was last told of that start.
-    pub told: Told,
+    pub state: ReportedState,
 }
 
 /// An operator's pin of the level of reduced service for all fronts.
@@ -74,7 +74,7 @@
 
 impl Key {
     /// Whether a statement outlives the process that made it: an operator's words do.
-    pub(crate) fn outlives_owner(self) -> bool {
+    pub(crate) fn outlives_process(self) -> bool {
         self == Key::Member || self.is_operators()
     }
 
--- a/crates/coordinator/src/status.rs
+++ b/crates/coordinator/src/status.rs
@@ -33,7 +33,7 @@
     /// Versions that were announced elsewhere without knowledge of the one in force, and lost to it.
     pub lost: Vec<ConfigurationVersion>,
     /// Other coordinators that it has never been level with, or not for so long that it suspects them.
-    pub unheard: Vec<NodeId>,
+    pub unreachable: Vec<NodeId>,
     /// See [`Counts`].
     pub counts: Counts,
 }
@@ -49,9 +49,9 @@
             });
             members.filter(|state| *state == wanted).count()
         };
-        let is_unheard =
+        let is_unreachable =
             |level_at: Option<f64>| level_at.is_none_or(|at| now - at >= self.params.suspect_after);
-        let unheard = self.followed.iter().filter(|(_, follower)| is_unheard(follower.level_at));
+        let unreachable = self.followed.iter().filter(|(_, follower)| is_unreachable(follower.level_at));
         CoordinatorStatus {
             sessions: self.sessions.len(),
             statements: self.store.len(),
@@ -60,7 +60,7 @@
             in_force,
             behind: self.behind(in_force.map(|version| version.id).unwrap_or_default()),
             lost: self.store.lost(),
-            unheard: unheard.map(|(peer, _)| *peer).collect(),
+            unreachable: unreachable.map(|(peer, _)| *peer).collect(),
             counts: self.counts,
         }
     }
--- a/crates/coordinator/src/store.rs
+++ b/crates/coordinator/src/store.rs
@@ -21,7 +21,7 @@
     /// There is no room for another statement.
     Full,
     /// Its value does not fit its key.
-    Unsound,
+    Invalid,
 }
 
 /// Which statements a client is told.
@@ -116,7 +116,7 @@
     /// Takes a statement up where it is newer than what is held under its key.
     pub fn apply(&mut self, now: f64, statement: Statement, source: Source) -> Applied {
         if !statement.is_sound() {
-            return Applied::Unsound;
+            return Applied::Invalid;
         }
         let (owner, key, version) = (statement.owner, statement.key, statement.version);
         let place = (owner, key);
@@ -154,7 +154,7 @@
     /// Guards against words of a process that has ended, told on by somebody who has not heard of its successor.
     fn is_of_ended_process(&self, owner: NodeId, key: Key, version: Version) -> bool {
         let current = self.entries.get(&(owner, Key::Member)).map(|entry| entry.version.incarnation);
-        !key.outlives_owner() && current.is_some_and(|current| version.incarnation < current)
+        !key.outlives_process() && current.is_some_and(|current| version.incarnation < current)
     }
 
     /// Deletes what processes of that owner before this one had said, operators' words apart.
@@ -162,7 +162,7 @@
         let of_owner = self.entries.range((owner, Key::Member)..=(owner, Key::Acknowledgement));
         let ended: Vec<Key> = of_owner
             .filter(|((_, key), entry)| {
-                !key.outlives_owner() && entry.value.is_some() && entry.version.incarnation < incarnation
+                !key.outlives_process() && entry.value.is_some() && entry.version.incarnation < incarnation
             })
             .map(|((_, key), _)| *key)
             .collect();
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -7,7 +7,7 @@
     Client, ClientEvent, ClientParams, Coordinator, CoordinatorEvent, CoordinatorParams, Incarnation,
     Message, NodeId, ServerState,
 };
-use shalespindle_membership::Told;
+use shalespindle_membership::ReportedState;
 use shalespindle_timeline::Timeline;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
     SocketAddr::from(([10, 1, 0, n], 5060))
 }
 
-pub fn state(incarnation: u64, told: Told) -> ServerState {
-    ServerState { incarnation, told }
+pub fn state(incarnation: u64, state: ReportedState) -> ServerState {
+    ServerState { incarnation, state }
 }
 
 fn name_of(node: NodeId) -> String {
@@ -46,7 +46,7 @@
     match event {
         ClientEvent::InForce(version) => format!("acts on {}", version.id.number),
         ClientEvent::Server(address, Some(state)) => {
-            format!("{address} {:?} {}", state.told, state.incarnation)
+            format!("{address} {:?} {}", state.state, state.incarnation)
         }
         ClientEvent::Server(address, None) => format!("{address} gone"),
         ClientEvent::Level(level) => format!("level {level:?}"),
@@ -153,9 +153,9 @@
         let arrived: Vec<(f64, NodeId, NodeId, Message)> = arrived;
         for (_, from, to, message) in arrived {
             if let Some(coordinator) = self.coordinators.get_mut(&to) {
-                coordinator.heard(now, from, message);
+                coordinator.receive(now, from, message);
             } else if let Some(client) = self.clients.get_mut(&to) {
-                client.heard(now, from, message);
+                client.receive(now, from, message);
             }
         }
         let mut sent = Vec::new();
@@ -176,8 +176,8 @@
             while let Some(event) = client.next_event() {
                 if matches!(event, ClientEvent::InForce(_)) {
                     match self.refusing.get(name) {
-                        Some(reason) => client.refuse(now, reason),
-                        None => client.act(now),
+                        Some(reason) => client.refuse_version(now, reason),
+                        None => client.accept_version(now),
                     }
                 }
                 let place = self.peers.len() + (name.0 - FIRST_CLIENT) as usize;
--- a/crates/coordinator/tests/dissemination.rs
+++ b/crates/coordinator/tests/dissemination.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use shalespindle_coordinator::{ClientEvent, Message, NodeId};
-use shalespindle_membership::Told;
+use shalespindle_membership::ReportedState;
 
 #[test]
 fn a_version_announced_at_any_node_is_in_force_everywhere_and_acknowledged() {
@@ -21,7 +21,7 @@
         let status = world.coordinators[&NodeId(coordinator)].status(world.now);
         assert_eq!((status.behind.len(), status.in_force.unwrap().id.number), (0, 8));
         assert_eq!(status.members, [9, 0, 0], "three coordinators and six clients");
-        assert_eq!(status.unheard, []);
+        assert_eq!(status.unreachable, []);
     }
     // A number that is not higher is refused with the least that would be taken.
     let now = world.now;
@@ -60,18 +60,21 @@
     world.until("all connected", 3.0, |world| world.all_connected());
     let now = world.now;
     for n in 0..4 {
-        world.client(n).tell_server(now, server(0), Some(state(5, Told::Ready)));
-        world.client(n).tell_server(now, server(9), Some(state(1, Told::Ready)));
+        world.client(n).report_server(now, server(0), Some(state(5, ReportedState::Ready)));
+        world.client(n).report_server(now, server(9), Some(state(1, ReportedState::Ready)));
     }
-    world.client(1).tell_server(now, server(0), Some(state(5, Told::Draining)));
+    world.client(1).report_server(now, server(0), Some(state(5, ReportedState::Draining)));
     world.until("all know of the drain", 2.0, |world| {
-        world.clients.values().all(|client| client.server(server(0)) == Some(state(5, Told::Draining)))
+        world
+            .clients
+            .values()
+            .all(|client| client.server(server(0)) == Some(state(5, ReportedState::Draining)))
     });
     // One start on: whoever tells of it first counts.
     let now = world.now;
-    world.client(3).tell_server(now, server(0), Some(state(6, Told::Ready)));
+    world.client(3).report_server(now, server(0), Some(state(6, ReportedState::Ready)));
     world.until("all know of the start", 2.0, |world| {
-        world.clients.values().all(|client| client.server(server(0)) == Some(state(6, Told::Ready)))
+        world.clients.values().all(|client| client.server(server(0)) == Some(state(6, ReportedState::Ready)))
     });
     let told_of = |world: &World, address| {
         let is_of = |(_, event): &&(NodeId, ClientEvent)| matches!(event, ClientEvent::Server(told, _) if *told == address);
@@ -90,16 +93,16 @@
     let mut world = World::new(3, 3);
     world.until("all connected", 3.0, |world| world.all_connected());
     let now = world.now;
-    world.client(0).tell_server(now, server(0), Some(state(5, Told::Draining)));
-    world.client(1).tell_server(now, server(0), Some(state(4, Told::Ready)));
+    world.client(0).report_server(now, server(0), Some(state(5, ReportedState::Draining)));
+    world.client(1).report_server(now, server(0), Some(state(4, ReportedState::Ready)));
     let knows =
         |world: &World, n: u64, wanted| world.clients[&NodeId(FIRST_CLIENT + n)].server(server(0)) == wanted;
-    world.until("the drain", 2.0, |world| knows(world, 2, Some(state(5, Told::Draining))));
+    world.until("the drain", 2.0, |world| knows(world, 2, Some(state(5, ReportedState::Draining))));
     // A new process of that front's name says nothing of the server: what the other one says counts.
     world.start_client(0);
-    world.until("the other's word", 4.0, |world| knows(world, 2, Some(state(4, Told::Ready))));
+    world.until("the other's word", 4.0, |world| knows(world, 2, Some(state(4, ReportedState::Ready))));
     let now = world.now;
-    world.client(1).tell_server(now, server(0), None);
+    world.client(1).report_server(now, server(0), None);
     world.until("nothing any more", 2.0, |world| knows(world, 2, None));
     assert!(world.client_events.contains(&(NodeId(FIRST_CLIENT + 2), ClientEvent::Server(server(0), None))));
 }
--- a/crates/coordinator/tests/failures.rs
+++ b/crates/coordinator/tests/failures.rs
@@ -5,9 +5,9 @@
 use common::*;
 use shalespindle_coordinator::{
     ClientEvent, CoordinatorEvent, CoordinatorParams, Heartbeat, Incarnation, Key, MemberState, Message,
-    NodeId, Statement, Subscription, Value, Version, MOST_SERVERS,
+    NodeId, Statement, Subscription, Value, Version, MAX_SERVERS,
 };
-use shalespindle_membership::Told;
+use shalespindle_membership::ReportedState;
 
 fn client_name(n: u64) -> NodeId {
     NodeId(FIRST_CLIENT + n)
@@ -35,8 +35,8 @@
     // The third replica misses what the first two hear; then the first one dies.
     world.cut_off.insert(NodeId(2));
     for client in 0..9 {
-        world.client(client).tell_server(now, server(0), Some(state(5, Told::Ready)));
-        world.client(client).refuse(now, "no room");
+        world.client(client).report_server(now, server(0), Some(state(5, ReportedState::Ready)));
+        world.client(client).refuse_version(now, "no room");
     }
     world.pass(0.5);
     world.coordinators.remove(&NodeId(0));
@@ -58,13 +58,13 @@
 fn an_update_for_a_clients_process_of_before_says_nothing_to_its_next_one() {
     let mut world = World::settled(1, 1);
     let now = world.now;
-    (0..20).for_each(|n| world.client(0).tell_server(now, server(n), Some(state(1, Told::Ready))));
+    (0..20).for_each(|n| world.client(0).report_server(now, server(n), Some(state(1, ReportedState::Ready))));
     world.pass(3.0);
     let is_update = |message: &Message| matches!(message, Message::Update(_));
     let (_, from, _, late) = world.log.iter().rev().find(|(.., message)| is_update(message)).unwrap().clone();
     world.start_client(0);
     let now = world.now;
-    world.client(0).heard(now, from, late);
+    world.client(0).receive(now, from, late);
     let now = world.now;
     world.client(0).announce(now, 9, 90).unwrap();
     world.pass(3.0);
@@ -75,7 +75,7 @@
 fn without_any_coordinator_clients_keep_what_they_hold_and_say_how_old_it_is() {
     let mut world = World::settled(3, 4);
     let now = world.now;
-    world.client(0).tell_server(now, server(0), Some(state(5, Told::Draining)));
+    world.client(0).report_server(now, server(0), Some(state(5, ReportedState::Draining)));
     world.pass(1.0);
     world.coordinators.clear();
     world.pass(60.0);
@@ -83,7 +83,7 @@
         let status = client.status(world.now);
         assert_eq!((status.coordinator, status.acts_on.number), (None, 1));
         assert!(status.age.unwrap() > 58.0);
-        assert_eq!(client.server(server(0)), Some(state(5, Told::Draining)));
+        assert_eq!(client.server(server(0)), Some(state(5, ReportedState::Draining)));
     }
     let lost = |(_, event): &&(NodeId, ClientEvent)| *event == ClientEvent::Connected(false);
     assert_eq!(world.client_events.iter().filter(lost).count(), 4, "each told once");
@@ -216,7 +216,7 @@
 
 #[test]
 fn past_its_bounds_a_coordinator_turns_clients_away_with_a_time_to_come_back() {
-    let params = CoordinatorParams { most_sessions: 3, ..CoordinatorParams::default() };
+    let params = CoordinatorParams { max_sessions: 3, ..CoordinatorParams::default() };
     let mut world = World::with(params, 1, 5);
     world.pass(6.0);
     assert_eq!(world.coordinators[&NodeId(0)].sessions(), 3);
@@ -241,19 +241,19 @@
         subscription,
         publish,
         wants_answer: true,
-        leaves: false,
+        is_leaving: false,
     })
 }
 
 #[test]
 fn statements_of_others_unsound_ones_and_those_without_room_are_refused_and_counted() {
-    let params = CoordinatorParams { most_statements: 4, ..CoordinatorParams::default() };
+    let params = CoordinatorParams { max_statements: 4, ..CoordinatorParams::default() };
     let mut world = World::with(params, 1, 0);
     let name = NodeId(500);
     let version = |sequence| Version { incarnation: Incarnation { number: 5, nonce: 5 }, sequence };
     let own =
         |key, sequence, value| Statement { owner: name, key, version: version(sequence), value: Some(value) };
-    let ready = || Value::Server(state(1, Told::Ready));
+    let ready = || Value::Server(state(1, ReportedState::Ready));
     let publish = vec![
         own(Key::Server(server(0)), 1, ready()),
         // A value of another kind than its key's, a word on itself as a member, a word of another front.
@@ -270,13 +270,13 @@
         own(Key::Server(server(4)), 6, ready()),
     ];
     let now = world.now;
-    world.coordinator(0).heard(now, name, heartbeat(publish, None));
+    world.coordinator(0).receive(now, name, heartbeat(publish, None));
     let coordinator = &world.coordinators[&NodeId(0)];
     assert_eq!((coordinator.counts().refused, coordinator.store().len()), (4, 4));
     // A subscription past its bound is not taken.
-    let many = (0..=MOST_SERVERS).map(|n| std::net::SocketAddr::from(([10, 2, (n / 256) as u8, n as u8], 1)));
+    let many = (0..=MAX_SERVERS).map(|n| std::net::SocketAddr::from(([10, 2, (n / 256) as u8, n as u8], 1)));
     let now = world.now;
-    world.coordinator(0).heard(
+    world.coordinator(0).receive(
         now,
         name,
         heartbeat(Vec::new(), Some(Subscription { servers: many.collect() })),
--- a/crates/front/src/io.rs
+++ b/crates/front/src/io.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use shalespindle_levels::Why;
-use shalespindle_membership::{Change, Listed, Warning};
+use shalespindle_membership::{Change, ListEntry, PeerWarning};
 use shalespindle_replica::CallWord;
 use shalespindle_sites::{Narrowing, Observed};
 use shalespindle_srv::{In, Step, Ticket};
@@ -65,7 +65,7 @@
     /// What became of a question to a name server.
     Name(In<'a>),
     /// What other fronts' lists come to for a server.
-    Warned(Warning),
+    Warned(PeerWarning),
     /// What became of a question for a call that another front set up.
     Found {
         ticket: u64,
@@ -125,7 +125,7 @@
         ticket: Ticket,
     },
     /// This front's list told of a server: for other fronts, where there are any.
-    Told(Listed),
+    Told(ListEntry),
     /// What this front sees of sites: for the fleet.
     Sees(Observed),
     /// A call stands here, or stands no more: for other fronts.
--- a/crates/front/src/pool_list.rs
+++ b/crates/front/src/pool_list.rs
@@ -7,7 +7,7 @@
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
-use shalespindle_membership::{Listed, Told};
+use shalespindle_membership::{ListEntry, ReportedState};
 use std::net::SocketAddr;
 
 /// Longest line of the feed, bytes; a longer one ends the connection.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct News {
     pub whole: bool,
-    pub servers: Vec<Listed>,
+    pub servers: Vec<ListEntry>,
 }
 
 /// Why a line was not taken.
@@ -125,14 +125,14 @@
     }
 }
 
-fn listed(now: f64, server: &Server) -> Listed {
-    Listed {
+fn listed(now: f64, server: &Server) -> ListEntry {
+    ListEntry {
         address: server.address,
         pool: server.pool,
-        told: match server.state {
-            ServerState::Ready => Told::Ready,
-            ServerState::Draining => Told::Draining,
-            ServerState::Gone => Told::Gone,
+        state: match server.state {
+            ServerState::Ready => ReportedState::Ready,
+            ServerState::Draining => ReportedState::Draining,
+            ServerState::Gone => ReportedState::Gone,
         },
         incarnation: server.incarnation,
         started: match server.age_ms {
@@ -168,8 +168,8 @@
     fn lines_become_what_is_listed() {
         let mut list = PoolList::default();
         let news = taken(&mut list, &line(1, 1, true, &[(1, "ready", 3), (2, "draining", 1)])).unwrap();
-        let told: Vec<Told> = news.servers.iter().map(|s| s.told).collect();
-        assert_eq!((news.whole, told), (true, vec![Told::Ready, Told::Draining]));
+        let told: Vec<ReportedState> = news.servers.iter().map(|s| s.state).collect();
+        assert_eq!((news.whole, told), (true, vec![ReportedState::Ready, ReportedState::Draining]));
         assert_eq!((news.servers[0].started, news.servers[0].incarnation), (99.5, 3));
     }
 
--- a/crates/front/src/sites.rs
+++ b/crates/front/src/sites.rs
@@ -6,7 +6,7 @@
 use crate::links::LinkState;
 use crate::told::Told;
 use shalespindle_control::interface::{PoolEntry, PoolName};
-use shalespindle_membership::Verdict;
+use shalespindle_membership::ServiceStatus;
 use shalespindle_sites::{Narrowing, Observed, ObservedServer};
 use std::collections::BTreeSet;
 
@@ -86,7 +86,9 @@
             .sources
             .members
             .members()
-            .map(|m| (m.name(), m.pool(), of(m.pool(), m.address()), m.verdict() == Verdict::In, m.started()))
+            .map(|m| {
+                (m.name(), m.pool(), of(m.pool(), m.address()), m.status() == ServiceStatus::In, m.started())
+            })
             .collect();
         // A procedure keeps some server where a site is out by the fleet's finding alone.
         let keeps = |pools: &[u16]| members.iter().any(|m| m.3 && pools.contains(&m.1) && !out(false, m.2));
--- a/crates/front/src/sources.rs
+++ b/crates/front/src/sources.rs
@@ -8,7 +8,8 @@
 use crate::told::Told;
 use shalespindle_control::interface::PoolEntry;
 use shalespindle_membership::{
-    first_choices, Answer, Change, Found, Member, Membership, Numbers, Remembered, Verdict, Warning,
+    first_choices, Change, DnsRecord, LookupResult, Member, Membership, PeerWarning, PoolNumbers,
+    ServiceStatus, StoredMember,
 };
 use shalespindle_srv::{In, Out, Outcome, Resolver, Step};
 use std::net::SocketAddr;
@@ -33,7 +34,7 @@
 
 struct Dns {
     resolver: Resolver,
-    numbers: Numbers,
+    numbers: PoolNumbers,
     names: Vec<String>,
     /// What the last look-up of each name came to, and when.
     last: Vec<Option<(f64, &'static str)>>,
@@ -68,42 +69,42 @@
     fn new(params: &DnsParams, seed: u64, now: f64) -> Dns {
         Dns {
             resolver: Resolver::new(params.resolver.clone(), seed, now),
-            numbers: Numbers::new(params.pools.clone(), params.first_pool, MOST_NUMBERED),
+            numbers: PoolNumbers::new(params.pools.clone(), params.first_pool, MOST_NUMBERED),
             names: params.resolver.names.iter().map(|n| n.to_string()).collect(),
             last: vec![None; params.resolver.names.len()],
         }
     }
 
     /// Targets as the membership module takes them: each address a server of its target's pool.
-    fn answer(&mut self, outcome: Outcome) -> Answer {
+    fn answer(&mut self, outcome: Outcome) -> LookupResult {
         let (targets, lifetime) = match outcome {
             Outcome::Servers { targets, lifetime } => (targets, lifetime),
-            Outcome::Empty => return Answer::Empty,
-            Outcome::Failed => return Answer::Failed,
+            Outcome::Empty => return LookupResult::Empty,
+            Outcome::Failed => return LookupResult::Failed,
         };
         let mut found = Vec::new();
         for target in targets {
-            let Some(pool) = self.numbers.of(&target.name.to_string()) else { continue };
+            let Some(pool) = self.numbers.number_for(&target.name.to_string()) else { continue };
             for address in target.addresses {
                 let address = SocketAddr::new(address, target.port);
                 let (priority, weight) = (target.priority, target.weight);
-                found.push(Found { address, pool, priority, weight });
+                found.push(DnsRecord { address, pool, priority, weight });
             }
         }
-        Answer::Servers { found, lifetime }
+        LookupResult::Servers { records: found, lifetime }
     }
 }
 
 impl Front {
     /// What the last run knew, `age` seconds ago. Call it before the first report.
-    pub fn restore(&mut self, now: f64, age: f64, remembered: &[Remembered]) {
+    pub fn restore(&mut self, now: f64, age: f64, remembered: &[StoredMember]) {
         self.sources.stirred = true;
         self.sources.members.restore(now, age, remembered);
     }
 
     /// What the next run should know.
-    pub fn remember(&self) -> Vec<Remembered> {
-        self.sources.members.remember()
+    pub fn remember(&self) -> Vec<StoredMember> {
+        self.sources.members.stored_members()
     }
 
     /// All servers known, with what each source says of them.
@@ -113,12 +114,12 @@
 
     /// Servers not taken up for want of room.
     pub fn turned_away(&self) -> u64 {
-        self.sources.members.turned_away()
+        self.sources.members.rejected()
     }
 
     /// Seconds that the pool list's feed has been away; none while it is there.
     pub fn feed_away(&self, now: f64) -> Option<f64> {
-        self.sources.members.feed_away(now)
+        self.sources.members.feed_lost_for(now)
     }
 
     /// The names that are looked up.
@@ -142,7 +143,7 @@
         while let Some(line) = self.sources.list.next_line(now) {
             match line {
                 Ok(news) => {
-                    self.sources.members.listed(now, news.whole, &news.servers);
+                    self.sources.members.apply_list(now, news.whole, &news.servers);
                     if self.params.tells {
                         self.outputs.extend(news.servers.into_iter().map(Output::Told));
                     }
@@ -153,7 +154,7 @@
                 }
                 Err(Dropped::Backwards { epoch, sequence }) => {
                     // No news, but the feed is there.
-                    self.sources.members.listed(now, false, &[]);
+                    self.sources.members.apply_list(now, false, &[]);
                     let detail = format!("epoch {epoch}, line {sequence}");
                     self.event(Event::Feed { what: "old news", detail });
                 }
@@ -161,9 +162,9 @@
         }
     }
 
-    pub(crate) fn warned(&mut self, now: f64, warning: Warning) {
+    pub(crate) fn warned(&mut self, now: f64, warning: PeerWarning) {
         self.sources.stirred = true;
-        self.sources.members.warned(now, warning);
+        self.sources.members.apply_warning(now, warning);
     }
 
     pub(crate) fn feed_lost(&mut self, now: f64) {
@@ -175,7 +176,7 @@
     /// A server that ended its connection is up again.
     pub(crate) fn came_back(&mut self, now: f64, server: SocketAddr) {
         self.sources.stirred = true;
-        self.sources.members.came_back(now, server);
+        self.sources.members.reconnected(now, server);
     }
 
     pub(crate) fn dns(&mut self, now: f64, report: In) {
@@ -191,7 +192,7 @@
             return;
         }
         self.heed_resolver(now);
-        self.sources.members.settle(now);
+        self.sources.members.evaluate(now);
         self.sources.dealt = first_choices(self.sources.members.members(), self.params.dealt_groups);
         let mut entries = Vec::new();
         let mut changes = Vec::new();
@@ -200,7 +201,7 @@
                 name: change.name,
                 number: change.pool,
                 started: change.started,
-                ready: change.verdict == Verdict::In && !self.narrowed.leaves_alone(change.name),
+                ready: change.status == ServiceStatus::In && !self.narrowed.leaves_alone(change.name),
             });
             changes.push(change);
         }
@@ -213,7 +214,7 @@
         // A server that the list has just named may be of a site that is out.
         self.leave_alone(now);
         let resolver = self.sources.dns.as_ref().map_or(f64::INFINITY, |dns| dns.resolver.due());
-        let due = resolver.min(self.sources.members.due(now));
+        let due = resolver.min(self.sources.members.next_deadline(now));
         if due < self.sources.wake {
             self.sources.wake = due;
             self.timers.set(due, Due::Sources);
@@ -244,7 +245,7 @@
                     };
                     dns.last[name] = Some((now, what));
                     let answer = dns.answer(outcome);
-                    self.sources.members.answered(now, name, &answer);
+                    self.sources.members.apply_lookup(now, name, &answer);
                 }
             }
         }
@@ -275,9 +276,9 @@
         let place = self.link_of(change);
         let link = &mut self.links[place];
         link.number = change.pool;
-        link.ready = change.verdict == Verdict::In && !self.narrowed.leaves_alone(change.name);
-        link.listed = change.verdict != Verdict::Out;
-        let is_in = change.verdict == Verdict::In;
+        link.ready = change.status == ServiceStatus::In && !self.narrowed.leaves_alone(change.name);
+        link.listed = change.status != ServiceStatus::Out;
+        let is_in = change.status == ServiceStatus::In;
         self.event(Event::Pool { change: *change, age: age(now, change.started) });
         if is_in {
             return self.connect_when_due(now, place);
--- a/crates/front/tests/fuzz.rs
+++ b/crates/front/tests/fuzz.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_front::Input;
-use shalespindle_membership::Verdict;
+use shalespindle_membership::ServiceStatus;
 use shalespindle_signalling::Message;
 
 fn mutated(seeds: &[String], rng: &mut ChaCha8Rng) -> Vec<u8> {
@@ -104,7 +104,7 @@
     assert_eq!(b.front.in_hand(), 0, "all were answered");
     b.take(Input::FeedConnected);
     b.list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
-    assert_eq!(b.front.members().filter(|m| m.verdict() == Verdict::In).count(), 3);
+    assert_eq!(b.front.members().filter(|m| m.status() == ServiceStatus::In).count(), 3);
     b.pass(5.0);
     let offered = b.front.counters().offered;
     b.answers.clear();
--- a/crates/front/tests/names.rs
+++ b/crates/front/tests/names.rs
@@ -5,7 +5,7 @@
 use common::*;
 use shalespindle_front::params::{DnsParams, FirstChoice};
 use shalespindle_front::{Front, Input, Params};
-use shalespindle_membership::Verdict;
+use shalespindle_membership::ServiceStatus;
 use shalespindle_srv::{In, Name, ResolverParams};
 use shalespindle_standin::nameserver::{Entry, NameServer, Script};
 use std::net::SocketAddr;
@@ -97,8 +97,8 @@
     (b, core)
 }
 
-fn verdict(b: &Bench, at: u16) -> Option<Verdict> {
-    b.front.members().find(|m| m.address() == server(at)).map(|m| m.verdict())
+fn verdict(b: &Bench, at: u16) -> Option<ServiceStatus> {
+    b.front.members().find(|m| m.address() == server(at)).map(|m| m.status())
 }
 
 fn ok(b: &mut Bench, at: u16, set_up: &str) {
@@ -127,7 +127,7 @@
     // The same name, another address.
     publish(&mut core, &[(0, 2, 10), (1, 1, 20)]);
     pass(&mut b, &mut core, 11.0);
-    assert_eq!((verdict(&b, 0), verdict(&b, 2)), (Some(Verdict::Draining), Some(Verdict::In)));
+    assert_eq!((verdict(&b, 0), verdict(&b, 2)), (Some(ServiceStatus::Draining), Some(ServiceStatus::In)));
     // It is cold where it is now; then it is the first choice again.
     pass(&mut b, &mut core, 20.0);
     b.frames.clear();
@@ -154,7 +154,7 @@
         assert_eq!(to, server(1), "DNS over TCP still names the other, but the list drains it");
         ok(&mut b, 1, &set_up);
     }
-    assert!(core.asked.len() > 4 && verdict(&b, 0) == Some(Verdict::Draining));
+    assert!(core.asked.len() > 4 && verdict(&b, 0) == Some(ServiceStatus::Draining));
 }
 
 #[test]
@@ -162,8 +162,8 @@
     let (mut b, mut core) = started(&[(0, 0, 10), (1, 1, 10)]);
     core.script = Script::Silent;
     pass(&mut b, &mut core, 100.0);
-    assert_eq!((verdict(&b, 0), verdict(&b, 1)), (Some(Verdict::In), Some(Verdict::In)));
-    assert!(b.front.members().all(|m| m.warned()), "with a warning by now");
+    assert_eq!((verdict(&b, 0), verdict(&b, 1)), (Some(ServiceStatus::In), Some(ServiceStatus::In)));
+    assert!(b.front.members().all(|m| m.needs_attention()), "with a warning by now");
     b.invite("1", "tg-0", 3000);
     assert_eq!(b.set_ups(), 1);
 }
--- a/crates/lab/src/coordinated/fleet.rs
+++ b/crates/lab/src/coordinated/fleet.rs
@@ -188,8 +188,8 @@
         self.traffic[to].frames += 1;
         let Ok((from, Body::Coordinator(message))) = codec.read(frame) else { return };
         match &mut self.nodes[to] {
-            Node::Coordinator(coordinator) => coordinator.heard(self.now, NodeId(from.0), message),
-            Node::Front(front) => front.client.heard(self.now, NodeId(from.0), message),
+            Node::Coordinator(coordinator) => coordinator.receive(self.now, NodeId(from.0), message),
+            Node::Front(front) => front.client.receive(self.now, NodeId(from.0), message),
             Node::Down => {}
         }
     }
@@ -243,7 +243,7 @@
             if let ClientEvent::InForce(version) = event {
                 went_back += u64::from(version.id.number < self.in_force);
                 self.in_force = version.id.number;
-                self.client.act(now);
+                self.client.accept_version(now);
             }
         }
         // What acting called forth goes out in the same turn.
--- a/crates/lab/src/coordinated/measure.rs
+++ b/crates/lab/src/coordinated/measure.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use serde::Serialize;
 use shalespindle_coordinator::{Key, ServerState, Value};
-use shalespindle_membership::Told;
+use shalespindle_membership::ReportedState;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -200,13 +200,13 @@
     }
 
     /// Every front whose list names the server tells what it tells of it.
-    fn tell_server(&mut self, server: usize, told: Told) {
+    fn tell_server(&mut self, server: usize, told: ReportedState) {
         let now = self.fleet.now;
         let (address, state) =
-            (server_address(server), ServerState { incarnation: self.server_starts[server], told });
+            (server_address(server), ServerState { incarnation: self.server_starts[server], state: told });
         for place in self.fleet.fronts() {
             if let Some(front) = self.fleet.front(place).filter(|front| front.scope.contains(&address)) {
-                front.client.tell_server(now, address, Some(state));
+                front.client.report_server(now, address, Some(state));
             }
         }
     }
@@ -293,7 +293,7 @@
 
     /// From the start until a first version is in force everywhere; what that cost is not measured.
     fn settle(&mut self) {
-        (0..self.shape.fronts).for_each(|server| self.tell_server(server, Told::Ready));
+        (0..self.shape.fronts).for_each(|server| self.tell_server(server, ReportedState::Ready));
         self.pass(5.0);
         self.announce_at(0);
         self.rest();
@@ -337,7 +337,7 @@
                 let place = self.fleet.rng.random_range(0..self.fleet.nodes.len());
                 self.announce_at(place);
             }
-            Happening::Drain(server) => self.tell_server(server, Told::Draining),
+            Happening::Drain(server) => self.tell_server(server, ReportedState::Draining),
             Happening::Restart(server) => {
                 self.server_starts[server] += 1;
                 // Its front goes with it.
@@ -346,7 +346,7 @@
                 self.fleet.kill(place);
                 self.start_front(place);
                 self.tell_own_list(place);
-                self.tell_server(server, Told::Ready);
+                self.tell_server(server, ReportedState::Ready);
             }
         }
     }
@@ -369,9 +369,9 @@
     fn tell_own_list(&mut self, place: Place) {
         let now = self.fleet.now;
         for server in self.scope(place) {
-            let state = ServerState { incarnation: self.server_starts[server], told: Told::Ready };
+            let state = ServerState { incarnation: self.server_starts[server], state: ReportedState::Ready };
             if let Some(front) = self.fleet.front(place) {
-                front.client.tell_server(now, server_address(server), Some(state));
+                front.client.report_server(now, server_address(server), Some(state));
             }
         }
     }
--- a/crates/lab/src/fleet_size.rs
+++ b/crates/lab/src/fleet_size.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use shalespindle_peer_wire::{front_id, Body, Codec};
 use shalespindle_peers::{FrontId, Life};
-use shalespindle_replica::{CallWord, Fleet, FleetParams, Message, Out, ServerWord, Told};
+use shalespindle_replica::{CallWord, Fleet, FleetParams, Message, Out, ReportedState, ServerWord};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -262,7 +262,7 @@
 fn spread(sim: &mut Sim, out: &mut Size) {
     let now = sim.now;
     let address = SocketAddr::from(([10, 1, 0, 1], 5060));
-    let word = ServerWord { pool: 1, incarnation: 1, told: Told::Draining, age: None };
+    let word = ServerWord { pool: 1, incarnation: 1, told: ReportedState::Draining, age: None };
     if let Some(front) = sim.at(0) {
         front.tell_server(now, address, word);
     }
--- a/crates/lab/src/names.rs
+++ b/crates/lab/src/names.rs
@@ -4,8 +4,8 @@
 use crate::parallel;
 use crate::play::{play, Fronts};
 use crate::scenario::{Scenario, ScenarioError, Trouble, TroubleKind};
-use shalespindle_membership::table::{row, Ruling};
-use shalespindle_membership::{DnsWord, ListWord};
+use shalespindle_membership::table::{row, Decision};
+use shalespindle_membership::{DnsStatus, ListStatus};
 use shalespindle_standin::nameserver::Script;
 use shalespindle_standin::trace::{Entry, FrontId, Seen, ServerId};
 use std::collections::{BTreeSet, HashMap};
@@ -82,18 +82,18 @@
             }
             Seen::SetUp { front, server, .. } => {
                 let list = match listed.get(&(*front, *server)).filter(|_| with_list) {
-                    Some(true) => ListWord::Ready,
-                    Some(false) => ListWord::Draining,
-                    None => ListWord::NeverHeard,
+                    Some(true) => ListStatus::Ready,
+                    Some(false) => ListStatus::Draining,
+                    None => ListStatus::NeverReported,
                 };
                 let dns = match named.get(&(*front, *server)) {
-                    Some((_, Some(at))) if *now > at + grace => DnsWord::Absent,
-                    Some((at, _)) if *now < at + lifetime => DnsWord::Present,
-                    Some(_) => DnsWord::Failing,
-                    None => DnsWord::NeverHeard,
+                    Some((_, Some(at))) if *now > at + grace => DnsStatus::Absent,
+                    Some((at, _)) if *now < at + lifetime => DnsStatus::Present,
+                    Some(_) => DnsStatus::Failing,
+                    None => DnsStatus::NeverReported,
                 };
                 let row = row(list, dns);
-                if !matches!(row.ruling, Ruling::In | Ruling::InCold | Ruling::InWarned) {
+                if !matches!(row.decision, Decision::In | Decision::InCold | Decision::InWithWarning) {
                     faults.push(format!(
                         "{now:.3}: set-up to server {server} by row {list}, {dns}: {}",
                         row.reason
--- a/crates/lab/src/sim/fronts.rs
+++ b/crates/lab/src/sim/fronts.rs
@@ -2,7 +2,7 @@
 
 use super::{name_server, FrontNews, Happening, Planted, World, DEAF_FROM};
 use shalespindle_front::{Event, Input, LinkId, Output};
-use shalespindle_membership::Verdict;
+use shalespindle_membership::ServiceStatus;
 use shalespindle_srv::In;
 use shalespindle_standin::trace::Seen;
 use std::net::SocketAddr;
@@ -76,7 +76,7 @@
                 }
                 Output::Event(Event::Pool { change, .. }) => {
                     if let Some(&server) = self.by_address.get(&change.address) {
-                        let there = change.verdict == Verdict::In;
+                        let there = change.status == ServiceStatus::In;
                         self.verdicts.push((now, front, server, there));
                     }
                 }
--- a/crates/lab/src/walk.rs
+++ b/crates/lab/src/walk.rs
@@ -1,7 +1,9 @@
 //! Every sequence of what can happen to two sources, to a stated depth, through the membership module's own
 //! code, with invariants checked after each event against an account of its own.
 
-use shalespindle_membership::{Answer, Found, Listed, Membership, MembershipParams, Told, Verdict};
+use shalespindle_membership::{
+    DnsRecord, ListEntry, LookupResult, Membership, MembershipParams, ReportedState, ServiceStatus,
+};
 use std::net::SocketAddr;
 
 /// Servers in the walk.
@@ -13,7 +15,7 @@
     /// The list tells a server's state; `anew`: of a processor that has just started.
     Listed {
         server: usize,
-        told: Told,
+        told: ReportedState,
         anew: bool,
     },
     /// The list tells all that it knows again, as after a reconnect.
@@ -30,10 +32,10 @@
 pub fn steps() -> Vec<Step> {
     let mut all = Vec::new();
     for server in 0..SERVERS {
-        all.push(Step::Listed { server, told: Told::Ready, anew: false });
-        all.push(Step::Listed { server, told: Told::Ready, anew: true });
-        all.push(Step::Listed { server, told: Told::Draining, anew: false });
-        all.push(Step::Listed { server, told: Told::Gone, anew: false });
+        all.push(Step::Listed { server, told: ReportedState::Ready, anew: false });
+        all.push(Step::Listed { server, told: ReportedState::Ready, anew: true });
+        all.push(Step::Listed { server, told: ReportedState::Draining, anew: false });
+        all.push(Step::Listed { server, told: ReportedState::Gone, anew: false });
     }
     all.extend([Step::Whole, Step::FeedLost, Step::LookUpFails]);
     all.extend((0..1 << SERVERS).map(Step::Named));
@@ -69,7 +71,7 @@
 /// What the walker itself knows of one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct Account {
-    listed: Option<(Told, f64)>,
+    listed: Option<(ReportedState, f64)>,
     incarnation: u64,
     /// Last named by DNS, and left out by a later answer.
     named: Option<f64>,
@@ -84,7 +86,7 @@
     feed_away: Option<f64>,
     empty_since: Option<f64>,
     /// What the router was told, by pulled changes alone.
-    told: [Verdict; SERVERS],
+    told: [ServiceStatus; SERVERS],
 }
 
 const LIFETIME: f64 = 60.0;
@@ -101,7 +103,7 @@
     fn new(fault: Option<Fault>) -> World {
         let mut params = params();
         if fault == Some(Fault::NoHold) {
-            params.hold = 0.0;
+            params.withdrawal_hold = 0.0;
         }
         World {
             now: 1.0,
@@ -109,16 +111,16 @@
             accounts: [Account::default(); SERVERS],
             feed_away: Some(1.0),
             empty_since: None,
-            told: [Verdict::Out; SERVERS],
+            told: [ServiceStatus::Out; SERVERS],
         }
     }
 
-    fn listed(&self, server: usize, told: Told) -> Listed {
+    fn listed(&self, server: usize, told: ReportedState) -> ListEntry {
         let account = self.accounts[server];
-        Listed {
+        ListEntry {
             address: address(server),
             pool: server as u16,
-            told,
+            state: told,
             incarnation: account.incarnation,
             started: account.incarnation as f64,
         }
@@ -136,19 +138,20 @@
                 let since = account.listed.filter(|l| l.0 == told && !anew).map_or(now, |l| l.1);
                 account.listed = Some((told, since));
                 let line = self.listed(server, told);
-                self.members.listed(now, false, &[line]);
-                if fault == Some(Fault::FalseDrain) && told == Told::Ready {
-                    let line = self.listed(server, Told::Draining);
-                    self.members.listed(now, false, &[line]);
+                self.members.apply_list(now, false, &[line]);
+                if fault == Some(Fault::FalseDrain) && told == ReportedState::Ready {
+                    let line = self.listed(server, ReportedState::Draining);
+                    self.members.apply_list(now, false, &[line]);
                 }
             }
             Step::Whole => {
                 self.feed_away = None;
-                let known = |s: &usize| matches!(self.accounts[*s].listed, Some((t, _)) if t != Told::Gone);
+                let known =
+                    |s: &usize| matches!(self.accounts[*s].listed, Some((t, _)) if t != ReportedState::Gone);
                 let all: Vec<usize> = (0..SERVERS).filter(known).collect();
-                let told = |s: usize| self.accounts[s].listed.map_or(Told::Gone, |l| l.0);
-                let lines: Vec<Listed> = all.iter().map(|s| self.listed(*s, told(*s))).collect();
-                self.members.listed(now, true, &lines);
+                let told = |s: usize| self.accounts[s].listed.map_or(ReportedState::Gone, |l| l.0);
+                let lines: Vec<ListEntry> = all.iter().map(|s| self.listed(*s, told(*s))).collect();
+                self.members.apply_list(now, true, &lines);
             }
             Step::FeedLost => {
                 self.feed_away.get_or_insert(now);
@@ -156,41 +159,46 @@
             }
             Step::Named(0) => {
                 self.empty_since.get_or_insert(now);
-                self.members.answered(now, 0, &Answer::Empty);
+                self.members.apply_lookup(now, 0, &LookupResult::Empty);
             }
             Step::Named(which) => self.named(which),
-            Step::LookUpFails => self.members.answered(now, 0, &Answer::Failed),
+            Step::LookUpFails => self.members.apply_lookup(now, 0, &LookupResult::Failed),
             Step::Passes(seconds) => self.pass(f64::from(seconds)),
         }
-        self.members.settle(self.now);
+        self.members.evaluate(self.now);
         if fault != Some(Fault::Deaf) {
             self.pull();
         }
     }
 
     fn named(&mut self, which: u8) {
-        let (now, stale) = (self.now, params().stale_longest);
+        let (now, stale) = (self.now, params().max_stale);
         self.empty_since = None;
         let mut found = Vec::new();
         for (server, account) in self.accounts.iter_mut().enumerate() {
             if which >> server & 1 == 1 {
                 (account.named, account.left_out) = (Some(now), None);
-                found.push(Found { address: address(server), pool: server as u16, priority: 1, weight: 1 });
+                found.push(DnsRecord {
+                    address: address(server),
+                    pool: server as u16,
+                    priority: 1,
+                    weight: 1,
+                });
             } else if account.left_out.is_none() {
                 // A word that lapsed long ago is not withdrawn now.
                 account.named = account.named.filter(|at| now < at + LIFETIME + stale);
                 account.left_out = account.named.map(|_| now);
             }
         }
-        self.members.answered(now, 0, &Answer::Servers { found, lifetime: LIFETIME });
+        self.members.apply_lookup(now, 0, &LookupResult::Servers { records: found, lifetime: LIFETIME });
     }
 
     /// As a host does: wakes when the module asks to be woken.
     fn pass(&mut self, seconds: f64) {
         let end = self.now + seconds;
-        while self.members.due(self.now) < end {
-            self.now = self.members.due(self.now);
-            self.members.settle(self.now);
+        while self.members.next_deadline(self.now) < end {
+            self.now = self.members.next_deadline(self.now);
+            self.members.evaluate(self.now);
             self.pull();
         }
         self.now = end;
@@ -198,44 +206,46 @@
 
     fn pull(&mut self) {
         while let Some(change) = self.members.next_change() {
-            self.told[change.address.port() as usize - 1] = change.verdict;
+            self.told[change.address.port() as usize - 1] = change.status;
         }
     }
 
     /// What must always hold, from the walker's own account.
     fn broken(&mut self) -> Option<String> {
         let (now, params) = (self.now, params());
-        let silent = self.feed_away.is_some_and(|at| now >= at + params.list_patience);
+        let silent = self.feed_away.is_some_and(|at| now >= at + params.list_timeout);
         let mut lives = false;
         for (server, account) in self.accounts.iter().enumerate() {
-            let told_in = self.told[server] == Verdict::In;
-            let withdrawn = account.left_out.is_some_and(|at| now < at + params.hold);
+            let told_in = self.told[server] == ServiceStatus::In;
+            let withdrawn = account.left_out.is_some_and(|at| now < at + params.withdrawal_hold);
             let list_took = account.listed.is_some_and(|(told, since)| {
                 let again = account.named.filter(|_| account.left_out.is_none());
-                told != Told::Ready && !(silent && again.is_some_and(|at| at >= since + params.hold))
+                told != ReportedState::Ready
+                    && !(silent && again.is_some_and(|at| at >= since + params.withdrawal_hold))
             });
             if told_in && (withdrawn || list_took) {
                 return Some(format!("server {server} is in service although a source took it out"));
             }
-            let ready = account.listed.is_some_and(|l| l.0 == Told::Ready) && account.left_out.is_none();
+            let ready =
+                account.listed.is_some_and(|l| l.0 == ReportedState::Ready) && account.left_out.is_none();
             let by_dns = account.listed.is_none()
                 && account.left_out.is_none()
                 && self.empty_since.is_none()
                 && account.named.is_some_and(|at| now < at + LIFETIME);
             lives |= ready || by_dns;
         }
-        if lives && !self.told.contains(&Verdict::In) {
+        if lives && !self.told.contains(&ServiceStatus::In) {
             return Some("no server is in service although one is known to live".into());
         }
         for member in self.members.members() {
             let server = member.address().port() as usize - 1;
-            if member.verdict() != self.told[server] && self.told[server] == Verdict::In {
+            if member.status() != self.told[server] && self.told[server] == ServiceStatus::In {
                 return Some(format!("server {server}: the router was told {:?}", self.told[server]));
             }
         }
         // Nothing is left to say, and time alone says when to look again.
-        self.members.settle(now);
-        if self.members.next_change().is_some() || self.members.due(now) <= now {
+        self.members.evaluate(now);
+        if self.members.next_change().is_some() || self.members.next_deadline(now) <= now {
             return Some("the ruling does not come to rest".into());
         }
         None
--- a/crates/membership/src/choices.rs
+++ b/crates/membership/src/first_choices.rs
@@ -6,12 +6,12 @@
 //! front and every restart deals alike. Servers of higher priority are no group's first choice while one of
 //! a lower is in service; they stay allowed as the drawn pair.
 
-use crate::{Member, Verdict};
+use crate::{Member, ServiceStatus};
 
 /// The pools that are the first choices of `groups` trunk groups that name none themselves, in their order;
 /// empty while DNS names nobody in service.
 pub fn first_choices<'a>(members: impl Iterator<Item = &'a Member>, groups: usize) -> Vec<u16> {
-    let named = |m: &Member| m.rank().filter(|_| m.verdict() == Verdict::In).map(|r| (r, m.pool()));
+    let named = |m: &Member| m.rank().filter(|_| m.status() == ServiceStatus::In).map(|r| (r, m.pool()));
     let named: Vec<((u16, u16), u16)> = members.filter_map(named).collect();
     let Some(best) = named.iter().map(|n| n.0 .0).min() else { return Vec::new() };
     let shares: Vec<(u16, f64)> =
--- a/crates/membership/src/flaps.rs
+++ b/crates/membership/src/flaps.rs
@@ -24,8 +24,8 @@
         // after 0.7 windows.
         let further = count - 1.5;
         if further >= 0.0 {
-            let doubled = params.flap_hold * 2f64.powi(further.min(16.0) as i32);
-            self.hold_until = now + doubled.min(params.flap_longest);
+            let doubled = params.base_flap_hold * 2f64.powi(further.min(16.0) as i32);
+            self.hold_until = now + doubled.min(params.max_flap_hold);
         }
     }
 }
@@ -45,9 +45,9 @@
             waits.push((flaps.hold_until - now).max(0.0));
         }
         assert_eq!(waits[0], 0.0);
-        assert_eq!(waits[1], params.flap_hold);
+        assert_eq!(waits[1], params.base_flap_hold);
         assert!(waits.windows(2).all(|w| w[1] >= w[0]), "{waits:?}");
-        assert!(waits.iter().all(|w| *w <= params.flap_longest) && waits[7] > 2.0 * params.flap_hold);
+        assert!(waits.iter().all(|w| *w <= params.max_flap_hold) && waits[7] > 2.0 * params.base_flap_hold);
         // Quiet for long: forgiven.
         flaps.went_out(1000.0 * params.flap_window, &params);
         assert!(flaps.hold_until < 1000.0 * params.flap_window);
--- a/crates/membership/src/numbers.rs
+++ b/crates/membership/src/pool_numbers.rs
@@ -8,17 +8,17 @@
 
 /// Numbers by target.
 #[derive(Clone, Debug)]
-pub struct Numbers {
+pub struct PoolNumbers {
     given: BTreeMap<String, u16>,
     next: u16,
     most: usize,
 }
 
-impl Numbers {
+impl PoolNumbers {
     /// `listed` are the settings' targets; at most `most` others get a number.
-    pub fn new(listed: BTreeMap<String, u16>, first: u16, most: usize) -> Numbers {
+    pub fn new(listed: BTreeMap<String, u16>, first: u16, most: usize) -> PoolNumbers {
         let most = listed.len() + most;
-        Numbers {
+        PoolNumbers {
             given: listed.into_iter().map(|(k, v)| (k.to_ascii_lowercase(), v)).collect(),
             next: first,
             most,
@@ -26,7 +26,7 @@
     }
 
     /// The number of a target; none when there is none left.
-    pub fn of(&mut self, target: &str) -> Option<u16> {
+    pub fn number_for(&mut self, target: &str) -> Option<u16> {
         let target = target.to_ascii_lowercase();
         if let Some(number) = self.given.get(&target) {
             return Some(*number);
@@ -53,11 +53,18 @@
     fn listed_targets_keep_their_numbers_and_others_get_free_ones() {
         let listed =
             BTreeMap::from([("S1.example.org.".to_string(), 1), ("s9.example.org.".to_string(), 101)]);
-        let mut numbers = Numbers::new(listed, 100, 3);
-        assert_eq!(numbers.of("s1.EXAMPLE.org."), Some(1));
-        assert_eq!((numbers.of("a."), numbers.of("b."), numbers.of("a.")), (Some(100), Some(102), Some(100)));
-        assert_eq!((numbers.of("c."), numbers.of("d.")), (Some(103), None));
-        let mut full = Numbers::new(BTreeMap::new(), u16::MAX, 9);
-        assert_eq!((full.of("a."), full.of("b.")), (None, None), "the last number has no successor");
+        let mut numbers = PoolNumbers::new(listed, 100, 3);
+        assert_eq!(numbers.number_for("s1.EXAMPLE.org."), Some(1));
+        assert_eq!(
+            (numbers.number_for("a."), numbers.number_for("b."), numbers.number_for("a.")),
+            (Some(100), Some(102), Some(100))
+        );
+        assert_eq!((numbers.number_for("c."), numbers.number_for("d.")), (Some(103), None));
+        let mut full = PoolNumbers::new(BTreeMap::new(), u16::MAX, 9);
+        assert_eq!(
+            (full.number_for("a."), full.number_for("b.")),
+            (None, None),
+            "the last number has no successor"
+        );
     }
 }
--- a/crates/membership/src/sources.rs
+++ b/crates/membership/src/sources.rs
@@ -1,24 +1,24 @@
 //! What each source last said of one server, and what that comes to now.
 
-use crate::{MembershipParams, Told};
+use crate::{MembershipParams, ReportedState};
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// What the pool list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum ListWord {
+pub enum ListStatus {
     Ready,
     Draining,
     Gone,
     /// It said ready, and the feed has been away for longer than its patience.
     Silent,
     /// It never named this server, or what it said is no longer held to.
-    NeverHeard,
+    NeverReported,
 }
 
 /// What DNS says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum DnsWord {
+pub enum DnsStatus {
     /// The last answer names it and is within its lifetime.
     Present,
     /// The last answer names others and no longer this one.
@@ -29,53 +29,58 @@
     Failing,
     /// The last answer was empty, not long ago.
     Empty,
-    NeverHeard,
+    NeverReported,
 }
 
-impl ListWord {
-    pub const ALL: [ListWord; 5] =
-        [ListWord::Ready, ListWord::Draining, ListWord::Gone, ListWord::Silent, ListWord::NeverHeard];
+impl ListStatus {
+    pub const ALL: [ListStatus; 5] = [
+        ListStatus::Ready,
+        ListStatus::Draining,
+        ListStatus::Gone,
+        ListStatus::Silent,
+        ListStatus::NeverReported,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
-            ListWord::Ready => "ready",
-            ListWord::Draining => "draining",
-            ListWord::Gone => "gone",
-            ListWord::Silent => "silent",
-            ListWord::NeverHeard => "never heard",
+            ListStatus::Ready => "ready",
+            ListStatus::Draining => "draining",
+            ListStatus::Gone => "gone",
+            ListStatus::Silent => "silent",
+            ListStatus::NeverReported => "never heard",
         }
     }
 }
 
-impl DnsWord {
-    pub const ALL: [DnsWord; 6] = [
-        DnsWord::Present,
-        DnsWord::Absent,
-        DnsWord::Expired,
-        DnsWord::Failing,
-        DnsWord::Empty,
-        DnsWord::NeverHeard,
+impl DnsStatus {
+    pub const ALL: [DnsStatus; 6] = [
+        DnsStatus::Present,
+        DnsStatus::Absent,
+        DnsStatus::Expired,
+        DnsStatus::Failing,
+        DnsStatus::Empty,
+        DnsStatus::NeverReported,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            DnsWord::Present => "present",
-            DnsWord::Absent => "absent",
-            DnsWord::Expired => "expired",
-            DnsWord::Failing => "failing",
-            DnsWord::Empty => "empty",
-            DnsWord::NeverHeard => "never heard",
+            DnsStatus::Present => "present",
+            DnsStatus::Absent => "absent",
+            DnsStatus::Expired => "expired",
+            DnsStatus::Failing => "failing",
+            DnsStatus::Empty => "empty",
+            DnsStatus::NeverReported => "never heard",
         }
     }
 }
 
-impl fmt::Display for ListWord {
+impl fmt::Display for ListStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
 }
 
-impl fmt::Display for DnsWord {
+impl fmt::Display for DnsStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
@@ -84,7 +89,7 @@
 /// The list's part of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ListSays {
-    pub told: Told,
+    pub state: ReportedState,
     pub since: f64,
     pub incarnation: u64,
 }
@@ -102,7 +107,7 @@
     }
 
     pub fn silent_at(&self, params: &MembershipParams) -> Option<f64> {
-        self.away_since.map(|since| since + params.list_patience)
+        self.away_since.map(|since| since + params.list_timeout)
     }
 }
 
@@ -126,28 +131,28 @@
 }
 
 impl NamedBy {
-    pub fn word(&self, now: f64, name: &NameState, params: &MembershipParams) -> DnsWord {
+    pub fn word(&self, now: f64, name: &NameState, params: &MembershipParams) -> DnsStatus {
         if self.left_out_at.is_some() {
-            return DnsWord::Absent;
+            return DnsStatus::Absent;
         }
         if let Some(since) = name.empty_since {
             // Believed in the end: a name that stays empty names nobody.
-            return if now < since + params.stale_longest { DnsWord::Empty } else { DnsWord::Expired };
+            return if now < since + params.max_stale { DnsStatus::Empty } else { DnsStatus::Expired };
         }
         if now < self.until {
-            DnsWord::Present
-        } else if now < self.until + params.stale_longest {
-            DnsWord::Failing
+            DnsStatus::Present
+        } else if now < self.until + params.max_stale {
+            DnsStatus::Failing
         } else {
-            DnsWord::Expired
+            DnsStatus::Expired
         }
     }
 
     /// When its word can next change by time alone.
     pub fn due(&self, now: f64, name: &NameState, params: &MembershipParams) -> f64 {
         let moments = match name.empty_since {
-            Some(since) => [since + params.stale_longest, f64::INFINITY, f64::INFINITY],
-            None => [self.until, self.until + params.stale_quiet, self.until + params.stale_longest],
+            Some(since) => [since + params.max_stale, f64::INFINITY, f64::INFINITY],
+            None => [self.until, self.until + params.stale_without_warning, self.until + params.max_stale],
         };
         moments.into_iter().filter(|at| *at > now).fold(f64::INFINITY, f64::min)
     }
@@ -159,10 +164,10 @@
     named: &BTreeMap<usize, NamedBy>,
     names: &BTreeMap<usize, NameState>,
     params: &MembershipParams,
-) -> DnsWord {
-    const BEST: [DnsWord; 5] =
-        [DnsWord::Present, DnsWord::Failing, DnsWord::Empty, DnsWord::Absent, DnsWord::Expired];
+) -> DnsStatus {
+    const BEST: [DnsStatus; 5] =
+        [DnsStatus::Present, DnsStatus::Failing, DnsStatus::Empty, DnsStatus::Absent, DnsStatus::Expired];
     let word = |(name, by): (&usize, &NamedBy)| names.get(name).map(|state| by.word(now, state, params));
-    let words: Vec<DnsWord> = named.iter().filter_map(word).collect();
-    BEST.into_iter().find(|best| words.contains(best)).unwrap_or(DnsWord::NeverHeard)
+    let words: Vec<DnsStatus> = named.iter().filter_map(word).collect();
+    BEST.into_iter().find(|best| words.contains(best)).unwrap_or(DnsStatus::NeverReported)
 }
--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -409,6 +409,6 @@
     }
 }
 
-fn told(told: shalespindle_replica::Told) -> String {
+fn told(told: shalespindle_replica::ReportedState) -> String {
     format!("{told:?}").to_lowercase()
 }
--- a/crates/peer-wire/tests/frames.rs
+++ b/crates/peer-wire/tests/frames.rs
@@ -7,7 +7,7 @@
 };
 use shalespindle_peers::{FrontId, Life};
 use shalespindle_replica::{
-    Fact, Item, Key, Known, LevelWord, Message, Part, PastReach, Reach, ServerWord, Told,
+    Fact, Item, Key, Known, LevelWord, Message, Part, PastReach, Reach, ReportedState, ServerWord,
 };
 use shalespindle_sites::{Rumour, Sight, SiteSight, SitesMessage};
 
@@ -28,7 +28,7 @@
 }
 
 fn parts() -> Message {
-    let server = ServerWord { pool: 9, incarnation: u64::MAX, told: Told::Draining, age: Some(2.5) };
+    let server = ServerWord { pool: 9, incarnation: u64::MAX, told: ReportedState::Draining, age: Some(2.5) };
     let level = LevelWord { level: Some(3), lasts: 60.0, version: 4, by: "front-of-kochi".into() };
     let items = vec![
         Item {
--- a/crates/replica/src/facts.rs
+++ b/crates/replica/src/facts.rs
@@ -1,7 +1,7 @@
 //! The classes of facts: what is worth telling other fronts, by whom it is written and how long it holds.
 
 use serde::{Deserialize, Serialize};
-use shalespindle_membership::Told;
+use shalespindle_membership::ReportedState;
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
     pub pool: u16,
     /// Counts the starts of its processor.
     pub incarnation: u64,
-    pub told: Told,
+    pub told: ReportedState,
     /// Seconds between its start and the moment at which the fact was written; none when long ago.
     pub age: Option<f64>,
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -27,6 +27,6 @@
 pub use fleet::{Counts, Fleet, FleetParams, Out};
 pub use kept::{Changes, Inventory, Keeping, Kept, KeptFact, KeptLife, LifeName, Restored};
 pub use message::{Item, Known, Message, Part, PastReach, Reach};
-pub use shalespindle_membership::Told;
+pub use shalespindle_membership::ReportedState;
 pub use status::{FleetStatus, PeerStatus};
 pub use view::{Meeting, News, View};
--- a/crates/replica/src/view.rs
+++ b/crates/replica/src/view.rs
@@ -2,7 +2,7 @@
 
 use crate::copies::Copies;
 use crate::facts::{CallWord, Fact, Key, LevelWord, ServerWord};
-use shalespindle_membership::{Told, Warning};
+use shalespindle_membership::{PeerWarning, ReportedState};
 use shalespindle_peers::FrontId;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
     /// What others' lists say of a server, settled.
-    Server(Warning),
+    Server(PeerWarning),
     /// The level that operators hold, and until when; none: it is let go.
     Level { level: Option<u8>, until: f64, by: String },
     /// A call of this front was released by another.
@@ -28,8 +28,8 @@
 pub struct Meeting {
     pub address: SocketAddr,
     pub incarnation: u64,
-    pub words: Vec<(FrontId, Told)>,
-    pub settled: Told,
+    pub words: Vec<(FrontId, ReportedState)>,
+    pub settled: ReportedState,
     pub since: f64,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct View {
     warnings_for: f64,
-    servers: BTreeMap<SocketAddr, Warning>,
+    servers: BTreeMap<SocketAddr, PeerWarning>,
     /// Version of the word on the level that counts, and who said it.
     level: (u64, String),
     heeded: Option<LevelWord>,
@@ -93,22 +93,28 @@
         };
         let until = written + self.warnings_for;
         let (pool, incarnation, told) = (word.pool, word.incarnation, word.told);
-        let news = Warning { address, pool, incarnation, told, started, until };
+        let news = PeerWarning { address, pool, incarnation, state: told, started, until };
         let before = self.servers.insert(address, news);
-        let same = |b: Warning| {
+        let same = |b: PeerWarning| {
             let close = |a: f64, b: f64| (a - b).abs() < 1.0;
             let starts = match (b.started, started) {
                 (Some(a), Some(b)) => close(a, b),
                 (a, b) => a.is_none() && b.is_none(),
             };
-            (b.incarnation, b.told) == (news.incarnation, news.told) && starts && close(b.until, until)
+            (b.incarnation, b.state) == (news.incarnation, news.state) && starts && close(b.until, until)
         };
         if until > now && !before.is_some_and(same) {
             self.news.push_back(News::Server(news));
         }
     }
 
-    fn met(&mut self, now: f64, address: SocketAddr, words: Vec<(FrontId, Told)>, highest: Option<u64>) {
+    fn met(
+        &mut self,
+        now: f64,
+        address: SocketAddr,
+        words: Vec<(FrontId, ReportedState)>,
+        highest: Option<u64>,
+    ) {
         let settled = words.iter().map(|w| w.1).max();
         let differ = words.iter().any(|w| Some(w.1) != settled);
         let (Some(settled), Some(incarnation), true) = (settled, highest, differ) else {
--- a/crates/replica/tests/fleet.rs
+++ b/crates/replica/tests/fleet.rs
@@ -6,9 +6,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_peers::FrontId;
-use shalespindle_replica::{FleetParams, Known, Message, News, Out, ServerWord, Told};
+use shalespindle_replica::{FleetParams, Known, Message, News, Out, ReportedState, ServerWord};
 
-fn word(incarnation: u64, told: Told) -> ServerWord {
+fn word(incarnation: u64, told: ReportedState) -> ServerWord {
     ServerWord { pool: 1, incarnation, told, age: Some(1.0) }
 }
 
@@ -35,7 +35,8 @@
             let front = script.random_range(0..5usize);
             match script.random_range(0..10) {
                 0..=5 if net.fronts[front].is_some() => {
-                    let told = [Told::Ready, Told::Draining, Told::Gone][script.random_range(0..3)];
+                    let told = [ReportedState::Ready, ReportedState::Draining, ReportedState::Gone]
+                        [script.random_range(0..3)];
                     let (n, incarnation) = (script.random_range(1..40), script.random_range(1..4));
                     net.tell(front, n, word(incarnation, told));
                 }
@@ -70,23 +71,25 @@
 #[test]
 fn the_most_careful_word_counts_and_meetings_are_listed() {
     let mut net = net(3, 1);
-    net.tell(0, 7, word(4, Told::Ready));
-    net.tell(1, 7, word(4, Told::Draining));
+    net.tell(0, 7, word(4, ReportedState::Ready));
+    net.tell(1, 7, word(4, ReportedState::Draining));
     net.pass(2.0);
-    let settled =
-        |news: &News| matches!(news, News::Server(s) if s.told == Told::Draining && s.incarnation == 4);
+    let settled = |news: &News| matches!(news, News::Server(s) if s.state == ReportedState::Draining && s.incarnation == 4);
     assert!(net.news[&2].iter().any(settled));
     assert!(net.news[&0].iter().any(settled), "front 0 called it ready");
     // Front 1 hears only what it knows better.
     assert!(!net.news.get(&1).is_some_and(|news| news.iter().any(settled)));
     let status = net.fronts[2].as_ref().unwrap().status(net.now);
     assert_eq!((status.met, status.meetings.len()), (1, 1));
-    assert_eq!(status.meetings[0].settled, Told::Draining);
+    assert_eq!(status.meetings[0].settled, ReportedState::Draining);
     // A later start is another matter.
-    net.tell(0, 7, word(5, Told::Ready));
+    net.tell(0, 7, word(5, ReportedState::Ready));
     net.pass(2.0);
     let last = net.news[&2].last().unwrap();
-    assert!(matches!(last, News::Server(s) if s.told == Told::Ready && s.incarnation == 5), "{last:?}");
+    assert!(
+        matches!(last, News::Server(s) if s.state == ReportedState::Ready && s.incarnation == 5),
+        "{last:?}"
+    );
     assert_eq!(net.fronts[2].as_ref().unwrap().status(net.now).meetings, []);
 }
 
@@ -141,7 +144,7 @@
 fn a_front_that_returns_empty_catches_up_and_one_that_left_is_forgotten_in_time() {
     let mut net = net(4, 3);
     for n in 1..200 {
-        net.tell(0, n, word(1, Told::Ready));
+        net.tell(0, n, word(1, ReportedState::Ready));
     }
     net.pass(4.0);
     assert!(net.is_equal());
@@ -169,7 +172,7 @@
     }
     // Its next life is taken up.
     net.restart(0, 9);
-    net.tell(0, 1, word(2, Told::Gone));
+    net.tell(0, 1, word(2, ReportedState::Gone));
     net.pass(3.0);
     assert_eq!(net.fronts[2].as_ref().unwrap().copies().held(FrontId(0)), 1);
 }
@@ -179,11 +182,11 @@
     let sent = |facts: u16| {
         let mut net = net(3, 4);
         for n in 1..=facts {
-            net.tell(0, n, word(1, Told::Ready));
+            net.tell(0, n, word(1, ReportedState::Ready));
         }
         net.pass(10.0);
         let before = net.sent;
-        net.tell(0, 1, word(1, Told::Draining));
+        net.tell(0, 1, word(1, ReportedState::Draining));
         net.pass(2.0);
         assert!(net.is_equal());
         net.sent - before
@@ -198,7 +201,7 @@
         let mut net = net(5, 9);
         net.loss = 0.2;
         for n in 1..30 {
-            net.tell(usize::from(n % 5), n, word(u64::from(n), Told::Draining));
+            net.tell(usize::from(n % 5), n, word(u64::from(n), ReportedState::Draining));
             net.pass(0.1);
         }
         (net.sent, format!("{:?}", net.news))
@@ -220,7 +223,7 @@
         front.heard(now, FrontId(1), Message::Digest { known: vec![known], whole: false, answer: false });
     }
     assert!(front.status(now).silenced);
-    front.tell_server(now, server(1), word(1, Told::Ready));
+    front.tell_server(now, server(1), word(1, ReportedState::Ready));
     front.turn(now + EVERY);
     assert!(front.wake_at() > now + EVERY, "nothing that it may not say keeps it awake");
     while let Some(out) = front.next_output() {
@@ -234,7 +237,7 @@
     net.cut = vec![(0, 1), (1, 0)];
     for round in 0..50u64 {
         for n in 1..100 {
-            net.tell(0, n, word(round, Told::Ready));
+            net.tell(0, n, word(round, ReportedState::Ready));
         }
         net.pass(0.1);
     }
@@ -251,7 +254,7 @@
         net.late = late;
         net.fronts[1] = None;
         for n in 1..600 {
-            net.tell(0, n, word(1, Told::Ready));
+            net.tell(0, n, word(1, ReportedState::Ready));
         }
         net.restart(1, 2);
         let begin = net.now;
--- a/crates/replica/tests/kept.rs
+++ b/crates/replica/tests/kept.rs
@@ -4,7 +4,9 @@
 
 use common::{server, word, Net, EVERY};
 use shalespindle_peers::{FrontId, Life};
-use shalespindle_replica::{Changes, FleetParams, Keeping, Kept, KeptFact, LifeName, News, ServerWord, Told};
+use shalespindle_replica::{
+    Changes, FleetParams, Keeping, Kept, KeptFact, LifeName, News, ReportedState, ServerWord,
+};
 
 const HOLD: f64 = 5.0;
 /// The wall clock when virtual time began.
@@ -133,7 +135,7 @@
 #[test]
 fn warnings_and_operators_words_hold_on_as_long_as_they_would_have() {
     let mut net = net(2);
-    let told = ServerWord { pool: 1, incarnation: 3, told: Told::Draining, age: None };
+    let told = ServerWord { pool: 1, incarnation: 3, told: ReportedState::Draining, age: None };
     net.tell(1, 7, told);
     net.at(1).tell_level(0.0, Some(2), 60.0, "f1");
     net.pass(2.0);
@@ -144,9 +146,9 @@
         return_with(&mut net, 0, &kept, off);
         net.pass(EVERY);
         let news = net.news.get(&0).cloned().unwrap_or_default();
-        let warned = news
-            .iter()
-            .any(|n| matches!(n, News::Server(w) if w.address == server(7) && w.told == Told::Draining));
+        let warned = news.iter().any(
+            |n| matches!(n, News::Server(w) if w.address == server(7) && w.state == ReportedState::Draining),
+        );
         let held = news.iter().any(|n| matches!(n, News::Level { level: Some(2), .. }));
         assert_eq!((warned, held), (holds, holds), "off by {off}: {news:?}");
     }
--- a/crates/replica/tests/walk.rs
+++ b/crates/replica/tests/walk.rs
@@ -27,7 +27,7 @@
         _ => Fact::Server(shalespindle_replica::ServerWord {
             pool: 1,
             incarnation: version,
-            told: shalespindle_replica::Told::Ready,
+            told: shalespindle_replica::ReportedState::Ready,
             age: None,
         }),
     }
--- a/crates/settings/src/sources.rs
+++ b/crates/settings/src/sources.rs
@@ -256,15 +256,15 @@
 impl MembershipSettings {
     pub(crate) fn params(&self) -> MembershipParams {
         MembershipParams {
-            list_patience: self.list_patience.seconds(),
-            hold: self.hold.seconds(),
-            stale_quiet: self.stale_quiet.seconds(),
-            stale_longest: self.stale_longest.seconds(),
+            list_timeout: self.list_patience.seconds(),
+            withdrawal_hold: self.hold.seconds(),
+            stale_without_warning: self.stale_quiet.seconds(),
+            max_stale: self.stale_longest.seconds(),
             flap_window: self.flap_window.seconds(),
-            flap_hold: self.flap_hold.seconds(),
-            flap_longest: self.flap_longest.seconds(),
-            remembered_for: self.remembered_for.seconds(),
-            most: self.servers,
+            base_flap_hold: self.flap_hold.seconds(),
+            max_flap_hold: self.flap_longest.seconds(),
+            stored_max_age: self.remembered_for.seconds(),
+            max_members: self.servers,
         }
     }
 
--- a/crates/transport/src/answers.rs
+++ b/crates/transport/src/answers.rs
@@ -4,7 +4,7 @@
 use shalespindle_console::{Ask, LevelState, MemberState, Members, NameState, Reply, Snapshot};
 use shalespindle_front::Front;
 use shalespindle_membership::table::row;
-use shalespindle_membership::{Because, Member};
+use shalespindle_membership::{Member, StatusReason};
 
 /// The longest pin, seconds: one that is forgotten must not outlive a day.
 const LONGEST_PIN: f64 = 86_400.0;
@@ -95,26 +95,26 @@
 }
 
 fn member(member: &Member, now: f64) -> MemberState {
-    let (list, dns) = member.words();
+    let (list, dns) = member.source_statuses();
     // Of several names the one whose answer is good for longest.
-    let named = member.named().max_by(|a, b| a.2.total_cmp(&b.2));
-    let because = match member.because() {
-        Because::Row => row(list, dns).reason,
-        Because::Flapping => "it came and went too often of late",
-        Because::LastResort => "the last resort: nothing else is left",
+    let named = member.dns_reports().max_by(|a, b| a.2.total_cmp(&b.2));
+    let because = match member.reason() {
+        StatusReason::Row => row(list, dns).reason,
+        StatusReason::Flapping => "it came and went too often of late",
+        StatusReason::LastResort => "the last resort: nothing else is left",
     };
     MemberState {
         address: member.address(),
         pool: member.pool(),
-        verdict: format!("{:?}", member.verdict()).to_lowercase(),
+        verdict: format!("{:?}", member.status()).to_lowercase(),
         seconds: now - member.since(),
         list: list.to_string(),
-        list_age: member.listed().map(|l| now - l.1),
+        list_age: member.list_report().map(|l| now - l.1),
         dns: dns.to_string(),
         dns_age: named.map(|n| now - n.1),
         dns_left: named.map(|n| n.2 - now),
         rank: member.rank(),
         because: because.into(),
-        warned: member.warned(),
+        warned: member.needs_attention(),
     }
 }
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A front's place among others, and what its list told in their words.
 
 use crate::owner::Letter;
-use shalespindle_membership::Listed;
+use shalespindle_membership::ListEntry;
 use shalespindle_peer_service::{Fronts, Keep, Saying, Start};
 use shalespindle_replica::ServerWord;
 use shalespindle_settings::{read_key, FleetSettings};
@@ -33,9 +33,9 @@
 }
 
 /// What this front's list told, for others.
-pub(crate) fn saying(now: f64, listed: &Listed) -> Saying {
+pub(crate) fn saying(now: f64, listed: &ListEntry) -> Saying {
     // 0 means long ago.
     let age = (listed.started > 0.0).then(|| (now - listed.started).max(0.0));
-    let Listed { address, pool, told, incarnation, .. } = *listed;
+    let ListEntry { address, pool, state: told, incarnation, .. } = *listed;
     Saying::Server { address, word: ServerWord { pool, incarnation, told, age } }
 }
--- a/crates/transport/src/log.rs
+++ b/crates/transport/src/log.rs
@@ -2,7 +2,7 @@
 
 use shalespindle_front::{Event, Outcome};
 use shalespindle_membership::table::row;
-use shalespindle_membership::Because;
+use shalespindle_membership::StatusReason;
 use tracing::{debug, info, warn};
 
 /// Writes an event to the log; `front` names the front.
@@ -28,11 +28,11 @@
         ),
         Event::Pool { change: c, age } => {
             let reason = row(c.list, c.dns).reason;
-            let (list, dns, state) = (c.list.name(), c.dns.name(), format!("{:?}", c.verdict));
-            if c.warned || c.because != Because::Row {
+            let (list, dns, state) = (c.list.name(), c.dns.name(), format!("{:?}", c.status));
+            if c.needs_attention || c.reason != StatusReason::Row {
                 warn!(
                     target: "shalespindle::members", front, server = %c.address, pool = c.pool, state, list, dns,
-                    because = ?c.because, reason, age_s = age, "server ruled on old news"
+                    because = ?c.reason, reason, age_s = age, "server ruled on old news"
                 )
             } else {
                 info!(
--- a/crates/transport/src/memory.rs
+++ b/crates/transport/src/memory.rs
@@ -1,7 +1,7 @@
 //! The last known members on disk: read at the start, written anew beside the old file, synced, renamed
 //! over it. A thread of its own writes, since a sync may block for long.
 
-use shalespindle_membership::{read, write, Remembered};
+use shalespindle_membership::{decode_members, encode_members, StoredMember};
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
 
 #[derive(Default)]
 struct Newest {
-    members: Option<Vec<Remembered>>,
+    members: Option<Vec<StoredMember>>,
     ended: bool,
 }
 
@@ -38,7 +38,7 @@
 
 /// What the last run left, and its age in seconds; a file that cannot be used is set aside, and the front
 /// starts without.
-pub(crate) fn recall(path: &Path) -> Option<(Vec<Remembered>, f64)> {
+pub(crate) fn recall(path: &Path) -> Option<(Vec<StoredMember>, f64)> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
         Err(why) if why.kind() == io::ErrorKind::NotFound => return None,
@@ -47,7 +47,7 @@
             return None;
         }
     };
-    match read(seconds_now(), &bytes) {
+    match decode_members(seconds_now(), &bytes) {
         Ok((members, age)) => {
             info!(target: "shalespindle::members", count = members.len(), age_s = age, "last known members read");
             Some((members, age as f64))
@@ -82,7 +82,7 @@
     }
 
     /// Takes what should be written, in place of what still waits.
-    pub fn offer(&self, members: Vec<Remembered>) {
+    pub fn offer(&self, members: Vec<StoredMember>) {
         self.waiting.lock().members = Some(members);
         self.waiting.changed.notify_one();
     }
@@ -114,8 +114,8 @@
 }
 
 /// Guards against a file half written: after a crash there is the old one or the new one.
-fn keep(path: &Path, members: &[Remembered]) -> io::Result<()> {
-    let bytes = write(seconds_now(), members).map_err(io::Error::other)?;
+fn keep(path: &Path, members: &[StoredMember]) -> io::Result<()> {
+    let bytes = encode_members(seconds_now(), members).map_err(io::Error::other)?;
     let beside = path.with_extension("new");
     let mut file = File::create(&beside)?;
     file.write_all(&bytes)?;
@@ -136,7 +136,7 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("members");
         assert!(recall(&path).is_none());
-        let one = Remembered { address: "127.0.0.1:5070".parse().unwrap(), pool: 2, taken_out: true };
+        let one = StoredMember { address: "127.0.0.1:5070".parse().unwrap(), pool: 2, taken_out: true };
         let memory = Memory::start(path.clone()).unwrap();
         memory.offer(vec![one]);
         drop(memory);
