--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -2,13 +2,13 @@
 
 use crate::codec::{Batch, Fields, Reply, ENTRY};
 use shalespindle_control::control::Control;
-use shalespindle_control::interface::{Decision, Ended, NewAttach, PoolEntry, Report};
-use shalespindle_startup::{decode, Reading, Startup};
+use shalespindle_control::interface::{Decision, EndReason, NewAttach, PoolEntry, Report};
+use shalespindle_startup::{decode, ReportLayout, Startup};
 use std::collections::BTreeMap;
 
 struct Instance {
     control: Control,
-    reading: Reading,
+    report_layout: ReportLayout,
     /// Whether an event in this batch was addressed to it, so that it may act.
     called: bool,
 }
@@ -62,9 +62,9 @@
         }
         let number = target.ok_or_else(|| format!("event {} comes before any target", event.u8(0)))?;
         if event.u8(0) == 10 {
-            let Startup { deployment, reading, .. } = decode(batch.tail(event, 9, 1)?)?;
+            let Startup { deployment, report_layout, .. } = decode(batch.tail(event, 9, 1)?)?;
             let control = Control::new(event.u64(1), deployment, now);
-            self.instances.insert(number, Instance { control, reading, called: true });
+            self.instances.insert(number, Instance { control, report_layout, called: true });
             return Ok(());
         }
         if event.u8(0) == 100 {
@@ -74,7 +74,7 @@
         let unknown = || format!("event {} for instance {number}, which does not run", event.u8(0));
         let instance = self.instances.get_mut(&number).ok_or_else(unknown)?;
         instance.called = true;
-        let (control, reading) = (&mut instance.control, instance.reading);
+        let (control, layout) = (&mut instance.control, instance.report_layout);
         match event.u8(0) {
             20 => match event.u8(1) {
                 3 => {}
@@ -92,14 +92,14 @@
                     ue: event.u32(1),
                     procedure: usize::from(event.u16(5)),
                     first_choice: event.f32(35) as u16,
-                    number: event.u64(11),
+                    called_number: event.u64(11),
                     gives_up_at: event.f64(19),
                 },
             ),
-            40 => control.attach_stands(now, event.u32(1), event.server(13), event.f64(5)),
+            40 => control.attach_established(now, event.u32(1), event.server(13), event.f64(5)),
             50 => {
-                let ended = ended(event.u16(14), event.u32(24), reading)?;
-                let report = report(event, 28, reading);
+                let ended = ended(event.u16(14), event.u32(24), layout)?;
+                let report = report(event, 28, layout);
                 control.try_ended(now, event.u32(1), event.server(8), ended, event.u8(5) != 0, report);
             }
             60 => control.client_left(now, event.u32(1)),
@@ -107,8 +107,8 @@
             80 => {
                 // Unasked news of free lines is an answer that took no time at all.
                 let probed = event.f64(9) > 0.0 && event.u16(7) == 100;
-                let report = report(event, 17, reading);
-                control.pool_heard(now, event.server(1), probed, report);
+                let report = report(event, 17, layout);
+                control.pool_reported(now, event.server(1), probed, report);
             }
             90 => {}
             other => return Err(format!("unknown event code {other}")),
@@ -118,33 +118,33 @@
 }
 
 fn entry(row: Fields) -> PoolEntry {
-    PoolEntry { name: row.server(18), number: row.u16(0), started: row.f64(10), ready: row.u8(24) == 1 }
+    PoolEntry { id: row.server(18), number: row.u16(0), started: row.f64(10), ready: row.u8(24) == 1 }
 }
 
-fn report(event: Fields, at: usize, reading: Reading) -> Report {
+fn report(event: Fields, at: usize, layout: ReportLayout) -> Report {
     let count = usize::from(event.u8(at));
     let value = |place: Option<usize>| {
         let found = place.filter(|&p| p < count.min(4)).map(|p| event.f32(at + 1 + 4 * p));
         found.filter(|&v| v >= 0.0)
     };
     Report {
-        free_agents: value(reading.free_at),
-        agents: value(reading.agents_at),
-        wait: value(reading.wait_at).map(|ms| ms / 1000.0),
+        free_agents: value(layout.free_agents_index),
+        agents: value(layout.agents_index),
+        wait: value(layout.wait_index).map(|ms| ms / 1000.0),
     }
 }
 
-fn ended(disposition: u16, why: u32, reading: Reading) -> Result<Ended, String> {
-    let wait = (reading.tells_wait && why % 16 == 3).then(|| f64::from(why / 16) / 1000.0);
+fn ended(disposition: u16, why: u32, layout: ReportLayout) -> Result<EndReason, String> {
+    let wait = (layout.throttled_includes_wait && why % 16 == 3).then(|| f64::from(why / 16) / 1000.0);
     Ok(match disposition {
-        100 => Ended::Released,
-        301 => Ended::Rejected,
-        302 if why % 16 == 1 => Ended::NoAgent,
-        302 => Ended::Throttled { wait },
-        303 => Ended::TimedOut,
-        304 | 307 => Ended::Unreached,
-        305 => Ended::Cut,
-        306 => Ended::Cancelled,
+        100 => EndReason::Released,
+        301 => EndReason::Rejected,
+        302 if why % 16 == 1 => EndReason::NoAgent,
+        302 => EndReason::Throttled { wait },
+        303 => EndReason::TimedOut,
+        304 | 307 => EndReason::Unreached,
+        305 => EndReason::Cut,
+        306 => EndReason::Cancelled,
         other => return Err(format!("resolved with unknown disposition {other}")),
     })
 }
@@ -155,8 +155,8 @@
         [bytes[2], bytes[3], bytes[4], bytes[5], bytes[6], bytes[7]]
     };
     match decision {
-        Decision::SetUp { ue, pool, time_out } => {
-            reply.push(20, &[&ue.to_be_bytes(), &server(pool), &time_out.to_be_bytes()])
+        Decision::SetUp { ue, pool, timeout } => {
+            reply.push(20, &[&ue.to_be_bytes(), &server(pool), &timeout.to_be_bytes()])
         }
         Decision::Cancel { ue, setup_try } => {
             reply.push(80, &[&ue.to_be_bytes(), &(setup_try as u16).to_be_bytes()])
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -49,7 +49,7 @@
 
 /// What this front knows of one pool.
 struct Pool {
-    name: PoolName,
+    name: PoolId,
     number: u16,
     started: f64,
     /// Last told to be in service.
@@ -65,7 +65,7 @@
     /// When it was last measured.
     measured_at: f64,
     /// Set-ups sent and not ended, oldest first: attach, when sent.
-    unanswered: VecDeque<(UeName, f64)>,
+    unanswered: VecDeque<(UeId, f64)>,
     /// When the first set-up was sent of those after the last that the pool answered.
     silent_from: Option<f64>,
     /// When the set-up was sent that was answered last.
@@ -104,7 +104,7 @@
 }
 
 struct Attach {
-    ue: UeName,
+    ue: UeId,
     procedure: usize,
     first_choice: u16,
     number: u64,
@@ -129,12 +129,12 @@
     rng: ChaCha8Rng,
     pools: Vec<Pool>,
     attaches: Slab<Attach>,
-    by_ue: HashMap<UeName, usize>,
-    undecided: VecDeque<UeName>,
+    by_ue: HashMap<UeId, usize>,
+    undecided: VecDeque<UeId>,
     /// Attaches that wait out the release guard, in order of when it ends.
-    waiting: VecDeque<(f64, UeName)>,
+    waiting: VecDeque<(f64, UeId)>,
     /// Attaches whose setup try was overtaken by an answer, to be cancelled.
-    overtaken: VecDeque<UeName>,
+    overtaken: VecDeque<UeId>,
     /// Earliest wake-up asked of the host and still to come.
     wake_at: f64,
     started: f64,
@@ -180,14 +180,14 @@
     pub fn pools_listed(&mut self, now: f64, entries: &[PoolEntry], whole: bool) {
         if whole {
             for place in 0..self.pools.len() {
-                if !entries.iter().any(|e| e.name == self.pools[place].name) {
+                if !entries.iter().any(|e| e.id == self.pools[place].name) {
                     self.out_of_service(now, place);
                 }
             }
         }
         for entry in entries {
             let part = self.part_of_predecessor(now, entry.number);
-            let known = self.pools.iter().position(|p| p.name == entry.name);
+            let known = self.pools.iter().position(|p| p.name == entry.id);
             if known.is_none() && !entry.ready {
                 continue;
             }
@@ -236,7 +236,7 @@
         self.patience = self.patience.max(left);
         // Guards against a front held up that takes for fresh what came long ago.
         let held = (self.patience - left).min(now - self.last_turn);
-        let redial = self.unserved.get(&new.number).copied();
+        let redial = self.unserved.get(&new.called_number).copied();
         if redial.is_none() {
             let span = self.deployment.cold.warm_after;
             self.arrivals = 1.0 + self.arrivals * (-(now - self.arrivals_at) / span).exp();
@@ -246,7 +246,7 @@
             ue: new.ue,
             procedure: new.procedure,
             first_choice: new.first_choice,
-            number: new.number,
+            number: new.called_number,
             asked_at: redial.unwrap_or(now - held),
             gives_up_at: new.gives_up_at,
             tries: 0,
@@ -259,7 +259,7 @@
         self.undecided.push_back(new.ue);
     }
 
-    pub fn attach_stands(&mut self, now: f64, ue: UeName, pool: PoolName, delay: f64) {
+    pub fn attach_established(&mut self, now: f64, ue: UeId, pool: PoolId, delay: f64) {
         self.forget(ue);
         let delay = delay.max(CLOCK_GRAIN);
         let limit = FAR_TOO_LONG * self.bound;
@@ -287,9 +287,9 @@
     pub fn try_ended(
         &mut self,
         now: f64,
-        ue: UeName,
-        pool: PoolName,
-        ended: Ended,
+        ue: UeId,
+        pool: PoolId,
+        ended: EndReason,
         finished: bool,
         report: Report,
     ) {
@@ -298,20 +298,24 @@
             let sent = pool.ended(ue);
             pool.reported(now, report, limit);
             match ended {
-                Ended::Rejected => {
+                EndReason::Rejected => {
                     pool.answered(sent);
                 }
                 // No measure of the processor: the pool is skipped until it tells of free agents.
-                Ended::NoAgent => {
+                EndReason::NoAgent => {
                     pool.answered(sent);
                     pool.free_agents = Some(0.0);
                 }
-                Ended::Throttled { wait } => {
+                EndReason::Throttled { wait } => {
                     pool.measured(now, wait.unwrap_or(limit), limit);
                     pool.answered(sent);
                 }
                 // Silence has counted since it was sent.
-                Ended::Released | Ended::Cancelled | Ended::Unreached | Ended::TimedOut | Ended::Cut => {}
+                EndReason::Released
+                | EndReason::Cancelled
+                | EndReason::Unreached
+                | EndReason::TimedOut
+                | EndReason::Cut => {}
             }
         }
         if finished {
@@ -322,7 +326,7 @@
         if !std::mem::take(&mut attach.out) {
             return;
         }
-        if matches!(ended, Ended::TimedOut | Ended::Cut | Ended::Cancelled) {
+        if matches!(ended, EndReason::TimedOut | EndReason::Cut | EndReason::Cancelled) {
             attach.not_before = now + self.deployment.release_guard + CLOCK_GRAIN;
             if attach.not_before < attach.gives_up_at {
                 self.waiting.push_back((attach.not_before, ue));
@@ -332,12 +336,12 @@
         self.undecided.push_back(ue);
     }
 
-    pub fn client_left(&mut self, now: f64, ue: UeName) {
+    pub fn client_left(&mut self, now: f64, ue: UeId) {
         self.unserved(now, ue);
     }
 
     /// A pool was heard of outside a set-up; `probed` tells that it answered a probe.
-    pub fn pool_heard(&mut self, now: f64, pool: PoolName, probed: bool, report: Report) {
+    pub fn pool_reported(&mut self, now: f64, pool: PoolId, probed: bool, report: Report) {
         let limit = FAR_TOO_LONG * self.bound;
         let Some(pool) = self.pools.iter_mut().find(|p| p.name == pool) else {
             return;
@@ -355,7 +359,7 @@
     }
 
     /// The attach ends without standing; its caller may dial again.
-    fn unserved(&mut self, now: f64, ue: UeName) {
+    fn unserved(&mut self, now: f64, ue: UeId) {
         let Some(&key) = self.by_ue.get(&ue) else { return };
         let Attach { number, asked_at, .. } = self.attaches[key];
         if number != 0 && self.unserved.insert(number, asked_at).is_none() {
@@ -364,7 +368,7 @@
         self.forget(ue);
     }
 
-    fn forget(&mut self, ue: UeName) {
+    fn forget(&mut self, ue: UeId) {
         if let Some(key) = self.by_ue.remove(&ue) {
             self.attaches.remove(key);
         }
@@ -429,7 +433,7 @@
         }
         let Some(place) = self.route(now, key) else {
             self.unserved(now, ue);
-            return Decision::Refuse { ue, pause: (PAUSE * self.bound).min(self.deployment.longest_pause) };
+            return Decision::Refuse { ue, pause: (PAUSE * self.bound).min(self.deployment.max_pause) };
         };
         let trials = self.trials(now, place);
         let spread = 0.5 + self.rng.random::<f64>();
@@ -451,8 +455,8 @@
         }
         // Guards against single lost set-ups or answers: where they are known, time is left for another try.
         let again = attach.asked_at + target - now - self.deployment.release_guard - self.bound;
-        let time_out = if pool.lossy && again > self.bound { again } else { target };
-        Decision::SetUp { ue, pool: pool.name, time_out: time_out.min(left) }
+        let timeout = if pool.lossy && again > self.bound { again } else { target };
+        Decision::SetUp { ue, pool: pool.name, timeout: timeout.min(left) }
     }
 
     /// The design's route: the first choice while under the bound, else the lower wait of two others.
@@ -571,7 +575,7 @@
 impl Pool {
     fn unheard(entry: &PoolEntry, probe_due: f64, cold_tokens: f64) -> Pool {
         Pool {
-            name: entry.name,
+            name: entry.id,
             number: entry.number,
             started: entry.started,
             ready: false,
@@ -630,7 +634,7 @@
     }
 
     /// Takes a set-up off the unanswered ones; returns when it was sent.
-    fn ended(&mut self, ue: UeName) -> Option<f64> {
+    fn ended(&mut self, ue: UeId) -> Option<f64> {
         let place = self.unanswered.iter().position(|u| u.0 == ue)?;
         self.unanswered.remove(place).map(|u| u.1)
     }
@@ -667,12 +671,12 @@
     /// Guards rule 4: a cold processor gets no more than this front's even share of what it can do.
     fn refill(&mut self, now: f64, even_part: f64, cold: &ColdStart) {
         // Little where its predecessor bore next to nothing or none is known.
-        let borne = self.part.unwrap_or(0.0) * cold.tip_multiple * COLD_SHARE;
+        let borne = self.part.unwrap_or(0.0) * cold.overload_multiple * COLD_SHARE;
         let rate = borne.max(COLD_LEAST * even_part);
         let grown = rate * self.warmth(now, cold) * (now - self.cold_tokens_at).max(0.0);
         self.cold_tokens = (self.cold_tokens + grown).min(COLD_SAVED);
         self.cold_turns += grown;
-        self.cold_open = rate * self.warmth(now, cold) * COLD_TURN * cold.fall_after;
+        self.cold_open = rate * self.warmth(now, cold) * COLD_TURN * cold.overload_window;
         self.cold_tokens_at = now;
     }
 
--- a/crates/control/src/interface.rs
+++ b/crates/control/src/interface.rs
@@ -1,9 +1,9 @@
 //! Plain types that cross the border of the decision module. Times are seconds on the host's clock.
 
 /// Name of a core server's processor as the host spells it; opaque to the module.
-pub type PoolName = u64;
+pub type PoolId = u64;
 /// Name of an attach as the host spells it; opaque to the module and not used twice.
-pub type UeName = u32;
+pub type UeId = u32;
 
 /// What the module needs to know of a deployment at start.
 #[derive(Clone, Debug, Default)]
@@ -13,7 +13,7 @@
     pub may_cancel: bool,
     pub max_tries: u32,
     pub release_guard: f64,
-    pub longest_pause: f64,
+    pub max_pause: f64,
     pub cold: ColdStart,
 }
 
@@ -23,8 +23,8 @@
     pub start_capacity: f64,
     pub warm_after: f64,
     /// It falls over at this multiple of what it can do, sent for so long, seconds.
-    pub tip_multiple: f64,
-    pub fall_after: f64,
+    pub overload_multiple: f64,
+    pub overload_window: f64,
 }
 
 /// One kind of attach.
@@ -42,7 +42,7 @@
 /// How the list of pools names one of them.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolEntry {
-    pub name: PoolName,
+    pub id: PoolId,
     pub number: u16,
     /// Last start on the host's clock; 0 when long ago.
     pub started: f64,
@@ -52,11 +52,11 @@
 /// An attach handed to this front.
 #[derive(Clone, Copy, Debug)]
 pub struct NewAttach {
-    pub ue: UeName,
+    pub ue: UeId,
     pub procedure: usize,
     pub first_choice: u16,
     /// The number called; 0 where none is told.
-    pub number: u64,
+    pub called_number: u64,
     pub gives_up_at: f64,
 }
 
@@ -72,7 +72,7 @@
 
 /// How a setup try (or a standing attach) ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
+pub enum EndReason {
     /// A standing attach came to its ordinary end.
     Released,
     /// The called line is busy or signalling failed.
@@ -94,26 +94,26 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
     SetUp {
-        ue: UeName,
-        pool: PoolName,
-        time_out: f64,
+        ue: UeId,
+        pool: PoolId,
+        timeout: f64,
     },
     /// Give up this setup try; the host reports how it ended.
     Cancel {
-        ue: UeName,
+        ue: UeId,
         setup_try: u32,
     },
     /// Final answer: refused; the caller is advised to stay away so long (0: no advice).
     Refuse {
-        ue: UeName,
+        ue: UeId,
         pause: f64,
     },
     /// Final answer: fails.
     Abort {
-        ue: UeName,
+        ue: UeId,
     },
     Probe {
-        pool: PoolName,
+        pool: PoolId,
     },
     /// Call `wake` after this many seconds.
     Wake {
--- a/crates/control/src/liveness.rs
+++ b/crates/control/src/liveness.rs
@@ -4,12 +4,12 @@
 //! nothing. So the end of its calls is judged by what is heard of it: a silent server is asked, and one that answers
 //! nothing for most of the time in which callers must be told is taken for gone.
 
-/// A server that has been silent for this part of the limit is asked. A test is work for its server: asking at half of
+/// A server that has been silent for this part of the limit is asked. A test is work for its server: probe_method at half of
 /// this cost a third more tests on a calm day.
 const ASK_AFTER: f64 = 1.0 / 4.0;
 /// And asked again after this.
 const ASK_AGAIN_AFTER: f64 = 1.0 / 8.0;
-/// Both where asking takes a new connection.
+/// Both where probe_method takes a new connection.
 const ASK_BY_DIAL_AFTER: f64 = 3.0 / 8.0;
 /// Silent for this part of the limit, it is gone: what is left of the limit is for its callers to be told.
 const GONE_AFTER: f64 = 7.0 / 8.0;
@@ -24,7 +24,7 @@
 
 /// How a silent server is asked for a word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asking {
+pub enum ProbeMethod {
     /// By a test on its connections.
     Test,
     /// By a new connection, where tests are not allowed.
@@ -33,12 +33,12 @@
 
 /// What to do about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Present,
+pub enum LivenessStatus {
+    Alive,
     /// It has been silent: ask it for a word.
-    Ask,
+    ProbeDue,
     /// It does not answer any more: what stood on it is over.
-    Gone,
+    Dead,
 }
 
 /// What is known of one server's presence.
@@ -46,7 +46,7 @@
 pub struct Liveness {
     /// Callers must be told of a call's end within this.
     limit: f64,
-    asking: Asking,
+    probe_method: ProbeMethod,
     heard_at: Option<f64>,
     /// Since when calls stand on it without a break.
     watched_since: Option<f64>,
@@ -58,10 +58,10 @@
 }
 
 impl Liveness {
-    pub fn new(limit: f64, asking: Asking) -> Liveness {
+    pub fn new(limit: f64, probe_method: ProbeMethod) -> Liveness {
         Liveness {
             limit,
-            asking,
+            probe_method,
             heard_at: None,
             watched_since: None,
             unanswered_since: None,
@@ -71,20 +71,20 @@
     }
 
     /// Something came from the server's process.
-    pub fn heard(&mut self, now: f64) {
+    pub fn message_received(&mut self, now: f64) {
         self.heard_at = Some(now);
         self.unanswered_since = None;
         self.refused_since = None;
     }
 
     /// It was asked for a word.
-    pub fn asked(&mut self, now: f64) {
+    pub fn probe_sent(&mut self, now: f64) {
         self.asked_at = now;
         self.unanswered_since.get_or_insert(now);
     }
 
     /// Its address refused a connection. True: it has done so for so long that no process is there.
-    pub fn refused(&mut self, now: f64) -> bool {
+    pub fn connection_refused(&mut self, now: f64) -> bool {
         now - *self.refused_since.get_or_insert(now) >= REFUSED_FOR * self.limit
     }
 
@@ -97,42 +97,47 @@
 
     /// Whether one connection still leads to the server: it was heard then, and has been asked since then without an
     /// answer. The end of a call comes on one connection, so silence on that one matters while others speak.
-    pub fn judge_connection(&self, now: f64, heard_at: f64, unanswered_since: Option<f64>) -> Verdict {
+    pub fn evaluate_connection(
+        &self,
+        now: f64,
+        heard_at: f64,
+        unanswered_since: Option<f64>,
+    ) -> LivenessStatus {
         match unanswered_since {
-            None if now - heard_at >= ASK_CONNECTION_AFTER * self.limit => Verdict::Ask,
+            None if now - heard_at >= ASK_CONNECTION_AFTER * self.limit => LivenessStatus::ProbeDue,
             Some(since)
                 if now - since >= TIME_TO_ANSWER * self.limit
                     && self.heard_at.is_some_and(|at| at > since) =>
             {
-                Verdict::Gone
+                LivenessStatus::Dead
             }
-            _ => Verdict::Present,
+            _ => LivenessStatus::Alive,
         }
     }
 
     /// Whether the server is there. `has_calls` says whether calls stand on it: only then does it matter.
-    pub fn judge(&mut self, now: f64, has_calls: bool) -> Verdict {
+    pub fn evaluate(&mut self, now: f64, has_calls: bool) -> LivenessStatus {
         if !has_calls {
             self.watched_since = None;
             self.unanswered_since = None;
-            return Verdict::Present;
+            return LivenessStatus::Alive;
         }
         let watched_since = *self.watched_since.get_or_insert(now);
         let silent_for = now - self.heard_at.unwrap_or(watched_since);
         let asked_for = self.unanswered_since.map_or(0.0, |since| now - since);
         let gone_after = if self.heard_at.is_some() { GONE_AFTER } else { NEVER_HEARD_GONE_AFTER };
         if silent_for >= gone_after * self.limit && asked_for >= TIME_TO_ANSWER * self.limit {
-            return Verdict::Gone;
+            return LivenessStatus::Dead;
         }
-        let (ask_after, ask_again_after) = match self.asking {
-            Asking::Test => (ASK_AFTER, ASK_AGAIN_AFTER),
-            Asking::Dial => (ASK_BY_DIAL_AFTER, ASK_BY_DIAL_AFTER),
+        let (ask_after, ask_again_after) = match self.probe_method {
+            ProbeMethod::Test => (ASK_AFTER, ASK_AGAIN_AFTER),
+            ProbeMethod::Dial => (ASK_BY_DIAL_AFTER, ASK_BY_DIAL_AFTER),
         };
         // One never heard has no connection that could say anything unasked.
         let is_silent = silent_for >= ask_after * self.limit || self.heard_at.is_none();
         if is_silent && now - self.asked_at >= ask_again_after * self.limit {
-            return Verdict::Ask;
+            return LivenessStatus::ProbeDue;
         }
-        Verdict::Present
+        LivenessStatus::Alive
     }
 }
--- a/crates/control/tests/cases.rs
+++ b/crates/control/tests/cases.rs
@@ -5,7 +5,7 @@
 use common::*;
 use shalespindle_control::interface::*;
 
-fn sent_to(world: &World) -> Option<PoolName> {
+fn sent_to(world: &World) -> Option<PoolId> {
     world.decisions.iter().rev().find_map(|d| match d {
         Decision::SetUp { pool, .. } => Some(Some(*pool)),
         Decision::Refuse { .. } | Decision::Abort { .. } => Some(None),
@@ -21,7 +21,7 @@
     world.stands(ue);
 }
 
-fn tell_wait(world: &mut World, pool: PoolName, wait: f64) {
+fn tell_wait(world: &mut World, pool: PoolId, wait: f64) {
     for _ in 0..20 {
         world.told(pool, true, wait_of(wait));
     }
@@ -142,7 +142,7 @@
 fn nothing_is_sent_for_a_caller_who_left() {
     let mut world = World::new(1, deployment());
     let ue = world.arrive(0, 0, PATIENCE);
-    world.ends(ue, Ended::TimedOut, Report::default());
+    world.ends(ue, EndReason::TimedOut, Report::default());
     let before = world.decisions.len();
     world.leave(ue);
     world.pass(PATIENCE);
@@ -256,7 +256,7 @@
 /// pool without free agents counted as a slow one.
 #[test]
 fn full_replies_are_heard_and_told_from_missing_agents() {
-    for (ended, soon) in [(Ended::Throttled { wait: None }, false), (Ended::NoAgent, true)] {
+    for (ended, soon) in [(EndReason::Throttled { wait: None }, false), (EndReason::NoAgent, true)] {
         let mut world = World::new(1, deployment());
         let ue = world.arrive(0, 0, PATIENCE);
         world.ends(ue, ended, Report::default());
@@ -283,7 +283,7 @@
                 let sent = world.out().iter().find(|o| o.0 == ue).map(|o| o.1.pool);
                 trials += usize::from(n >= 60);
                 at_small += usize::from(n >= 60 && sent == Some(0));
-                world.ends(ue, Ended::Throttled { wait: None }, Report::default());
+                world.ends(ue, EndReason::Throttled { wait: None }, Report::default());
             }
         }
     }
@@ -298,14 +298,14 @@
 fn a_try_at_a_lossy_pool_leaves_time_for_another() {
     let mut world = World::new(1, deployment());
     served(&mut world, 0, 0.05);
-    let time_out = |world: &mut World| {
+    let timeout = |world: &mut World| {
         let ue = world.arrive(0, 0, PATIENCE);
         world.out().iter().find(|o| o.0 == ue).map(|(_, t)| t.ends - t.sent).unwrap()
     };
-    assert!(time_out(&mut world) >= 2.0);
+    assert!(timeout(&mut world) >= 2.0);
     world.pass(0.2);
     served(&mut world, 0, 0.05);
-    assert!((0.6..2.0 - GUARD).contains(&time_out(&mut world)));
+    assert!((0.6..2.0 - GUARD).contains(&timeout(&mut world)));
 }
 
 /// Twin of a full-size kerala-hills day: reports told of a short wait, yet lost set-ups kept pools closed.
--- a/crates/control/tests/cold_sum.rs
+++ b/crates/control/tests/cold_sum.rs
@@ -58,20 +58,20 @@
     },
     Comes {
         front: usize,
-        ue: UeName,
+        ue: UeId,
         server: usize,
         life: u32,
     },
     Answered {
         front: usize,
-        ue: UeName,
+        ue: UeId,
         server: usize,
         sent: f64,
         life: u32,
     },
     TimedOut {
         front: usize,
-        ue: UeName,
+        ue: UeId,
         server: usize,
         tries: u32,
         life: u32,
@@ -117,7 +117,7 @@
 
 #[derive(Clone, Copy)]
 struct Server {
-    name: PoolName,
+    name: PoolId,
     started: f64,
     /// Set-ups a second when warm.
     capacity: f64,
@@ -135,7 +135,7 @@
     }
 
     fn entry(&self, number: usize) -> PoolEntry {
-        PoolEntry { name: self.name, number: number as u16, started: self.started, ready: self.listed }
+        PoolEntry { id: self.name, number: number as u16, started: self.started, ready: self.listed }
     }
 }
 
@@ -143,7 +143,7 @@
     control: Control,
     life: u32,
     /// Setup tries of the attaches in hand and the server of the last one, by ue.
-    tries: std::collections::HashMap<UeName, (u32, usize)>,
+    tries: std::collections::HashMap<UeId, (u32, usize)>,
 }
 
 struct World {
@@ -154,7 +154,7 @@
     fronts: Vec<Front>,
     heap: BinaryHeap<Reverse<Event>>,
     numbered: u64,
-    last_ue: UeName,
+    last_ue: UeId,
     /// When set-ups came to the cold server.
     cold: Vec<f64>,
 }
@@ -175,12 +175,12 @@
         may_cancel: true,
         max_tries: 4,
         release_guard: 0.5,
-        longest_pause: 2.0,
+        max_pause: 2.0,
         cold: ColdStart {
             start_capacity: START_CAPACITY,
             warm_after: WARM_AFTER,
-            tip_multiple: TIP_MULTIPLE,
-            fall_after: WINDOW,
+            overload_multiple: TIP_MULTIPLE,
+            overload_window: WINDOW,
         },
     }
 }
@@ -264,8 +264,13 @@
             }
             _ => self.rng.random_range(0..named),
         };
-        let new =
-            NewAttach { ue: self.last_ue, procedure: 0, first_choice, number: 0, gives_up_at: now + 9.0 };
+        let new = NewAttach {
+            ue: self.last_ue,
+            procedure: 0,
+            first_choice,
+            called_number: 0,
+            gives_up_at: now + 9.0,
+        };
         self.fronts[front].tries.insert(self.last_ue, (0, COLD));
         self.fronts[front].control.attach_arrived(now, new);
         self.pull(now, front);
@@ -287,7 +292,7 @@
             Happens::Answered { front, ue, server, sent, life } => {
                 if self.fronts[front].life == life && self.fronts[front].tries.remove(&ue).is_some() {
                     let pool = self.servers[server].name;
-                    self.fronts[front].control.attach_stands(now, ue, pool, now - sent);
+                    self.fronts[front].control.attach_established(now, ue, pool, now - sent);
                     self.pull(now, front);
                 }
             }
@@ -295,7 +300,7 @@
                 let current = self.fronts[front].tries.get(&ue) == Some(&(tries, server));
                 if self.fronts[front].life == life && current {
                     let pool = self.servers[server].name;
-                    let (ended, report) = (Ended::TimedOut, Report::default());
+                    let (ended, report) = (EndReason::TimedOut, Report::default());
                     self.fronts[front].control.try_ended(now, ue, pool, ended, false, report);
                     self.pull(now, front);
                 }
@@ -310,7 +315,7 @@
                 if self.fronts[front].life == life && !self.servers[server].silent {
                     let report = Report { free_agents: Some(40.0), agents: Some(40.0), wait: None };
                     let pool = self.servers[server].name;
-                    self.fronts[front].control.pool_heard(now, pool, true, report);
+                    self.fronts[front].control.pool_reported(now, pool, true, report);
                     self.pull(now, front);
                 }
             }
@@ -348,7 +353,7 @@
     }
 
     /// A set-up comes to a server: worked off one after the other, turned away where that takes too long.
-    fn comes(&mut self, now: f64, front: usize, ue: UeName, server: usize, life: u32) {
+    fn comes(&mut self, now: f64, front: usize, ue: UeId, server: usize, life: u32) {
         if server == COLD && self.servers[COLD].started > 0.0 {
             self.cold.push(now);
         }
@@ -366,14 +371,14 @@
         while let Some(decision) = self.fronts[front].control.next_decision(now) {
             let life = self.fronts[front].life;
             match decision {
-                Decision::SetUp { ue, pool, time_out } => {
+                Decision::SetUp { ue, pool, timeout } => {
                     let server =
                         self.servers.iter().position(|s| s.name == pool).expect("a server that is there");
                     let out = self.fronts[front].tries.entry(ue).or_default();
                     *out = (out.0 + 1, server);
                     let tries = out.0;
                     self.at(now + WAY, Happens::Comes { front, ue, server, life });
-                    self.at(now + time_out, Happens::TimedOut { front, ue, server, tries, life });
+                    self.at(now + timeout, Happens::TimedOut { front, ue, server, tries, life });
                 }
                 Decision::Refuse { ue, .. } | Decision::Abort { ue } => {
                     self.fronts[front].tries.remove(&ue);
@@ -387,7 +392,7 @@
                 Decision::Cancel { ue, .. } => {
                     let Some(&(_, server)) = self.fronts[front].tries.get(&ue) else { continue };
                     let cancelled = self.servers[server].name;
-                    let (ended, report) = (Ended::Cancelled, Report::default());
+                    let (ended, report) = (EndReason::Cancelled, Report::default());
                     self.fronts[front].control.try_ended(now, ue, cancelled, ended, false, report);
                 }
             }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -24,18 +24,23 @@
         may_cancel: true,
         max_tries: 4,
         release_guard: GUARD,
-        longest_pause: 2.0,
-        cold: ColdStart { start_capacity: 0.3, warm_after: 15.0, tip_multiple: MULTIPLE, fall_after: 1.0 },
+        max_pause: 2.0,
+        cold: ColdStart {
+            start_capacity: 0.3,
+            warm_after: 15.0,
+            overload_multiple: MULTIPLE,
+            overload_window: 1.0,
+        },
     }
 }
 
-pub fn entry(name: PoolName, started: f64, ready: bool) -> PoolEntry {
-    PoolEntry { name, number: name as u16, started, ready }
+pub fn entry(name: PoolId, started: f64, ready: bool) -> PoolEntry {
+    PoolEntry { id: name, number: name as u16, started, ready }
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Try {
-    pub pool: PoolName,
+    pub pool: PoolId,
     pub sent: f64,
     pub ends: f64,
 }
@@ -53,11 +58,11 @@
     pub decisions: Vec<Decision>,
     pub broken: Option<String>,
     pub started: f64,
-    open: BTreeMap<UeName, Open>,
-    ready: BTreeMap<PoolName, PoolEntry>,
-    sent: BTreeMap<PoolName, Vec<f64>>,
+    open: BTreeMap<UeId, Open>,
+    ready: BTreeMap<PoolId, PoolEntry>,
+    sent: BTreeMap<PoolId, Vec<f64>>,
     wakes: Vec<f64>,
-    next_ue: UeName,
+    next_ue: UeId,
     arrivals: u32,
 }
 
@@ -87,56 +92,58 @@
         }
         for e in entries {
             if e.ready {
-                self.ready.insert(e.name, *e);
+                self.ready.insert(e.id, *e);
             } else {
-                self.ready.remove(&e.name);
+                self.ready.remove(&e.id);
             }
         }
         self.control.pools_listed(self.now, entries, whole);
         self.pull();
     }
 
-    pub fn told(&mut self, pool: PoolName, probed: bool, report: Report) {
-        self.control.pool_heard(self.now, pool, probed, report);
+    pub fn told(&mut self, pool: PoolId, probed: bool, report: Report) {
+        self.control.pool_reported(self.now, pool, probed, report);
     }
 
-    pub fn arrive(&mut self, procedure: usize, first_choice: u16, patience: f64) -> UeName {
+    pub fn arrive(&mut self, procedure: usize, first_choice: u16, patience: f64) -> UeId {
         let ue = self.next_ue;
         self.next_ue += 1;
         self.arrivals += 1;
         let gives_up_at = self.now + patience;
         self.open.insert(ue, Open { gives_up_at, released_at: 0.0, out: None });
-        self.control
-            .attach_arrived(self.now, NewAttach { ue, procedure, first_choice, number: 0, gives_up_at });
+        self.control.attach_arrived(
+            self.now,
+            NewAttach { ue, procedure, first_choice, called_number: 0, gives_up_at },
+        );
         self.pull();
         ue
     }
 
-    pub fn out(&self) -> Vec<(UeName, Try)> {
+    pub fn out(&self) -> Vec<(UeId, Try)> {
         self.open.iter().filter_map(|(ue, o)| o.out.map(|t| (*ue, t))).collect()
     }
 
-    pub fn stands(&mut self, ue: UeName) {
+    pub fn stands(&mut self, ue: UeId) {
         let Some(Open { out: Some(sent), .. }) = self.open.remove(&ue) else {
             return;
         };
-        self.control.attach_stands(self.now, ue, sent.pool, self.now - sent.sent);
+        self.control.attach_established(self.now, ue, sent.pool, self.now - sent.sent);
         self.pull();
     }
 
-    pub fn ends(&mut self, ue: UeName, ended: Ended, report: Report) {
+    pub fn ends(&mut self, ue: UeId, ended: EndReason, report: Report) {
         let Some(open) = self.open.get_mut(&ue) else {
             return;
         };
         let Some(sent) = open.out.take() else { return };
-        if matches!(ended, Ended::TimedOut | Ended::Cut | Ended::Cancelled) {
+        if matches!(ended, EndReason::TimedOut | EndReason::Cut | EndReason::Cancelled) {
             open.released_at = self.now + GUARD;
         }
         self.control.try_ended(self.now, ue, sent.pool, ended, false, report);
         self.pull();
     }
 
-    pub fn leave(&mut self, ue: UeName) {
+    pub fn leave(&mut self, ue: UeId) {
         self.open.remove(&ue);
         self.control.client_left(self.now, ue);
         self.pull();
@@ -153,9 +160,9 @@
                 break;
             }
             self.now = next.max(self.now);
-            let due: Vec<UeName> = self.out().iter().filter(|(_, t)| t.ends <= next).map(|o| o.0).collect();
+            let due: Vec<UeId> = self.out().iter().filter(|(_, t)| t.ends <= next).map(|o| o.0).collect();
             for ue in due {
-                self.ends(ue, Ended::TimedOut, Report::default());
+                self.ends(ue, EndReason::TimedOut, Report::default());
             }
             if wake <= next {
                 self.wakes.retain(|&w| w > next);
@@ -171,9 +178,9 @@
         while let Some(decision) = self.control.next_decision(self.now) {
             self.decisions.push(decision);
             match decision {
-                Decision::SetUp { ue, pool, time_out } => self.check_set_up(ue, pool, time_out),
+                Decision::SetUp { ue, pool, timeout } => self.check_set_up(ue, pool, timeout),
                 Decision::Refuse { ue, .. } | Decision::Abort { ue } => self.check_final(ue),
-                Decision::Cancel { ue, .. } => self.ends(ue, Ended::Cancelled, Report::default()),
+                Decision::Cancel { ue, .. } => self.ends(ue, EndReason::Cancelled, Report::default()),
                 Decision::Probe { .. } => {}
                 Decision::Wake { after } => self.wakes.push(self.now + after),
             }
@@ -185,7 +192,7 @@
         self.broken.get_or_insert(format!("rule {rule} at {}: {what}", self.now));
     }
 
-    fn check_final(&mut self, ue: UeName) {
+    fn check_final(&mut self, ue: UeId) {
         match self.open.remove(&ue) {
             None => self.fault(1, format!("a second answer for {ue}")),
             Some(Open { out: Some(t), .. }) => self.fault(1, format!("{ue} answered with {t:?} out")),
@@ -200,12 +207,12 @@
         }
     }
 
-    fn check_set_up(&mut self, ue: UeName, pool: PoolName, time_out: f64) {
+    fn check_set_up(&mut self, ue: UeId, pool: PoolId, timeout: f64) {
         let now = self.now;
         let Some(open) = self.open.get(&ue).copied() else {
             return self.fault(1, format!("{ue} is sent after its end"));
         };
-        if now + time_out > open.gives_up_at + SLACK {
+        if now + timeout > open.gives_up_at + SLACK {
             self.fault(1, format!("{ue} is sent past its end"));
         }
         if open.out.is_some() {
@@ -232,6 +239,6 @@
                 self.fault(4, format!("{window} set-ups to cold {pool}, which can do {present}"));
             }
         }
-        self.open.get_mut(&ue).unwrap().out = Some(Try { pool, sent: now, ends: now + time_out });
+        self.open.get_mut(&ue).unwrap().out = Some(Try { pool, sent: now, ends: now + timeout });
     }
 }
--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -31,11 +31,11 @@
             9 | 10 if !out.is_empty() => {
                 let wait = (detail & 2 == 2).then_some(0.7);
                 let kinds = [
-                    Ended::Cut,
-                    Ended::Throttled { wait },
-                    Ended::Unreached,
-                    Ended::Rejected,
-                    Ended::Cancelled,
+                    EndReason::Cut,
+                    EndReason::Throttled { wait },
+                    EndReason::Unreached,
+                    EndReason::Rejected,
+                    EndReason::Cancelled,
                 ];
                 world.ends(out[pick % out.len()].0, kinds[pick / 7 % 5], report);
             }
@@ -53,7 +53,7 @@
                         .iter()
                         .any(|d| matches!(d, Decision::Refuse { ue, .. } if *ue == stale))
                 {
-                    world.control.try_ended(world.now, stale, pool, Ended::TimedOut, true, report);
+                    world.control.try_ended(world.now, stale, pool, EndReason::TimedOut, true, report);
                     world.control.client_left(world.now, stale);
                 }
                 world.told(pool, detail & 8 == 0, report);
--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -204,7 +204,7 @@
         self.counters.offered += 1;
         if self.is_ending() || self.in_hand > self.params.most_in_hand {
             self.counters.door_refused += 1;
-            let pause = self.params.deployment.longest_pause;
+            let pause = self.params.deployment.max_pause;
             return self.final_answer(now, key, Outcome::Refused, 503, Some(pause).filter(|p| *p > 0.0));
         }
         let number = number_called(called.number);
@@ -213,7 +213,7 @@
         }
         // RFC 3261 section 17.2.1: a 100 unless an answer follows within 200 ms, which it mostly does.
         self.timers.set(now + TRYING, Due::Caller { key, serial });
-        let new = NewAttach { ue, procedure, first_choice, number, gives_up_at };
+        let new = NewAttach { ue, procedure, first_choice, called_number: number, gives_up_at };
         self.control.tell(now, Told::Arrived(new));
     }
 
@@ -301,7 +301,7 @@
         self.by_ue.remove(&ue);
         self.control.tell(now, Told::Left { ue });
         if let Some(leg) = leg {
-            self.give_up_leg(now, leg, shalespindle_control::interface::Ended::Cancelled, true);
+            self.give_up_leg(now, leg, shalespindle_control::interface::EndReason::Cancelled, true);
         }
     }
 
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -3,7 +3,7 @@
 //! that waits here has provably not been sent.
 
 use crate::io::LinkId;
-use shalespindle_control::interface::PoolName;
+use shalespindle_control::interface::PoolId;
 use shalespindle_signalling::Framer;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Link {
-    pub pool: PoolName,
+    pub pool: PoolId,
     pub number: u16,
     pub address: SocketAddr,
     pub connection: u64,
@@ -120,7 +120,7 @@
 }
 
 impl Link {
-    pub fn new(pool: PoolName, number: u16, address: SocketAddr) -> Link {
+    pub fn new(pool: PoolId, number: u16, address: SocketAddr) -> Link {
         Link {
             pool,
             number,
--- a/crates/front/src/outcome.rs
+++ b/crates/front/src/outcome.rs
@@ -1,7 +1,7 @@
 //! The written table from a server's SIP answer to the module's word for how a setup try ended; the same
 //! table, with its reasons, stands in docs/wire.md.
 
-use shalespindle_control::interface::{Ended, Report};
+use shalespindle_control::interface::{EndReason, Report};
 use shalespindle_signalling::Message;
 
 /// Header with a processor's wait, milliseconds.
@@ -14,14 +14,14 @@
 const NO_CIRCUIT: u16 = 34;
 
 /// How the try ended that got this final answer other than 2xx.
-pub fn ended(status: u16, answer: &Message) -> Ended {
+pub fn ended(status: u16, answer: &Message) -> EndReason {
     match status {
         // 480 and 503 with cause 34 say that no line is free; others of them, that the processor is too busy.
-        480 | 503 if answer.q850_cause() == Some(NO_CIRCUIT) => Ended::NoAgent,
-        503 => Ended::Throttled { wait: answer.retry_after() },
+        480 | 503 if answer.q850_cause() == Some(NO_CIRCUIT) => EndReason::NoAgent,
+        503 => EndReason::Throttled { wait: answer.retry_after() },
         // The server ended it after our CANCEL, or by its own timer: what it held may stay taken.
-        487 | 408 => Ended::Cancelled,
-        _ => Ended::Rejected,
+        487 | 408 => EndReason::Cancelled,
+        _ => EndReason::Rejected,
     }
 }
 
@@ -37,17 +37,17 @@
     #[test]
     fn each_row_of_the_table() {
         let rows = [
-            (486, "", Ended::Rejected),
-            (480, "Reason: Q.850;cause=34\r\n", Ended::NoAgent),
-            (503, "Reason: Q.850;cause=34\r\nRetry-After: 1\r\n", Ended::NoAgent),
-            (480, "", Ended::Rejected),
-            (503, "Retry-After: 2\r\n", Ended::Throttled { wait: Some(2.0) }),
-            (503, "Retry-After: 2;ms=1300\r\n", Ended::Throttled { wait: Some(1.3) }),
-            (503, "", Ended::Throttled { wait: None }),
-            (487, "", Ended::Cancelled),
-            (408, "", Ended::Cancelled),
-            (500, "", Ended::Rejected),
-            (604, "", Ended::Rejected),
+            (486, "", EndReason::Rejected),
+            (480, "Reason: Q.850;cause=34\r\n", EndReason::NoAgent),
+            (503, "Reason: Q.850;cause=34\r\nRetry-After: 1\r\n", EndReason::NoAgent),
+            (480, "", EndReason::Rejected),
+            (503, "Retry-After: 2\r\n", EndReason::Throttled { wait: Some(2.0) }),
+            (503, "Retry-After: 2;ms=1300\r\n", EndReason::Throttled { wait: Some(1.3) }),
+            (503, "", EndReason::Throttled { wait: None }),
+            (487, "", EndReason::Cancelled),
+            (408, "", EndReason::Cancelled),
+            (500, "", EndReason::Rejected),
+            (604, "", EndReason::Rejected),
         ];
         for (status, lines, expected) in rows {
             let text = format!("SIP/2.0 {status} x\r\n{lines}\r\n");
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -7,7 +7,7 @@
 use crate::outcome;
 use crate::told::Told;
 use rand::Rng;
-use shalespindle_control::interface::{Ended, Report};
+use shalespindle_control::interface::{EndReason, Report};
 use shalespindle_membership::Change;
 use shalespindle_signalling::message::{address, Message, Method};
 use shalespindle_signalling::transaction::LONG;
@@ -108,8 +108,8 @@
             let at = LegRef { key, serial: leg.serial };
             match leg.stage {
                 // Nothing of it was written.
-                LegStage::Queued => self.try_over(now, at, Ended::Unreached, Report::default()),
-                LegStage::Out => self.try_over(now, at, Ended::Cut, Report::default()),
+                LegStage::Queued => self.try_over(now, at, EndReason::Unreached, Report::default()),
+                LegStage::Out => self.try_over(now, at, EndReason::Cut, Report::default()),
                 // A late 200 can no longer come by this connection, and a new one has no such transaction.
                 LegStage::Cancelled => self.remove_leg(now, key),
                 LegStage::Standing => {
@@ -118,7 +118,7 @@
                     let attach = leg.attach;
                     let report = Report::default();
                     self.control
-                        .tell(now, Told::Ended { ue, pool, ended: Ended::Cut, finished: true, report });
+                        .tell(now, Told::Ended { ue, pool, ended: EndReason::Cut, finished: true, report });
                     if let Some((attach, _)) = attach {
                         self.release(now, attach, true, true, true);
                     }
@@ -166,7 +166,7 @@
             .collect();
         for at in &queued {
             self.counters.taken_back += 1;
-            self.try_over(now, *at, Ended::Unreached, Report::default());
+            self.try_over(now, *at, EndReason::Unreached, Report::default());
         }
         if !queued.is_empty() {
             let server = self.links[place].address;
@@ -225,7 +225,7 @@
     }
 
     /// A setup try that is queued or out has ended; the module hears of it, the leg goes.
-    pub(crate) fn try_over(&mut self, now: f64, at: LegRef, ended: Ended, report: Report) {
+    pub(crate) fn try_over(&mut self, now: f64, at: LegRef, ended: EndReason, report: Report) {
         let Some(leg) = self.leg(at) else { return };
         let (ue, pool, attach) = (leg.ue, self.links[leg.link].pool, leg.attach);
         if let Some(attach) =
@@ -240,7 +240,7 @@
     }
 
     /// Gives up a try: taken back if it has not left, else CANCEL. `finished`: its caller has gone.
-    pub(crate) fn give_up_leg(&mut self, now: f64, at: LegRef, ended: Ended, finished: bool) {
+    pub(crate) fn give_up_leg(&mut self, now: f64, at: LegRef, ended: EndReason, finished: bool) {
         let Some(leg) = self.leg(at) else { return };
         let (ue, place, stage) = (leg.ue, leg.link, leg.stage);
         let pool = self.links[place].pool;
@@ -248,7 +248,7 @@
             LegStage::Queued => {
                 self.counters.taken_back += 1;
                 self.remove_leg(now, at.key);
-                Ended::Unreached
+                EndReason::Unreached
             }
             LegStage::Out => {
                 let blocked = self.links[place].blocked && self.links[place].last_set_ups.contains(&at);
@@ -277,7 +277,7 @@
         match leg.stage {
             LegStage::Queued | LegStage::Out => {
                 let attach = leg.attach;
-                self.give_up_leg(now, at, Ended::TimedOut, false);
+                self.give_up_leg(now, at, EndReason::TimedOut, false);
                 if let Some(attach) =
                     attach.and_then(|(k, s)| self.attaches.get_mut(k).filter(|a| a.serial == s))
                 {
@@ -396,7 +396,7 @@
             }
             (Method::Bye, LegStage::Releasing) if status >= 200 => {
                 let (ue, pool) = (leg.ue, self.links[place].pool);
-                let (ended, report) = (Ended::Released, outcome::report(message));
+                let (ended, report) = (EndReason::Released, outcome::report(message));
                 self.control.tell(now, Told::Ended { ue, pool, ended, finished: true, report });
                 self.remove_leg(now, key);
             }
@@ -494,7 +494,7 @@
     pub(crate) fn over_at_server(&mut self, now: f64, at: LegRef, report: Report, tell_caller: bool) {
         let Some(leg) = self.leg(at).filter(|l| l.stage == LegStage::Standing) else { return };
         let (ue, pool, attach) = (leg.ue, self.links[leg.link].pool, leg.attach);
-        self.control.tell(now, Told::Ended { ue, pool, ended: Ended::Released, finished: true, report });
+        self.control.tell(now, Told::Ended { ue, pool, ended: EndReason::Released, finished: true, report });
         if let Some((key, _)) = attach {
             self.release(now, key, tell_caller, false, false);
         }
@@ -503,7 +503,7 @@
 
     // ---- probes ----
 
-    pub(crate) fn probe(&mut self, pool: shalespindle_control::interface::PoolName) {
+    pub(crate) fn probe(&mut self, pool: shalespindle_control::interface::PoolId) {
         let Some(&place) = self.by_pool.get(&pool) else { return };
         let serial = self.serial();
         let most = self.params.most_queued;
--- a/crates/front/src/sites.rs
+++ b/crates/front/src/sites.rs
@@ -5,7 +5,7 @@
 use crate::io::{Event, Output};
 use crate::links::LinkState;
 use crate::told::Told;
-use shalespindle_control::interface::{PoolEntry, PoolName};
+use shalespindle_control::interface::{PoolEntry, PoolId};
 use shalespindle_membership::Verdict;
 use shalespindle_sites::{Narrowing, Observed, ObservedServer};
 use std::collections::BTreeSet;
@@ -14,13 +14,13 @@
 #[derive(Default)]
 pub(crate) struct Narrowed {
     /// Servers left alone now.
-    alone: BTreeSet<PoolName>,
+    alone: BTreeSet<PoolId>,
     /// Places of sites that are out, and whether an operator holds them out.
     sites: Vec<(usize, bool)>,
 }
 
 impl Narrowed {
-    pub fn leaves_alone(&self, pool: PoolName) -> bool {
+    pub fn leaves_alone(&self, pool: PoolId) -> bool {
         self.alone.contains(&pool)
     }
 }
@@ -32,7 +32,7 @@
         let (every, silent_after) = (sites.every, sites.silent_after);
         self.timers.set(now + every, Due::Sight);
         // The router asks nothing of servers that are left alone: whether they answer again is asked here.
-        let asked: Vec<PoolName> = self.narrowed.alone.iter().copied().collect();
+        let asked: Vec<PoolId> = self.narrowed.alone.iter().copied().collect();
         if self.params.deployment.may_probe {
             asked.into_iter().for_each(|pool| self.probe(pool));
         }
@@ -82,7 +82,7 @@
         let out = |firm: bool, site: Option<usize>| {
             site.is_some_and(|s| self.narrowed.sites.iter().any(|(o, f)| *o == s && (*f || !firm)))
         };
-        let members: Vec<(PoolName, u16, Option<usize>, bool, f64)> = self
+        let members: Vec<(PoolId, u16, Option<usize>, bool, f64)> = self
             .sources
             .members
             .members()
@@ -98,7 +98,7 @@
             .map(|p| p.pools.as_slice())
             .filter(|pools| !keeps(pools))
             .collect();
-        let alone: BTreeSet<PoolName> = members
+        let alone: BTreeSet<PoolId> = members
             .iter()
             .filter(|m| out(true, m.2) || out(false, m.2) && !bare.iter().any(|pools| pools.contains(&m.1)))
             .map(|m| m.0)
@@ -111,7 +111,7 @@
             if was == is || !is_in {
                 continue;
             }
-            entries.push(PoolEntry { name, number, started, ready: !is });
+            entries.push(PoolEntry { id: name, number, started, ready: !is });
             let Some(&place) = self.by_pool.get(&name) else { continue };
             self.links[place].ready = !is;
             if is {
--- a/crates/front/src/sources.rs
+++ b/crates/front/src/sources.rs
@@ -197,7 +197,7 @@
         let mut changes = Vec::new();
         while let Some(change) = self.sources.members.next_change() {
             entries.push(PoolEntry {
-                name: change.name,
+                id: change.name,
                 number: change.pool,
                 started: change.started,
                 ready: change.verdict == Verdict::In && !self.narrowed.leaves_alone(change.name),
--- a/crates/front/src/told.rs
+++ b/crates/front/src/told.rs
@@ -13,22 +13,22 @@
     },
     Arrived(NewAttach),
     Stands {
-        ue: UeName,
-        pool: PoolName,
+        ue: UeId,
+        pool: PoolId,
         delay: f64,
     },
     Ended {
-        ue: UeName,
-        pool: PoolName,
-        ended: Ended,
+        ue: UeId,
+        pool: PoolId,
+        ended: EndReason,
         finished: bool,
         report: Report,
     },
     Left {
-        ue: UeName,
+        ue: UeId,
     },
     Heard {
-        pool: PoolName,
+        pool: PoolId,
         probed: bool,
         report: Report,
     },
@@ -94,12 +94,12 @@
     match told {
         Told::PoolsListed { entries, whole } => control.pools_listed(now, entries, *whole),
         Told::Arrived(new) => control.attach_arrived(now, *new),
-        Told::Stands { ue, pool, delay } => control.attach_stands(now, *ue, *pool, *delay),
+        Told::Stands { ue, pool, delay } => control.attach_established(now, *ue, *pool, *delay),
         Told::Ended { ue, pool, ended, finished, report } => {
             control.try_ended(now, *ue, *pool, *ended, *finished, *report)
         }
         Told::Left { ue } => control.client_left(now, *ue),
-        Told::Heard { pool, probed, report } => control.pool_heard(now, *pool, *probed, *report),
+        Told::Heard { pool, probed, report } => control.pool_reported(now, *pool, *probed, *report),
         Told::Wake => control.wake(now),
         Told::Pulled(_) => {}
     }
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -12,7 +12,7 @@
     tries: u32,
     first_choice: u16,
     /// Where its setup try is out.
-    out: Option<PoolName>,
+    out: Option<PoolId>,
     not_before: f64,
 }
 
@@ -32,13 +32,13 @@
 pub struct Baseline {
     pick: Pick,
     /// Set-ups out at each pool.
-    outstanding: BTreeMap<PoolName, usize>,
+    outstanding: BTreeMap<PoolId, usize>,
     deployment: Deployment,
     rng: ChaCha8Rng,
-    pools: BTreeMap<PoolName, (u16, bool)>,
-    asking: BTreeMap<UeName, Asking>,
-    undecided: VecDeque<UeName>,
-    waiting: VecDeque<(f64, UeName)>,
+    pools: BTreeMap<PoolId, (u16, bool)>,
+    asking: BTreeMap<UeId, Asking>,
+    undecided: VecDeque<UeId>,
+    waiting: VecDeque<(f64, UeId)>,
     wake_at: f64,
 }
 
@@ -58,7 +58,7 @@
     }
 
     /// A set-up at that pool is no longer out.
-    fn back(&mut self, pool: PoolName) {
+    fn back(&mut self, pool: PoolId) {
         if let Some(count) = self.outstanding.get_mut(&pool) {
             *count = count.saturating_sub(1);
         }
@@ -73,7 +73,7 @@
                     self.pools.values_mut().for_each(|p| p.1 = false);
                 }
                 for e in entries {
-                    self.pools.insert(e.name, (e.number, e.ready));
+                    self.pools.insert(e.id, (e.number, e.ready));
                 }
             }
             Told::Arrived(new) => {
@@ -97,7 +97,7 @@
                 let Some(pool) = out else { return };
                 self.back(pool);
                 let Some(asking) = self.asking.get_mut(ue) else { return };
-                if matches!(ended, Ended::TimedOut | Ended::Cut | Ended::Cancelled) {
+                if matches!(ended, EndReason::TimedOut | EndReason::Cut | EndReason::Cancelled) {
                     asking.not_before = now + self.deployment.release_guard;
                     self.waiting.push_back((asking.not_before, *ue));
                 } else {
@@ -117,7 +117,7 @@
             let Some(asking) = self.asking.get_mut(&ue) else { continue };
             let procedure = &self.deployment.procedures[asking.procedure];
             let left = asking.gives_up_at - now;
-            let usable: Vec<PoolName> = self
+            let usable: Vec<PoolId> = self
                 .pools
                 .iter()
                 .filter(|(_, (number, ready))| *ready && procedure.pools.contains(number))
@@ -145,7 +145,7 @@
             };
             asking.out = Some(pool);
             *self.outstanding.entry(pool).or_default() += 1;
-            return Some(Decision::SetUp { ue, pool, time_out: procedure.latency_target.min(left) });
+            return Some(Decision::SetUp { ue, pool, timeout: procedure.latency_target.min(left) });
         }
         let next = self.waiting.front().map_or(f64::INFINITY, |w| w.0);
         if next < self.wake_at {
--- a/crates/lab/src/chain.rs
+++ b/crates/lab/src/chain.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use shalespindle_control::control::Control;
 use shalespindle_control::interface::{
-    ColdStart, Decision, Deployment, Ended, NewAttach, PoolEntry, Procedure, Report,
+    ColdStart, Decision, Deployment, EndReason, NewAttach, PoolEntry, Procedure, Report,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Arrives { hop: usize, call: u32, patience: f64, of: Option<(Ue, u32)> },
-    Answered { hop: usize, ue: Ue, number: u32, ended: Option<Ended> },
+    Answered { hop: usize, ue: Ue, number: u32, ended: Option<EndReason> },
     TimedOut { hop: usize, ue: Ue, number: u32 },
     GivenUp { hop: usize, call: u32 },
     Wake { hop: usize },
@@ -132,8 +132,13 @@
         may_cancel: true,
         max_tries: 4,
         release_guard: 0.5,
-        longest_pause: 2.0,
-        cold: ColdStart { start_capacity: 0.3, warm_after: 15.0, tip_multiple: 2.0, fall_after: 1.0 },
+        max_pause: 2.0,
+        cold: ColdStart {
+            start_capacity: 0.3,
+            warm_after: 15.0,
+            overload_multiple: 2.0,
+            overload_window: 1.0,
+        },
     }
 }
 
@@ -169,7 +174,7 @@
 impl Chain<'_> {
     fn new(shape: &ChainShape) -> Chain<'_> {
         let entries: Vec<PoolEntry> = (0..SERVERS)
-            .map(|name| PoolEntry { name, number: name as u16, started: 0.0, ready: true })
+            .map(|name| PoolEntry { id: name, number: name as u16, started: 0.0, ready: true })
             .collect();
         let hop = |place: usize| {
             let mut control = Control::new(shape.seed + place as u64, deployment(shape.patience), 0.0);
@@ -216,7 +221,7 @@
                 hop
             }
             Event::TimedOut { hop, ue, number } => {
-                self.ends(now, hop, ue, number, Ended::TimedOut);
+                self.ends(now, hop, ue, number, EndReason::TimedOut);
                 hop
             }
             Event::GivenUp { hop, call } => {
@@ -249,29 +254,29 @@
         place.attaches.insert(ue, Attach { call, of, tries: 0, out: None });
         let first_choice = (call as u64 % SERVERS) as u16;
         let gives_up_at = now + patience;
-        let new = NewAttach { ue, procedure: 0, first_choice, number: u64::from(call), gives_up_at };
+        let new = NewAttach { ue, procedure: 0, first_choice, called_number: u64::from(call), gives_up_at };
         place.control.attach_arrived(now, new);
     }
 
-    fn answered(&mut self, now: f64, hop: usize, ue: Ue, number: u32, ended: Option<Ended>) {
+    fn answered(&mut self, now: f64, hop: usize, ue: Ue, number: u32, ended: Option<EndReason>) {
         if let Some(ended) = ended {
             return self.ends(now, hop, ue, number, ended);
         }
         let Some(attach) = self.hops[hop].attaches.get_mut(&ue) else { return };
         let Some((pool, sent_at)) = attach.out.filter(|_| attach.tries == number) else { return };
-        self.hops[hop].control.attach_stands(now, ue, pool, now - sent_at);
+        self.hops[hop].control.attach_established(now, ue, pool, now - sent_at);
         // What stands is of no further interest here.
-        self.hops[hop].control.try_ended(now, ue, pool, Ended::Released, true, Report::default());
+        self.hops[hop].control.try_ended(now, ue, pool, EndReason::Released, true, Report::default());
         self.finish(now, hop, ue, None);
     }
 
     /// A try of that hop has ended without standing; the hop behind it is told.
-    fn ends(&mut self, now: f64, hop: usize, ue: Ue, number: u32, ended: Ended) {
+    fn ends(&mut self, now: f64, hop: usize, ue: Ue, number: u32, ended: EndReason) {
         let Some(attach) = self.hops[hop].attaches.get_mut(&ue) else { return };
         let Some((pool, _)) = attach.out.filter(|_| attach.tries == number) else { return };
         attach.out = None;
         let call = attach.call;
-        if matches!(ended, Ended::TimedOut | Ended::Cancelled) && hop + 1 < self.shape.hops {
+        if matches!(ended, EndReason::TimedOut | EndReason::Cancelled) && hop + 1 < self.shape.hops {
             self.at(now + WAY, Event::GivenUp { hop: hop + 1, call });
         }
         self.hops[hop].control.try_ended(now, ue, pool, ended, false, Report::default());
@@ -282,14 +287,14 @@
         let of_call = self.hops[hop].attaches.iter().filter(|(_, attach)| attach.call == call);
         let ues: Vec<(Ue, u32)> = of_call.map(|(ue, attach)| (*ue, attach.tries)).collect();
         for (ue, number) in ues {
-            self.ends(now, hop, ue, number, Ended::Cancelled);
+            self.ends(now, hop, ue, number, EndReason::Cancelled);
             self.hops[hop].control.client_left(now, ue);
             self.hops[hop].attaches.remove(&ue);
         }
     }
 
     /// The attach has its final answer: none where it stands.
-    fn finish(&mut self, now: f64, hop: usize, ue: Ue, ended: Option<Ended>) {
+    fn finish(&mut self, now: f64, hop: usize, ue: Ue, ended: Option<EndReason>) {
         let Some(attach) = self.hops[hop].attaches.remove(&ue) else { return };
         match attach.of {
             Some((ue, number)) => {
@@ -303,17 +308,17 @@
     fn decide(&mut self, now: f64, hop: usize) {
         while let Some(decision) = self.hops[hop].control.next_decision(now) {
             match decision {
-                Decision::SetUp { ue, pool, time_out } => self.set_up(now, hop, ue, pool, time_out),
+                Decision::SetUp { ue, pool, timeout } => self.set_up(now, hop, ue, pool, timeout),
                 Decision::Cancel { ue, setup_try } => {
-                    self.ends(now, hop, ue, setup_try + 1, Ended::Cancelled)
+                    self.ends(now, hop, ue, setup_try + 1, EndReason::Cancelled)
                 }
                 // To the hop before, a refusal proves that nothing ran; a failure does not.
                 Decision::Refuse { ue, .. } => {
-                    self.finish(now, hop, ue, Some(Ended::Throttled { wait: None }));
+                    self.finish(now, hop, ue, Some(EndReason::Throttled { wait: None }));
                 }
-                Decision::Abort { ue } => self.finish(now, hop, ue, Some(Ended::Rejected)),
+                Decision::Abort { ue } => self.finish(now, hop, ue, Some(EndReason::Rejected)),
                 Decision::Probe { pool } => {
-                    self.hops[hop].control.pool_heard(now, pool, true, Report::default());
+                    self.hops[hop].control.pool_reported(now, pool, true, Report::default());
                 }
                 // A chain that is over needs no more turns.
                 Decision::Wake { after } if !self.is_over(now) => self.at(now + after, Event::Wake { hop }),
@@ -326,19 +331,19 @@
         now > f64::from(self.shape.calls) * APART + 2.0 * self.shape.patience
     }
 
-    fn set_up(&mut self, now: f64, hop: usize, ue: Ue, pool: u64, time_out: f64) {
+    fn set_up(&mut self, now: f64, hop: usize, ue: Ue, pool: u64, timeout: f64) {
         let Some(attach) = self.hops[hop].attaches.get_mut(&ue) else { return };
         attach.tries += 1;
         attach.out = Some((pool, now));
         let (number, call) = (attach.tries, attach.call);
         self.tries += 1;
-        self.at(now + time_out, Event::TimedOut { hop, ue, number });
+        self.at(now + timeout, Event::TimedOut { hop, ue, number });
         let fails_here = self.shape.at == Failing::AllHops || hop == self.shape.hops / 2;
         if fails_here && self.rng.random::<f64>() < self.shape.failing {
-            let ended = Some(Ended::Cut);
+            let ended = Some(EndReason::Cut);
             self.at(now + 2.0 * WAY, Event::Answered { hop, ue, number, ended });
         } else {
-            let patience = (time_out - WAY).max(0.0);
+            let patience = (timeout - WAY).max(0.0);
             self.at(now + WAY, Event::Arrives { hop: hop + 1, call, patience, of: Some((ue, number)) });
         }
     }
--- a/crates/platform/src/callers.rs
+++ b/crates/platform/src/callers.rs
@@ -7,7 +7,7 @@
 use crate::log::{call_subject, connection_subject, LogLevel};
 use crate::releases::Release;
 use crate::sip;
-use shalespindle_control::interface::{Ended, NewAttach, PoolName, Report, UeName};
+use shalespindle_control::interface::{EndReason, NewAttach, PoolId, Report, UeId};
 use shalespindle_signalling::write::{ResponseHead, Writer};
 use shalespindle_signalling::{Framer, Message, Method, Start};
 
@@ -148,7 +148,7 @@
             procedure: asked.procedure,
             // One that no pool has where none is named.
             first_choice: asked.first_choice.unwrap_or(u16::MAX),
-            number: sip::number(asked.number),
+            called_number: sip::number(asked.number),
             gives_up_at,
         };
         self.control.attach_arrived(now, new);
@@ -213,7 +213,7 @@
     }
 
     /// The caller stopped waiting: no answer is owed, and its setup try is given up.
-    pub(crate) fn client_left(&mut self, now: f64, ue: UeName) {
+    pub(crate) fn client_left(&mut self, now: f64, ue: UeId) {
         self.counters.left += 1;
         self.control.client_left(now, ue);
         let Some((id, client, _)) = self.calls.pending(ue) else { return };
@@ -222,24 +222,24 @@
             if let Some(connection) = out.link {
                 self.end_try_on(now, connection, id);
             }
-            self.count(Ended::Cancelled);
-            self.control.try_ended(now, ue, out.pool, Ended::Cancelled, true, Report::default());
+            self.count(EndReason::Cancelled);
+            self.control.try_ended(now, ue, out.pool, EndReason::Cancelled, true, Report::default());
         }
         self.leave_client(now, client, ue);
         self.calls.remove(ue);
     }
 
-    fn released_by_caller(&mut self, now: f64, ue: UeName, cause: u16) {
+    fn released_by_caller(&mut self, now: f64, ue: UeId, cause: u16) {
         let Some(call) = self.calls.remove(ue) else { return };
         let CallState::Stands(stands) = call.state else { return };
         self.leave_client(now, call.client, ue);
-        self.control.try_ended(now, ue, stands.pool, Ended::Cancelled, true, Report::default());
+        self.control.try_ended(now, ue, stands.pool, EndReason::Cancelled, true, Report::default());
         self.release_to(now, stands.pool, call.id, cause);
         self.stands_no_more(stands.pool);
     }
 
     /// A call that stood is over by its server's word or end: its caller is told.
-    pub(crate) fn over(&mut self, now: f64, ue: UeName, pool: PoolName, cause: u16, reason: &'static str) {
+    pub(crate) fn over(&mut self, now: f64, ue: UeId, pool: PoolId, cause: u16, reason: &'static str) {
         let Some(call) = self.calls.remove(ue) else { return };
         let level = if cause == CLEARED { LogLevel::Debug } else { LogLevel::Info };
         let reason = format!("cause {cause} at {}: {reason}", self.server_name(pool));
@@ -268,7 +268,7 @@
         }
     }
 
-    pub(crate) fn leave_client(&mut self, now: f64, connection: ConnectionId, ue: UeName) {
+    pub(crate) fn leave_client(&mut self, now: f64, connection: ConnectionId, ue: UeId) {
         if let Some(client) = self.clients.all.get_mut(&connection) {
             client.open.retain(|u| *u != ue);
             client.unconfirmed.retain(|u| *u != ue);
--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -1,14 +1,14 @@
 //! The calls of a front: attaches in hand and calls that stand, in one slab, found by id and by ue.
 
 use crate::edge::ConnectionId;
-use shalespindle_control::interface::{PoolName, UeName};
+use shalespindle_control::interface::{PoolId, UeId};
 use shalespindle_signalling::write::ResponseHead;
 use slab::Slab;
 use std::collections::{BTreeSet, HashMap};
 
 /// A setup try that is out, or that waits for a link.
 pub struct Try {
-    pub pool: PoolName,
+    pub pool: PoolId,
     /// The link it went out on; none while it waits for one.
     pub link: Option<ConnectionId>,
     pub sent_at: f64,
@@ -27,7 +27,7 @@
 
 /// A call that stands.
 pub struct Stands {
-    pub pool: PoolName,
+    pub pool: PoolId,
     /// The link of its set-up: its server says its end there. None for a call that was handed over.
     pub link: Option<ConnectionId>,
     /// Its caller has confirmed the answer.
@@ -41,7 +41,7 @@
 
 pub struct Call {
     pub id: u64,
-    pub ue: UeName,
+    pub ue: UeId,
     /// The connection its set-up came on.
     pub client: ConnectionId,
     pub state: CallState,
@@ -51,8 +51,8 @@
 pub struct Calls {
     slab: Slab<Call>,
     by_id: HashMap<u64, usize>,
-    by_ue: HashMap<UeName, usize>,
-    next_ue: UeName,
+    by_ue: HashMap<UeId, usize>,
+    next_ue: UeId,
     in_hand: usize,
     /// Bytes of the descriptions held.
     bytes: usize,
@@ -60,7 +60,7 @@
 
 impl Calls {
     /// Takes a call in; its ue is new.
-    pub fn add(&mut self, id: u64, client: ConnectionId, state: CallState) -> UeName {
+    pub fn add(&mut self, id: u64, client: ConnectionId, state: CallState) -> UeId {
         self.next_ue = self.next_ue.wrapping_add(1);
         let ue = self.next_ue;
         if let CallState::Pending(pending) = &state {
@@ -73,7 +73,7 @@
         ue
     }
 
-    pub fn remove(&mut self, ue: UeName) -> Option<Call> {
+    pub fn remove(&mut self, ue: UeId) -> Option<Call> {
         let key = self.by_ue.remove(&ue)?;
         let call = self.slab.remove(key);
         self.by_id.remove(&call.id);
@@ -85,7 +85,7 @@
     }
 
     /// The attach's call stands from now on.
-    pub fn stands(&mut self, ue: UeName, pool: PoolName, link: ConnectionId) {
+    pub fn stands(&mut self, ue: UeId, pool: PoolId, link: ConnectionId) {
         let Some(&key) = self.by_ue.get(&ue) else { return };
         if let CallState::Pending(pending) = &self.slab[key].state {
             self.in_hand -= 1;
@@ -98,12 +98,12 @@
         self.by_id.get(&id).map(|&key| &mut self.slab[key])
     }
 
-    pub fn by_ue(&mut self, ue: UeName) -> Option<&mut Call> {
+    pub fn by_ue(&mut self, ue: UeId) -> Option<&mut Call> {
         self.by_ue.get(&ue).map(|&key| &mut self.slab[key])
     }
 
     /// The attach in hand of that name.
-    pub fn pending(&mut self, ue: UeName) -> Option<(u64, ConnectionId, &mut PendingCall)> {
+    pub fn pending(&mut self, ue: UeId) -> Option<(u64, ConnectionId, &mut PendingCall)> {
         let call = self.by_ue(ue)?;
         match &mut call.state {
             CallState::Pending(pending) => Some((call.id, call.client, pending)),
@@ -112,7 +112,7 @@
     }
 
     /// Those in hand, in the order of their places.
-    pub fn all_pending(&self) -> Vec<UeName> {
+    pub fn all_pending(&self) -> Vec<UeId> {
         self.slab
             .iter()
             .filter(|(_, c)| matches!(c.state, CallState::Pending(_)))
@@ -121,13 +121,13 @@
     }
 
     /// In hand, and no setup try of it has been written, or none is out any more.
-    pub fn is_unsent(&self, ue: UeName) -> bool {
+    pub fn is_unsent(&self, ue: UeId) -> bool {
         let call = self.by_ue.get(&ue).map(|&key| &self.slab[key].state);
         matches!(call, Some(CallState::Pending(h)) if h.out.as_ref().is_none_or(|t| t.link.is_none()))
     }
 
     /// The link that its setup try went out on.
-    pub fn link_of_try(&self, ue: UeName) -> Option<ConnectionId> {
+    pub fn link_of_try(&self, ue: UeId) -> Option<ConnectionId> {
         match &self.slab[*self.by_ue.get(&ue)?].state {
             CallState::Pending(pending) => pending.out.as_ref()?.link,
             CallState::Stands(_) => None,
@@ -135,7 +135,7 @@
     }
 
     /// Those that stand at a pool, in the order of their places.
-    pub fn standing_at(&self, pool: PoolName) -> Vec<UeName> {
+    pub fn standing_at(&self, pool: PoolId) -> Vec<UeId> {
         let there = |c: &Call| matches!(&c.state, CallState::Stands(s) if s.pool == pool);
         self.slab.iter().filter(|(_, c)| there(c)).map(|(_, c)| c.ue).collect()
     }
@@ -146,7 +146,7 @@
     }
 
     /// The links of the set-ups of those that stand at a pool.
-    pub fn links_of_standing_at(&self, pool: PoolName) -> BTreeSet<ConnectionId> {
+    pub fn links_of_standing_at(&self, pool: PoolId) -> BTreeSet<ConnectionId> {
         let link = |c: &Call| match &c.state {
             CallState::Stands(stands) if stands.pool == pool => stands.link,
             _ => None,
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -2,7 +2,7 @@
 
 use crate::edge::ConnectionId;
 use crate::lines::LONGEST;
-use shalespindle_control::interface::UeName;
+use shalespindle_control::interface::UeId;
 use shalespindle_signalling::Framer;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,11 +36,11 @@
     /// Since when part of a message has waited for the rest.
     pub partial_since: Option<f64>,
     /// Attaches in hand that came on it.
-    pub open: Vec<UeName>,
+    pub open: Vec<UeId>,
     /// Calls whose answer went out on it and is not yet confirmed.
-    pub unconfirmed: Vec<UeName>,
+    pub unconfirmed: Vec<UeId>,
     /// Calls that stand and whose set-up came on it: their ends are told on it.
-    pub standing: BTreeSet<UeName>,
+    pub standing: BTreeSet<UeId>,
     pub bad: u32,
 }
 
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -13,10 +13,10 @@
 use crate::releases::Releases;
 use crate::sip;
 use shalespindle_control::control::Control;
-use shalespindle_control::interface::{Decision, Ended, PoolName, Report, UeName};
-use shalespindle_control::liveness::Asking;
+use shalespindle_control::interface::{Decision, EndReason, PoolId, Report, UeId};
+use shalespindle_control::liveness::ProbeMethod;
 use shalespindle_signalling::timers::Timers;
-use shalespindle_startup::Reading;
+use shalespindle_startup::ReportLayout;
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -94,17 +94,17 @@
 pub(crate) enum Due {
     Wake,
     /// A setup try's time is up.
-    Try(UeName, u32),
+    Try(UeId, u32),
     /// So long may a setup try wait for a link.
-    Waited(UeName, u32),
+    Waited(UeId, u32),
     /// A link must be up by now.
     Link(ConnectionId),
     /// A link that is made and still silent is asked for a word.
     Silent(ConnectionId),
     /// Another dial to that server.
-    Dial(PoolName),
+    Dial(PoolId),
     /// What stands at a server that was removed is over.
-    Gone(PoolName),
+    Gone(PoolId),
     /// An ending front answers what is still in hand.
     LastAnswers,
     /// Callers' connections that were to be closed have been read to their end.
@@ -121,7 +121,7 @@
 
 pub struct Edge {
     pub(crate) control: Control,
-    pub(crate) reading: Reading,
+    pub(crate) reading: ReportLayout,
     /// Names of the procedures and the longest time that a caller of each may wait.
     pub(crate) procedures: Vec<(String, f64)>,
     pub(crate) most_held: usize,
@@ -149,7 +149,7 @@
     pub(crate) handed: Vec<Handed>,
     pub(crate) ending: Option<f64>,
     /// Servers that have a link again: what waits for one goes out in the front's next turn.
-    pub(crate) linked: Vec<PoolName>,
+    pub(crate) linked: Vec<PoolId>,
     last_connection_id: ConnectionId,
     last_test: u64,
 }
@@ -158,20 +158,20 @@
     /// A front as its file says; `unix` is the Unix time now, seconds. The list as far as it is known is taken
     /// at once.
     pub fn new(file: StartFile, now: f64, unix: f64) -> Result<Edge, String> {
-        let startup = file.settings.take()?;
+        let startup = file.settings.into_startup()?;
         let mut deployment = startup.deployment;
         deployment.release_guard += SOCKET_SLACK;
         let longest = deployment.procedures.iter().map(|p| p.t_timer);
-        let asking = if deployment.may_probe { Asking::Test } else { Asking::Dial };
-        let procedures = startup.place.procedures.into_iter().zip(longest).collect();
+        let asking = if deployment.may_probe { ProbeMethod::Test } else { ProbeMethod::Dial };
+        let procedures = startup.host.procedure_names.into_iter().zip(longest).collect();
         let mut edge = Edge {
             control: Control::new(file.seed, deployment, now),
-            reading: startup.reading,
+            reading: startup.report_layout,
             procedures,
-            most_held: startup.place.most_held,
+            most_held: startup.host.max_pending_attaches,
             most_bytes: (file.limits.memory_mb * 1e6 * HELD_PART) as usize,
             most_sockets: file.limits.sockets,
-            dial_within: startup.place.dial_within,
+            dial_within: startup.host.connect_timeout,
             zero: unix - now,
             calls: Calls::default(),
             clients: ClientConnections::default(),
@@ -301,7 +301,7 @@
         // Part of one that is being written to a server that does not read may still wait here.
         let is_blocked = |link| self.servers.links.get(&link).is_some_and(|l| l.blocked);
         let waits =
-            |ue: &UeName| self.calls.is_unsent(*ue) || self.calls.link_of_try(*ue).is_some_and(is_blocked);
+            |ue: &UeId| self.calls.is_unsent(*ue) || self.calls.link_of_try(*ue).is_some_and(is_blocked);
         let unsent = |d: &ClientConnection| d.open.iter().any(waits);
         let (mut connections, mut sends) = (Vec::new(), false);
         for (connection, client) in &self.clients.all {
@@ -351,7 +351,7 @@
                 let waits = |t: &Try| t.link.is_none();
                 let pending = self.calls.pending(ue).map(|c| c.2);
                 if pending.is_some_and(|h| h.tries == number && h.out.as_ref().is_some_and(waits)) {
-                    self.try_over(now, ue, Ended::Unreached, Report::default());
+                    self.try_over(now, ue, EndReason::Unreached, Report::default());
                 }
             }
             Due::Link(connection) => self.link_due(now, connection),
@@ -373,10 +373,10 @@
 
     fn carry(&mut self, now: f64, decision: Decision) {
         match decision {
-            Decision::SetUp { ue, pool, time_out } => self.set_up(now, ue, pool, time_out),
+            Decision::SetUp { ue, pool, timeout } => self.set_up(now, ue, pool, timeout),
             Decision::Cancel { ue, setup_try } => {
                 if self.calls.pending(ue).is_some_and(|c| c.2.out.is_some() && c.2.tries == setup_try + 1) {
-                    self.try_given_up(now, ue, Ended::Cancelled);
+                    self.try_given_up(now, ue, EndReason::Cancelled);
                 }
             }
             Decision::Refuse { ue, pause } => {
@@ -392,15 +392,15 @@
         }
     }
 
-    fn set_up(&mut self, now: f64, ue: UeName, pool: PoolName, time_out: f64) {
+    fn set_up(&mut self, now: f64, ue: UeId, pool: PoolId, timeout: f64) {
         let Some((_, _, pending)) = self.calls.pending(ue) else { return };
         pending.tries += 1;
         pending.out = Some(Try { pool, link: None, sent_at: now });
-        let (number, until) = (pending.tries, (now + time_out).min(pending.gives_up_at));
+        let (number, until) = (pending.tries, (now + timeout).min(pending.gives_up_at));
         self.counters.tries += 1;
         self.timers.set(until, Due::Try(ue, number));
         if self.servers.all.get(&pool).is_none_or(|s| s.phase != Phase::Up) {
-            return self.try_over(now, ue, Ended::Unreached, Report::default());
+            return self.try_over(now, ue, EndReason::Unreached, Report::default());
         }
         match self.servers.best_link(now, pool, self.dial_within) {
             Some(connection) => {
@@ -421,7 +421,7 @@
     }
 
     /// Puts a setup try on a link. Callers have checked that its server still takes what is new.
-    pub(crate) fn write_set_up(&mut self, now: f64, ue: UeName, connection: ConnectionId) {
+    pub(crate) fn write_set_up(&mut self, now: f64, ue: UeId, connection: ConnectionId) {
         let Some((id, _, pending)) = self.calls.pending(ue) else { return };
         let Some(out) = pending.out.as_mut() else { return };
         out.link = Some(connection);
@@ -439,7 +439,7 @@
     }
 
     /// Takes the setup try that is out off the books of its link and of its server; returns it.
-    pub(crate) fn take_try(&mut self, now: f64, ue: UeName) -> Option<Try> {
+    pub(crate) fn take_try(&mut self, now: f64, ue: UeId) -> Option<Try> {
         let out = self.calls.pending(ue)?.2.out.take()?;
         match out.link {
             Some(connection) => {
@@ -460,14 +460,14 @@
     }
 
     /// A setup try ended by its server or by its link; the attach is still owed its answer.
-    pub(crate) fn try_over(&mut self, now: f64, ue: UeName, ended: Ended, report: Report) {
+    pub(crate) fn try_over(&mut self, now: f64, ue: UeId, ended: EndReason, report: Report) {
         let Some(out) = self.take_try(now, ue) else { return };
         self.count(ended);
         self.log_try_over(now, ue, &out, ended);
         self.control.try_ended(now, ue, out.pool, ended, false, report);
     }
 
-    fn log_try_over(&mut self, now: f64, ue: UeName, out: &Try, ended: Ended) {
+    fn log_try_over(&mut self, now: f64, ue: UeId, out: &Try, ended: EndReason) {
         let Some((id, _, pending)) = self.calls.pending(ue) else { return };
         let (number, lasted) = (pending.tries, now - out.sent_at);
         let reason =
@@ -475,22 +475,22 @@
         self.log_info("try over", call_subject(id), reason);
     }
 
-    pub(crate) fn count(&mut self, ended: Ended) {
+    pub(crate) fn count(&mut self, ended: EndReason) {
         let counters = &mut self.counters;
         let counter = match ended {
-            Ended::Unreached => &mut counters.unreached,
-            Ended::Throttled { .. } | Ended::NoAgent => &mut counters.throttled,
-            Ended::Rejected => &mut counters.rejected,
-            Ended::TimedOut => &mut counters.timed_out,
-            Ended::Cut => &mut counters.cut,
-            Ended::Cancelled => &mut counters.cancelled,
-            Ended::Released => return,
+            EndReason::Unreached => &mut counters.unreached,
+            EndReason::Throttled { .. } | EndReason::NoAgent => &mut counters.throttled,
+            EndReason::Rejected => &mut counters.rejected,
+            EndReason::TimedOut => &mut counters.timed_out,
+            EndReason::Cut => &mut counters.cut,
+            EndReason::Cancelled => &mut counters.cancelled,
+            EndReason::Released => return,
         };
         *counter += 1;
     }
 
     /// The front itself ends a setup try: its server is told, so that nothing of it is left there.
-    fn try_given_up(&mut self, now: f64, ue: UeName, ended: Ended) {
+    fn try_given_up(&mut self, now: f64, ue: UeId, ended: EndReason) {
         let Some((id, _, pending)) = self.calls.pending(ue) else { return };
         let connection = pending.out.as_ref().and_then(|t| t.link);
         self.try_over(now, ue, ended, Report::default());
@@ -499,12 +499,12 @@
         }
     }
 
-    fn try_due(&mut self, now: f64, ue: UeName, number: u32) {
+    fn try_due(&mut self, now: f64, ue: UeId, number: u32) {
         let Some((_, _, pending)) = self.calls.pending(ue) else { return };
         let Some(out) = pending.out.as_ref().filter(|_| pending.tries == number) else { return };
         let Some(connection) = out.link else {
             // Still waiting for a link: nothing of it has left.
-            return self.try_over(now, ue, Ended::Unreached, Report::default());
+            return self.try_over(now, ue, EndReason::Unreached, Report::default());
         };
         let sent_at = out.sent_at;
         if let Some(link) = self.servers.links.get_mut(&connection) {
@@ -513,21 +513,21 @@
                 link.retired = true;
             }
         }
-        self.try_given_up(now, ue, Ended::TimedOut);
+        self.try_given_up(now, ue, EndReason::TimedOut);
     }
 
     /// The attach's one final answer, other than that its call stands.
     pub(crate) fn final_answer(
         &mut self,
         now: f64,
-        ue: UeName,
+        ue: UeId,
         status: u16,
         pause: Option<f64>,
         reason: &'static str,
     ) {
         // The module answers only when no try is out; should one be, it must not be left behind.
         if self.calls.pending(ue).is_some_and(|c| c.2.out.is_some()) {
-            self.try_given_up(now, ue, Ended::Cancelled);
+            self.try_given_up(now, ue, EndReason::Cancelled);
         }
         let Some(call) = self.calls.remove(ue) else { return };
         if let CallState::Pending(pending) = call.state {
--- a/crates/platform/src/ending.rs
+++ b/crates/platform/src/ending.rs
@@ -3,7 +3,7 @@
 
 use crate::client_connection::ClientConnection;
 use crate::edge::{ConnectionId, Due, Edge};
-use shalespindle_control::interface::UeName;
+use shalespindle_control::interface::UeId;
 
 /// After SIGTERM set-ups still come for so long; later ones are refused at once.
 const STILL_TAKES: f64 = 0.7;
@@ -92,7 +92,7 @@
     }
 
     /// The front itself gives an attach up. Where a setup try is out, another might not be harmless: it has failed.
-    pub(crate) fn give_up(&mut self, now: f64, ue: UeName, reason: &'static str) {
+    pub(crate) fn give_up(&mut self, now: f64, ue: UeId, reason: &'static str) {
         let Some((_, _, pending)) = self.calls.pending(ue) else { return };
         let went_out = pending.out.as_ref().is_some_and(|t| t.link.is_some());
         self.counters.given_up += 1;
--- a/crates/platform/src/file.rs
+++ b/crates/platform/src/file.rs
@@ -3,7 +3,7 @@
 
 use crate::feed::Event;
 use serde::Deserialize;
-use shalespindle_startup::Text;
+use shalespindle_startup::StartupSettings;
 use std::net::SocketAddr;
 
 /// The file, read and checked.
@@ -16,7 +16,7 @@
     pub limits: Limits,
     pub feed: SocketAddr,
     pub known: Known,
-    pub settings: Text,
+    pub settings: StartupSettings,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -57,6 +57,6 @@
         ));
     }
     // Checked here so that nothing starts, or is taken over, on settings that cannot be used.
-    file.settings.clone().take()?;
+    file.settings.clone().into_startup()?;
     Ok(file)
 }
--- a/crates/platform/src/handover.rs
+++ b/crates/platform/src/handover.rs
@@ -8,7 +8,7 @@
 use crate::client_connection::Use;
 use crate::edge::{ConnectionId, Edge};
 use crate::log::call_subject;
-use shalespindle_control::interface::PoolName;
+use shalespindle_control::interface::PoolId;
 
 /// What the list knows reaches a front that follows it within this.
 const LISTED_WITHIN: f64 = 0.5;
@@ -53,7 +53,7 @@
         self.send_releases(now);
     }
 
-    fn hold(&mut self, now: f64, client: ConnectionId, id: u64, pool: PoolName) {
+    fn hold(&mut self, now: f64, client: ConnectionId, id: u64, pool: PoolId) {
         let ue = self.calls.add(id, client, CallState::Stands(Stands { pool, link: None, confirmed: true }));
         if let Some(client) = self.clients.all.get_mut(&client) {
             client.standing.insert(ue);
--- a/crates/platform/src/lines.rs
+++ b/crates/platform/src/lines.rs
@@ -3,8 +3,8 @@
 use memchr::memchr;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use shalespindle_control::interface::{Ended, Report};
-use shalespindle_startup::Reading;
+use shalespindle_control::interface::{EndReason, Report};
+use shalespindle_startup::ReportLayout;
 use std::borrow::Cow;
 
 /// No message is longer; a line beyond it does not end.
@@ -131,16 +131,16 @@
 
 impl Line<'_> {
     /// What it says of its sender, as far as the settings name it.
-    pub fn report(&self, reading: &Reading) -> Report {
+    pub fn report(&self, reading: &ReportLayout) -> Report {
         let mut report = Report::default();
         for (name, value) in self.load.iter().flat_map(|l| l.split(';')).filter_map(|p| p.split_once(':')) {
             let Some(value) = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0) else {
                 continue;
             };
             match name.trim() {
-                "x0" | "free" if reading.free_at.is_some() => report.free_agents = Some(value),
-                "x1" | "size" if reading.agents_at.is_some() => report.agents = Some(value),
-                "latency_ms" if reading.wait_at.is_some() => report.wait = Some(value / 1000.0),
+                "x0" | "free" if reading.free_agents_index.is_some() => report.free_agents = Some(value),
+                "x1" | "size" if reading.agents_index.is_some() => report.agents = Some(value),
+                "latency_ms" if reading.wait_index.is_some() => report.wait = Some(value / 1000.0),
                 _ => {}
             }
         }
@@ -148,13 +148,13 @@
     }
 
     /// How a release before the answer ends a setup try.
-    pub fn ended(&self) -> Ended {
+    pub fn ended(&self) -> EndReason {
         match (self.cause, self.note.as_deref()) {
-            (34, Some("congestion")) => Ended::NoAgent,
-            (34, _) => Ended::Throttled { wait: None },
-            (17 | 47, _) => Ended::Rejected,
-            (102, _) => Ended::Unreached,
-            _ => Ended::Cut,
+            (34, Some("congestion")) => EndReason::NoAgent,
+            (34, _) => EndReason::Throttled { wait: None },
+            (17 | 47, _) => EndReason::Rejected,
+            (102, _) => EndReason::Unreached,
+            _ => EndReason::Cut,
         }
     }
 }
--- a/crates/platform/src/lines_tests.rs
+++ b/crates/platform/src/lines_tests.rs
@@ -27,11 +27,16 @@
         r#"{{"type":"release","id":"{ID}","fields":{{"note":"throttled","load":"x0:12;x1:40;latency_ms:3.5;queue:-1"}},"cause":34}}"#
     );
     let line = read(refusal.as_bytes()).unwrap();
-    assert_eq!((line.id, line.ended()), (call_id(ID), Ended::Throttled { wait: None }));
-    let reading = Reading { free_at: Some(0), agents_at: Some(1), wait_at: Some(2), tells_wait: false };
+    assert_eq!((line.id, line.ended()), (call_id(ID), EndReason::Throttled { wait: None }));
+    let reading = ReportLayout {
+        free_agents_index: Some(0),
+        agents_index: Some(1),
+        wait_index: Some(2),
+        throttled_includes_wait: false,
+    };
     let report = line.report(&reading);
     assert_eq!((report.free_agents, report.agents, report.wait), (Some(12.0), Some(40.0), Some(0.0035)));
-    assert_eq!(line.report(&Reading::default()).wait, None);
+    assert_eq!(line.report(&ReportLayout::default()).wait, None);
     for bad in [
         "",
         "noise",
@@ -75,7 +80,7 @@
     ) {
         for line in all(&noise, &[step]).unwrap_or_default() {
             if let Some(line) = read(&line) {
-                line.report(&Reading::default());
+                line.report(&ReportLayout::default());
             }
         }
         let endless = vec![b'x'; LONGEST + 700];
--- a/crates/platform/src/link.rs
+++ b/crates/platform/src/link.rs
@@ -4,8 +4,8 @@
 use crate::edge::ConnectionId;
 use crate::lines::Lines;
 use crate::releases::TOLD_WITHIN;
-use shalespindle_control::interface::{PoolName, UeName};
-use shalespindle_control::liveness::{Asking, Liveness};
+use shalespindle_control::interface::{PoolId, UeId};
+use shalespindle_control::liveness::{Liveness, ProbeMethod};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -31,11 +31,11 @@
 }
 
 pub struct Link {
-    pub pool: PoolName,
+    pub pool: PoolId,
     pub state: LinkState,
     pub lines: Lines,
     /// Set-ups out on it.
-    pub open: Vec<UeName>,
+    pub open: Vec<UeId>,
     /// Tests out on it, oldest first.
     tests: VecDeque<u64>,
     pub heard_at: f64,
@@ -48,7 +48,7 @@
 }
 
 impl Link {
-    pub fn new(now: f64, pool: PoolName) -> Link {
+    pub fn new(now: f64, pool: PoolId) -> Link {
         Link {
             pool,
             state: LinkState::Dialled,
@@ -104,14 +104,14 @@
 
 pub struct Server {
     pub id: String,
-    pub pool: PoolName,
+    pub pool: PoolId,
     pub address: SocketAddr,
     pub number: u16,
     pub started: f64,
     pub phase: Phase,
     pub links: Vec<ConnectionId>,
     /// Setup tries that wait for a link.
-    pub waiting: VecDeque<UeName>,
+    pub waiting: VecDeque<UeId>,
     /// It has said its state first on a link that was made, unasked.
     pub says_state: bool,
     /// It did not, and never has: its next links are up when they are made.
@@ -130,25 +130,25 @@
 
 /// Servers by the name the module knows them by, and links by connection.
 pub struct Servers {
-    pub all: BTreeMap<PoolName, Server>,
-    by_id: BTreeMap<String, PoolName>,
+    pub all: BTreeMap<PoolId, Server>,
+    by_id: BTreeMap<String, PoolId>,
     pub links: BTreeMap<ConnectionId, Link>,
-    last: PoolName,
+    last: PoolId,
     /// How a silent one is asked for a word.
-    pub asking: Asking,
+    pub asking: ProbeMethod,
 }
 
 impl Servers {
-    pub fn new(asking: Asking) -> Servers {
+    pub fn new(asking: ProbeMethod) -> Servers {
         let (all, by_id, links) = Default::default();
         Servers { all, by_id, links, last: 0, asking }
     }
 
-    pub fn named(&self, id: &str) -> Option<PoolName> {
+    pub fn named(&self, id: &str) -> Option<PoolId> {
         self.by_id.get(id).copied()
     }
 
-    pub fn add(&mut self, id: &str, address: SocketAddr, number: u16, started: f64) -> PoolName {
+    pub fn add(&mut self, id: &str, address: SocketAddr, number: u16, started: f64) -> PoolId {
         self.last += 1;
         let pool = self.last;
         self.by_id.insert(id.to_string(), pool);
@@ -174,33 +174,33 @@
         pool
     }
 
-    pub fn forget(&mut self, pool: PoolName) {
+    pub fn forget(&mut self, pool: PoolId) {
         if let Some(server) = self.all.remove(&pool) {
             self.by_id.remove(&server.id);
         }
     }
 
     /// The sound link with the fewest set-ups out: one that is spoilt takes few with it.
-    pub fn best_link(&self, now: f64, pool: PoolName, within: f64) -> Option<ConnectionId> {
+    pub fn best_link(&self, now: f64, pool: PoolId, within: f64) -> Option<ConnectionId> {
         let links = self.all.get(&pool)?.links.iter();
         let sound = links.filter(|w| self.links.get(w).is_some_and(|l| l.is_sound(now, within)));
         sound.min_by_key(|w| self.links[w].open.len()).copied()
     }
 
     /// Any link that is up, for what need not be answered.
-    pub fn any_link(&self, now: f64, pool: PoolName, within: f64) -> Option<ConnectionId> {
+    pub fn any_link(&self, now: f64, pool: PoolId, within: f64) -> Option<ConnectionId> {
         let up = |w: &&ConnectionId| self.links.get(w).is_some_and(|l| l.state == LinkState::Up);
         self.best_link(now, pool, within)
             .or_else(|| self.all.get(&pool)?.links.iter().rev().find(up).copied())
     }
 
-    pub fn is_dialling(&self, pool: PoolName) -> bool {
+    pub fn is_dialling(&self, pool: PoolId) -> bool {
         let Some(server) = self.all.get(&pool) else { return false };
         server.links.iter().any(|w| self.links.get(w).is_some_and(|l| l.state != LinkState::Up))
     }
 
     /// A link that may be closed to make room for another: doubtful, with nothing out on it.
-    pub fn spare(&self, now: f64, pool: PoolName, within: f64) -> Option<ConnectionId> {
+    pub fn spare(&self, now: f64, pool: PoolId, within: f64) -> Option<ConnectionId> {
         let links = self.all.get(&pool)?.links.iter();
         let spare = |l: &Link| l.open.is_empty() && (l.retired || l.is_doubtful(now, within));
         links.filter(|w| self.links.get(w).is_some_and(spare)).copied().next()
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -2,7 +2,7 @@
 //! with the id of the call, server or connection that it concerns.
 
 use crate::edge::{ConnectionId, Edge, Output};
-use shalespindle_control::interface::PoolName;
+use shalespindle_control::interface::PoolId;
 
 /// How much a record matters to an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     }
 
     /// The name of a server that is still listed.
-    pub(crate) fn server_name(&self, pool: PoolName) -> &str {
+    pub(crate) fn server_name(&self, pool: PoolId) -> &str {
         self.servers.all.get(&pool).map_or("a server no longer listed", |server| server.id.as_str())
     }
 }
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -8,7 +8,7 @@
 use crate::link::{Link, LinkState, Phase, MOST_LINKS};
 use crate::log::call_subject;
 use crate::sip;
-use shalespindle_control::interface::{Ended, PoolEntry, PoolName, Report, UeName};
+use shalespindle_control::interface::{EndReason, PoolEntry, PoolId, Report, UeId};
 use std::collections::HashSet;
 
 /// Pauses between dials to a server that cannot be reached, doubling.
@@ -65,7 +65,7 @@
                 (None, _) => continue,
             };
             let number = self.servers.all.get(&pool).map_or(member.cell, |s| s.number);
-            entries.push(PoolEntry { name: pool, number, started, ready: phase == Phase::Up });
+            entries.push(PoolEntry { id: pool, number, started, ready: phase == Phase::Up });
             let at = self.servers.all.get(&pool).map(|s| s.address);
             let why = format!("{phase:?}, pool {number}, {at:?}, started {started}, event {}", event.n);
             self.log_info("server listed", &member.id, why);
@@ -75,7 +75,7 @@
         self.take_handed(now);
     }
 
-    fn phase(&mut self, now: f64, pool: PoolName, phase: Phase) {
+    fn phase(&mut self, now: f64, pool: PoolId, phase: Phase) {
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
         let before = std::mem::replace(&mut server.phase, phase);
         if phase == Phase::Up {
@@ -83,7 +83,7 @@
         }
         // Guards rule 3: what waits for a link must not go out after the grace.
         for ue in std::mem::take(&mut server.waiting) {
-            self.try_over(now, ue, Ended::Unreached, Report::default());
+            self.try_over(now, ue, EndReason::Unreached, Report::default());
         }
         if phase == Phase::Removed {
             self.drop_links_not_up(now, pool);
@@ -98,7 +98,7 @@
 
     /// Guards the calls of a new server against links that a removed one never had: what comes up at its address now
     /// is somebody else, who may be listed under another name.
-    fn drop_links_not_up(&mut self, now: f64, pool: PoolName) {
+    fn drop_links_not_up(&mut self, now: f64, pool: PoolId) {
         let links = self.servers.all.get(&pool).map(|s| s.links.clone()).unwrap_or_default();
         for connection in links {
             if self.servers.links.get(&connection).is_none_or(|l| l.state == LinkState::Up) {
@@ -113,13 +113,13 @@
     }
 
     /// Two entries of the list lead to one address: what is said there comes from one process.
-    fn share_address(&self, one: PoolName, other: PoolName) -> bool {
+    fn share_address(&self, one: PoolId, other: PoolId) -> bool {
         let address = |pool| self.servers.all.get(&pool).map(|s| s.address);
         one == other || address(one).is_some() && address(one) == address(other)
     }
 
     /// Another process under the same name: what was there is over.
-    fn server_anew(&mut self, now: f64, pool: PoolName) {
+    fn server_anew(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         for connection in server.links.clone() {
             self.drop_link(now, connection, "its server started anew");
@@ -128,7 +128,7 @@
     }
 
     /// A server that was removed has had the time for its last words.
-    pub(crate) fn server_gone(&mut self, now: f64, pool: PoolName) {
+    pub(crate) fn server_gone(&mut self, now: f64, pool: PoolId) {
         // Guards the last words of one that was back in between and is removed again: its first removal's time is no
         // longer its own.
         let due =
@@ -142,22 +142,22 @@
     }
 
     /// What stands at a server is over.
-    pub(crate) fn ends_at(&mut self, now: f64, pool: PoolName, reason: &'static str) {
+    pub(crate) fn ends_at(&mut self, now: f64, pool: PoolId, reason: &'static str) {
         for ue in self.calls.standing_at(pool) {
-            self.control.try_ended(now, ue, pool, Ended::Cut, true, Report::default());
+            self.control.try_ended(now, ue, pool, EndReason::Cut, true, Report::default());
             self.over(now, ue, pool, CUT, reason);
         }
     }
 
     /// The process is gone, and with it what stood there: it need not be told of anything.
-    pub(crate) fn process_gone(&mut self, now: f64, pool: PoolName, reason: &'static str) {
+    pub(crate) fn process_gone(&mut self, now: f64, pool: PoolId, reason: &'static str) {
         self.ends_at(now, pool, reason);
         if let Some(server) = self.servers.all.get_mut(&pool) {
             server.owed.clear();
         }
     }
 
-    pub(crate) fn stands_no_more(&mut self, pool: PoolName) {
+    pub(crate) fn stands_no_more(&mut self, pool: PoolId) {
         if let Some(server) = self.servers.all.get_mut(&pool) {
             server.standing = server.standing.saturating_sub(1);
         }
@@ -166,7 +166,7 @@
     // ---- links ----
 
     /// Sees to it that a server which is up, or at which calls stand, has a link or is dialled.
-    pub(crate) fn keep_linked(&mut self, now: f64, pool: PoolName) {
+    pub(crate) fn keep_linked(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         let wanted = server.phase == Phase::Up
             || server.phase == Phase::Draining && (server.standing > 0 || !server.owed.is_empty());
@@ -176,7 +176,7 @@
     }
 
     /// Dials one more link, if none is being dialled and there is room.
-    pub(crate) fn dial(&mut self, now: f64, pool: PoolName) {
+    pub(crate) fn dial(&mut self, now: f64, pool: PoolId) {
         if self.servers.is_dialling(pool) {
             return;
         }
@@ -202,7 +202,7 @@
         self.out.push_back(Output::Dial { connection, to, within: self.dial_within });
     }
 
-    pub(crate) fn dial_due(&mut self, now: f64, pool: PoolName) {
+    pub(crate) fn dial_due(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         if !server.waiting.is_empty() || server.test_waits {
             self.dial(now, pool);
@@ -274,13 +274,13 @@
         let was_up = link.state == LinkState::Up;
         self.counters.links_lost += u64::from(was_up);
         for ue in link.open {
-            self.try_over(now, ue, Ended::Cut, Report::default());
+            self.try_over(now, ue, EndReason::Cut, Report::default());
         }
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
         server.links.retain(|w| *w != connection);
         let id = server.id.clone();
         let refused = !was_up && loss == Loss::Refused;
-        let dead = refused && server.liveness.refused(now);
+        let dead = refused && server.liveness.connection_refused(now);
         if was_up {
             server.pause = 0.0;
         }
@@ -289,7 +289,7 @@
         // Refused, nothing that waits can be sent; reset while new, another dial may still bring it there.
         let waiting = if refused { std::mem::take(&mut server.waiting) } else { Default::default() };
         for ue in waiting {
-            self.try_over(now, ue, Ended::Unreached, Report::default());
+            self.try_over(now, ue, EndReason::Unreached, Report::default());
         }
         self.log_info("link down", id, format!("connection {connection}: {:?}, {loss:?}", link.state));
         if dead {
@@ -369,7 +369,7 @@
             self.link_up(now, connection);
         }
         if let Some(server) = self.servers.all.get_mut(&pool) {
-            server.liveness.heard(now);
+            server.liveness.message_received(now);
         }
         self.send_owed(pool, connection);
         let report = line.report(&self.reading);
@@ -379,18 +379,18 @@
             (Kind::Pong, Some(id)) => {
                 let known = self.servers.links.get_mut(&connection).is_some_and(|l| l.test_back(id));
                 if known {
-                    self.control.pool_heard(now, pool, line.cause == 1, report);
+                    self.control.pool_reported(now, pool, line.cause == 1, report);
                 }
             }
             (Kind::Ping, Some(id)) => {
                 self.out.push_back(Output::Write { connection, bytes: lines::pong(id) });
             }
-            (Kind::State, _) => self.control.pool_heard(now, pool, false, report),
+            (Kind::State, _) => self.control.pool_reported(now, pool, false, report),
             _ => {}
         }
     }
 
-    fn answered(&mut self, now: f64, connection: ConnectionId, pool: PoolName, id: u64, line: &Line) {
+    fn answered(&mut self, now: f64, connection: ConnectionId, pool: PoolId, id: u64, line: &Line) {
         let call = self.calls.by_id(id);
         let ue = call.map(|call| (call.ue, call.client, &call.state));
         let (ue, client) = match ue {
@@ -414,7 +414,7 @@
         let bytes = sip::answer(&pending.head, &line.description);
         self.counters.stood += 1;
         self.log_debug("call stands", call_subject(id), self.server_name(pool).to_string());
-        self.control.attach_stands(now, ue, pool, now - out.sent_at);
+        self.control.attach_established(now, ue, pool, now - out.sent_at);
         self.calls.stands(ue, pool, connection);
         if let Some(server) = self.servers.all.get_mut(&pool) {
             server.standing += 1;
@@ -431,7 +431,7 @@
         &mut self,
         now: f64,
         connection: ConnectionId,
-        pool: PoolName,
+        pool: PoolId,
         id: u64,
         line: &Line,
         report: Report,
@@ -454,14 +454,14 @@
             }
             Some((ue, CallState::Stands(stands))) if is_its_servers => {
                 let pool = stands.pool;
-                let ended = if line.cause == CLEARED { Ended::Released } else { Ended::Cut };
+                let ended = if line.cause == CLEARED { EndReason::Released } else { EndReason::Cut };
                 self.control.try_ended(now, ue, pool, ended, true, report);
                 self.out.push_back(Output::Write { connection, bytes: lines::released(id) });
                 self.over(now, ue, pool, line.cause, "its server's word");
             }
-            Some(_) => self.control.pool_heard(now, pool, false, report),
+            Some(_) => self.control.pool_reported(now, pool, false, report),
             None => {
-                self.control.pool_heard(now, pool, false, report);
+                self.control.pool_reported(now, pool, false, report);
                 if !self.handed_ended(now, id, line.cause) {
                     self.early_releases.add(now, id, HANDED_OVER_WITHIN);
                 }
@@ -471,15 +471,15 @@
 
     /// The call came to its ordinary end while its answer is still on the way, or lost. It ran, so it is not set up
     /// again: its caller would hold a call standing that is over by its first server's word.
-    fn ended_before_answer(&mut self, now: f64, ue: UeName, report: Report) {
+    fn ended_before_answer(&mut self, now: f64, ue: UeId, report: Report) {
         self.counters.ended_before_answer += 1;
-        self.try_over(now, ue, Ended::Released, report);
+        self.try_over(now, ue, EndReason::Released, report);
         self.final_answer(now, ue, 504, None, "it ended before its answer came");
         self.control.client_left(now, ue);
     }
 
     /// Releases a call at its server, now or as soon as there is a link.
-    pub(crate) fn release_to(&mut self, now: f64, pool: PoolName, id: u64, cause: u16) {
+    pub(crate) fn release_to(&mut self, now: f64, pool: PoolId, id: u64, cause: u16) {
         if let Some(connection) = self.servers.any_link(now, pool, self.dial_within) {
             self.out.push_back(Output::Write { connection, bytes: lines::release(id, cause) });
         } else if let Some(server) = self.servers.all.get_mut(&pool) {
@@ -491,7 +491,7 @@
     }
 
     /// The module's probe.
-    pub(crate) fn test(&mut self, now: f64, pool: PoolName) {
+    pub(crate) fn test(&mut self, now: f64, pool: PoolId) {
         match self.servers.best_link(now, pool, self.dial_within) {
             Some(connection) => self.test_on(now, connection),
             None => {
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -6,7 +6,7 @@
 
 /// The settings as they are written; keys that nobody here reads are passed over.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Text {
+pub struct StartupSettings {
     classes: Vec<Class>,
     domain: Domain,
     limits: Limits,
@@ -63,53 +63,53 @@
 
 /// Where the wire puts what the module is told; needed to decode later events.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reading {
-    pub free_at: Option<usize>,
-    pub agents_at: Option<usize>,
-    pub wait_at: Option<usize>,
-    pub tells_wait: bool,
+pub struct ReportLayout {
+    pub free_agents_index: Option<usize>,
+    pub agents_index: Option<usize>,
+    pub wait_index: Option<usize>,
+    pub throttled_includes_wait: bool,
 }
 
 /// What a host needs to know itself.
 #[derive(Clone, Debug, Default)]
-pub struct Place {
+pub struct HostParams {
     /// Names of the procedures, in the deployment's order.
-    pub procedures: Vec<String>,
+    pub procedure_names: Vec<String>,
     /// Attaches that may be in hand at once.
-    pub most_held: usize,
+    pub max_pending_attaches: usize,
     /// A connection that is not up within this counts as not made, seconds.
-    pub dial_within: f64,
+    pub connect_timeout: f64,
 }
 
 /// The settings, taken apart by who needs them.
 #[derive(Clone, Debug, Default)]
 pub struct Startup {
     pub deployment: Deployment,
-    pub reading: Reading,
-    pub place: Place,
+    pub report_layout: ReportLayout,
+    pub host: HostParams,
 }
 
 /// From bytes; a fault names its line and column.
 pub fn decode(text: &[u8]) -> Result<Startup, String> {
-    let text: Text = serde_json::from_slice(text).map_err(|e| format!("boot: settings: {e}"))?;
-    text.take().map_err(|why| format!("boot: {why}"))
+    let text: StartupSettings = serde_json::from_slice(text).map_err(|e| format!("boot: settings: {e}"))?;
+    text.into_startup().map_err(|why| format!("boot: {why}"))
 }
 
-impl Text {
+impl StartupSettings {
     /// Checks the figures and takes them apart; a fault names its key and what is allowed.
-    pub fn take(self) -> Result<Startup, String> {
+    pub fn into_startup(self) -> Result<Startup, String> {
         self.check()?;
         let fields = &self.stats.fields;
-        let reading = Reading {
-            free_at: fields.iter().position(|f| f == "free"),
-            agents_at: fields.iter().position(|f| f == "size"),
-            wait_at: fields.iter().position(|f| f == "latency_ms"),
-            tells_wait: self.domain.tells_wait,
+        let report_layout = ReportLayout {
+            free_agents_index: fields.iter().position(|f| f == "free"),
+            agents_index: fields.iter().position(|f| f == "size"),
+            wait_index: fields.iter().position(|f| f == "latency_ms"),
+            throttled_includes_wait: self.domain.tells_wait,
         };
-        let place = Place {
-            procedures: self.classes.iter().map(|c| c.name.clone()).collect(),
-            most_held: self.limits.most_held,
-            dial_within: self.limits.dial_timeout_s,
+        let host = HostParams {
+            procedure_names: self.classes.iter().map(|c| c.name.clone()).collect(),
+            max_pending_attaches: self.limits.most_held,
+            connect_timeout: self.limits.dial_timeout_s,
         };
         let mut cells = self.domain.class_cells.into_iter();
         let procedures = self.classes.iter().map(|c| Procedure {
@@ -125,15 +125,15 @@
             may_probe: self.limits.probes,
             max_tries: self.limits.max_attempts,
             release_guard: self.domain.guard_s,
-            longest_pause: if self.limits.retry_after { self.limits.max_retry_after_s } else { 0.0 },
+            max_pause: if self.limits.retry_after { self.limits.max_retry_after_s } else { 0.0 },
             cold: ColdStart {
                 start_capacity: self.safety.start_capacity,
                 warm_after: self.safety.warm_after_s,
-                tip_multiple: self.safety.tip_multiple,
-                fall_after: self.safety.fall_s,
+                overload_multiple: self.safety.tip_multiple,
+                overload_window: self.safety.fall_s,
             },
         };
-        Ok(Startup { deployment, reading, place })
+        Ok(Startup { deployment, report_layout, host })
     }
 
     fn check(&self) -> Result<(), String> {
--- a/crates/startup/src/tests.rs
+++ b/crates/startup/src/tests.rs
@@ -9,10 +9,13 @@
 #[test]
 fn settings_are_taken_apart() {
     let startup = decode(GOOD.as_bytes()).unwrap();
-    assert_eq!(startup.place.procedures, ["login"]);
-    assert_eq!((startup.reading.wait_at, startup.reading.tells_wait), (Some(2), false));
+    assert_eq!(startup.host.procedure_names, ["login"]);
+    assert_eq!(
+        (startup.report_layout.wait_index, startup.report_layout.throttled_includes_wait),
+        (Some(2), false)
+    );
     assert_eq!(startup.deployment.procedures[0].pools, [0, 1]);
-    assert_eq!((startup.place.most_held, startup.deployment.longest_pause), (20_000, 2.0));
+    assert_eq!((startup.host.max_pending_attaches, startup.deployment.max_pause), (20_000, 2.0));
 }
 
 #[test]
