--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -3,7 +3,7 @@
 
 use crate::front::{Attach, CallerStream, Due, Front, Stage};
 use crate::io::{Event, Outcome, Output, Source};
-use crate::told::Told;
+use crate::router::RouterInput;
 use rand::Rng;
 use shalespindle_control::interface::NewAttach;
 use shalespindle_levels::{Ask, By, Door};
@@ -62,7 +62,7 @@
             self.attaches.iter().filter(|(_, a)| a.source == from).map(|(k, _)| k).collect();
         for key in keys {
             match self.attaches[key].stage {
-                Stage::InHand => {
+                Stage::Pending => {
                     self.left(now, key);
                     self.forget(key);
                 }
@@ -111,7 +111,9 @@
             Method::Ack => self.ack(now, &message, &transaction),
             Method::Cancel => self.cancel(now, source, &message, &transaction),
             Method::Bye => self.bye(now, source, &message),
-            Method::Options => self.answer_once(source, &message, if self.is_ending() { 503 } else { 200 }),
+            Method::Options => {
+                self.answer_once(source, &message, if self.is_shutting_down() { 503 } else { 200 })
+            }
             Method::Other => {
                 let head = ResponseHead::of(&message, &self.tag);
                 let allow = "INVITE, ACK, BYE, CANCEL, OPTIONS";
@@ -143,7 +145,7 @@
         let Some(called) = message.called() else {
             return self.answer_once(source, message, 404);
         };
-        if self.attaches.len() >= KEPT_FOR_REPEATS * self.params.most_in_hand {
+        if self.attaches.len() >= KEPT_FOR_REPEATS * self.params.max_pending {
             // Guards memory against a flood: what is not taken is not owed an answer; callers repeat it.
             self.counters.door_refused += 1;
             return;
@@ -173,7 +175,7 @@
         let key = self.attaches.insert(Attach {
             serial,
             ue,
-            stage: Stage::InHand,
+            stage: Stage::Pending,
             source,
             head: ResponseHead::of(message, &own_tag),
             call_id: message.call_id().unwrap_or_default().into(),
@@ -200,9 +202,9 @@
         });
         self.by_transaction.insert(transaction.into_boxed_str(), key);
         self.by_ue.insert(ue, key);
-        self.in_hand += 1;
+        self.pending += 1;
         self.counters.offered += 1;
-        if self.is_ending() || self.in_hand > self.params.most_in_hand {
+        if self.is_shutting_down() || self.pending > self.params.max_pending {
             self.counters.door_refused += 1;
             let pause = self.params.deployment.longest_pause;
             return self.final_answer(now, key, Outcome::Refused, 503, Some(pause).filter(|p| *p > 0.0));
@@ -214,7 +216,7 @@
         // RFC 3261 section 17.2.1: a 100 unless an answer follows within 200 ms, which it mostly does.
         self.timers.set(now + TRYING, Due::Caller { key, serial });
         let new = NewAttach { ue, procedure, first_choice, number, gives_up_at };
-        self.control.tell(now, Told::Arrived(new));
+        self.control.handle(now, RouterInput::AttachArrived(new));
     }
 
     /// What the level of reduced service says of an attach; the pause where it refuses.
@@ -249,10 +251,10 @@
     }
 
     fn procedure(&mut self, message: &Message) -> usize {
-        let Some(value) = message.header("Resource-Priority") else { return self.params.usual_procedure };
+        let Some(value) = message.header("Resource-Priority") else { return self.params.default_procedure };
         let known = value.split(',').find_map(|v| self.params.priorities.get(v.trim()).copied());
         self.counters.unknown_priority += u64::from(known.is_none());
-        known.unwrap_or(self.params.usual_procedure)
+        known.unwrap_or(self.params.default_procedure)
     }
 
     /// The attach whose dialog a request of the caller's belongs to (RFC 3261 section 12.2.2).
@@ -284,7 +286,7 @@
             return self.answer_once(source, message, 481);
         };
         self.answer_once(source, message, 200);
-        if self.attaches[key].stage == Stage::InHand {
+        if self.attaches[key].stage == Stage::Pending {
             self.left(now, key);
             self.answer(key, 487, |w| w);
             self.answered(now, key, false);
@@ -293,13 +295,13 @@
 
     /// The caller went away before its answer.
     fn left(&mut self, now: f64, key: usize) {
-        self.settled(now, key, Outcome::Left, 487, 0.0);
+        self.settled(now, key, Outcome::Abandoned, 487, 0.0);
         let attach = &mut self.attaches[key];
         attach.stage = Stage::Over;
         let ue = attach.ue;
         let leg = attach.leg.take();
         self.by_ue.remove(&ue);
-        self.control.tell(now, Told::Left { ue });
+        self.control.handle(now, RouterInput::CallerLeft { ue });
         if let Some(leg) = leg {
             self.give_up_leg(now, leg, shalespindle_control::interface::Ended::Cancelled, true);
         }
@@ -382,7 +384,7 @@
             let due = attach.remove_at;
             return self.timers.set(due, Due::Caller { key, serial });
         }
-        if attach.stage == Stage::InHand && attach.last.is_empty() && now >= attach.arrived + TRYING {
+        if attach.stage == Stage::Pending && attach.last.is_empty() && now >= attach.arrived + TRYING {
             return self.answer(key, 100, |w| w);
         }
         match attach.server.tick(now) {
@@ -420,8 +422,8 @@
         self.tell_call(key, None);
         let attach = &self.attaches[key];
         let event =
-            Event::Released { session: attach.session.clone(), cut, stood_for: now - attach.stood_at };
-        self.standing -= 1;
+            Event::Released { session: attach.session.clone(), cut, established_for: now - attach.stood_at };
+        self.established -= 1;
         self.counters.released += 1;
         self.counters.cut += u64::from(cut);
         self.by_ue.remove(&ue);
--- a/crates/front/src/decisions.rs
+++ b/crates/front/src/decisions.rs
@@ -20,7 +20,7 @@
                 }
                 Decision::Abort { ue } => {
                     if let Some(&key) = self.by_ue.get(&ue) {
-                        self.final_answer(now, key, Outcome::Fails, 480, None);
+                        self.final_answer(now, key, Outcome::Failed, 480, None);
                     }
                 }
                 Decision::Probe { pool } => self.probe(pool),
@@ -66,7 +66,7 @@
             }
             self.connect(now, place);
         }
-        if !self.links[place].takes(self.params.most_queued) {
+        if !self.links[place].takes(self.params.max_queued_frames) {
             return self.try_over(now, at, Ended::Unreached, Report::default());
         }
         self.timers.set(due, Due::Leg { key: at.key, serial });
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -3,10 +3,10 @@
 use crate::io::{Counters, Event, FinalAnswer, Input, LinkId, Outcome, Output, Source};
 use crate::links::{Frame, LegRef, Link, LinkState};
 use crate::params::Params;
+use crate::router::{RecordedRouter, Router, RouterInput};
 use crate::shared::Shared;
 use crate::sites::Narrowed;
 use crate::sources::Sources;
-use crate::told::{Router, Tapped, Told};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_control::control::Control;
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// No final answer yet.
-    InHand,
+    Pending,
     Standing,
     /// Answered and over; kept only to meet repeats.
     Over,
@@ -166,7 +166,7 @@
 pub struct Front {
     pub(crate) params: Params,
     pub(crate) started: f64,
-    pub(crate) control: Tapped,
+    pub(crate) control: RecordedRouter,
     pub(crate) levels: Option<Levels>,
     level_wake: f64,
     pub(crate) rng: ChaCha8Rng,
@@ -185,8 +185,8 @@
     pub(crate) counters: Counters,
     pub(crate) next_ue: UeName,
     pub(crate) next_serial: u32,
-    pub(crate) in_hand: usize,
-    pub(crate) standing: usize,
+    pub(crate) pending: usize,
+    pub(crate) established: usize,
     pub(crate) shared: Shared,
     pub(crate) narrowed: Narrowed,
     /// Since when it takes nothing new.
@@ -207,7 +207,7 @@
     }
 
     fn made(params: Params, mut rng: ChaCha8Rng, router: Box<dyn Router>, now: f64) -> Front {
-        let control = Tapped::new(router);
+        let control = RecordedRouter::new(router);
         let tag = format!("{:012x}", rng.random::<u64>() >> 16);
         let levels = params.levels.clone().map(|params| Levels::new(rng.random(), params, now));
         let sources = Sources::new(&params, rng.random(), now);
@@ -232,8 +232,8 @@
             counters: Counters::default(),
             next_ue: 0,
             next_serial: 0,
-            in_hand: 0,
-            standing: 0,
+            pending: 0,
+            established: 0,
             shared: Shared::default(),
             narrowed: Narrowed::default(),
             ending: None,
@@ -252,8 +252,8 @@
         self.control.record();
     }
 
-    pub fn tape(&self) -> &[(f64, Told)] {
-        self.control.tape()
+    pub fn recording(&self) -> &[(f64, RouterInput)] {
+        self.control.recording()
     }
 
     pub fn counters(&self) -> Counters {
@@ -270,25 +270,25 @@
     }
 
     /// Attaches without a final answer.
-    pub fn in_hand(&self) -> usize {
-        self.in_hand
+    pub fn pending(&self) -> usize {
+        self.pending
     }
 
-    pub fn standing(&self) -> usize {
-        self.standing
+    pub fn established(&self) -> usize {
+        self.established
     }
 
     /// Legs and attaches held in any state, for bounds on memory.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn record_counts(&self) -> (usize, usize) {
         (self.attaches.len(), self.legs.len())
     }
 
     /// Asked to end, with nothing left in hand and no attach standing.
     pub fn is_done(&self) -> bool {
-        self.ending.is_some() && self.in_hand == 0 && self.standing == 0
+        self.ending.is_some() && self.pending == 0 && self.established == 0
     }
 
-    pub fn is_ending(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.ending.is_some()
     }
 
@@ -318,13 +318,13 @@
             Input::FeedConnected => self.sources.list.connected(),
             Input::FeedBytes { bytes } => self.feed_bytes(now, bytes),
             Input::FeedLost => self.feed_lost(now),
-            Input::Name(report) => self.dns(now, report),
-            Input::Warned(warning) => self.warned(now, warning),
-            Input::Found { ticket, known, call } => self.found(now, ticket, known, call),
-            Input::CallOver { call } => self.released_elsewhere(now, call),
-            Input::Narrowed(narrowing) => self.narrow(now, narrowing),
-            Input::Release(call) => self.release_foreign(now, &call, true, true),
-            Input::End => self.end(now),
+            Input::Dns(report) => self.dns(now, report),
+            Input::ServerWarning(warning) => self.warned(now, warning),
+            Input::FindCallResult { ticket, known, call } => self.found(now, ticket, known, call),
+            Input::CallReleased { call } => self.released_elsewhere(now, call),
+            Input::SiteRestriction(narrowing) => self.narrow(now, narrowing),
+            Input::ReleaseCall(call) => self.release_foreign(now, &call, true, true),
+            Input::Shutdown => self.end(now),
         }
     }
 
@@ -340,7 +340,7 @@
     fn run_due(&mut self, now: f64) {
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Control => self.control.tell(now, Told::Wake),
+                Due::Control => self.control.handle(now, RouterInput::Wake),
                 Due::Leg { key, serial } => self.leg_due(now, LegRef { key, serial }),
                 Due::Caller { key, serial } => self.caller_due(now, key, serial),
                 Due::Release { key, serial } => self.bye_due(now, key, serial),
@@ -365,8 +365,8 @@
     fn heed_levels(&mut self, now: f64) {
         let Some(levels) = &mut self.levels else { return };
         while let Some(change) = levels.next_change() {
-            let takes = levels.takes_in_words(change.to);
-            let event = Event::Level { from: change.from, to: change.to, why: change.why, takes };
+            let admits = levels.takes_in_words(change.to);
+            let event = Event::LevelChanged { from: change.from, to: change.to, why: change.why, admits };
             self.outputs.push_back(Output::Event(event));
         }
         let due = levels.due();
@@ -394,7 +394,7 @@
         };
         if held {
             let (level, seconds) = pin.map_or((None, 0.0), |(level, seconds)| (Some(level), seconds));
-            self.event(Event::Pinned { level, seconds });
+            self.event(Event::LevelPinned { level, seconds });
         }
         held
     }
@@ -496,8 +496,8 @@
     fn end(&mut self, now: f64) {
         if self.ending.is_none() {
             self.ending = Some(now);
-            self.timers.set(now + self.params.end_within, Due::End);
-            self.event(Event::Ending { in_hand: self.in_hand, standing: self.standing });
+            self.timers.set(now + self.params.shutdown_timeout, Due::End);
+            self.event(Event::ShuttingDown { pending: self.pending, established: self.established });
         }
     }
 
@@ -513,33 +513,33 @@
     // ---- final answers ----
 
     /// The one final answer of an attach, for the log and the counts.
-    pub(crate) fn settled(&mut self, now: f64, key: usize, outcome: Outcome, status: u16, set_up: f64) {
+    pub(crate) fn settled(&mut self, now: f64, key: usize, outcome: Outcome, status: u16, set_up_delay: f64) {
         let attach = &self.attaches[key];
         let answer = FinalAnswer {
             session: attach.session.clone(),
             number: attach.number.clone(),
             outcome,
             status,
-            pool: attach.last_server,
+            last_server: attach.last_server,
             tries: attach.tries,
-            after: now - attach.arrived,
-            set_up,
+            answered_after: now - attach.arrived,
+            set_up_delay,
         };
-        self.in_hand -= 1;
+        self.pending -= 1;
         if let (Some(levels), Some(ticket)) = (&mut self.levels, &self.attaches[key].ticket) {
             let ended = match outcome {
-                Outcome::Stands => shalespindle_levels::Outcome::Stood,
-                Outcome::Refused | Outcome::Fails => shalespindle_levels::Outcome::Lost,
-                Outcome::Left => shalespindle_levels::Outcome::Left,
+                Outcome::Established => shalespindle_levels::Outcome::Stood,
+                Outcome::Refused | Outcome::Failed => shalespindle_levels::Outcome::Lost,
+                Outcome::Abandoned => shalespindle_levels::Outcome::Left,
             };
             levels.ended(now, ticket, ended);
         }
         match outcome {
-            Outcome::Stands => self.counters.stands += 1,
+            Outcome::Established => self.counters.stands += 1,
             Outcome::Refused => self.counters.refused += 1,
-            Outcome::Fails => self.counters.fails += 1,
-            Outcome::Left => self.counters.left += 1,
+            Outcome::Failed => self.counters.fails += 1,
+            Outcome::Abandoned => self.counters.left += 1,
         }
-        self.event(Event::Final(answer));
+        self.event(Event::FinalAnswer(answer));
     }
 }
--- a/crates/front/src/io.rs
+++ b/crates/front/src/io.rs
@@ -63,26 +63,26 @@
     },
     FeedLost,
     /// What became of a question to a name server.
-    Name(In<'a>),
+    Dns(In<'a>),
     /// What other fronts' lists come to for a server.
-    Warned(Warning),
+    ServerWarning(Warning),
     /// What became of a question for a call that another front set up.
-    Found {
+    FindCallResult {
         ticket: u64,
         /// It is one of the fleet's; without `call` it has been released already.
         known: bool,
         call: Option<Box<CallWord>>,
     },
     /// A call of this front was released by another, in both directions.
-    CallOver {
+    CallReleased {
         call: u64,
     },
     /// What the fleet's word on sites leaves this front.
-    Narrowed(Narrowing),
+    SiteRestriction(Narrowing),
     /// A call of a front that died is to be released in both directions.
-    Release(Box<CallWord>),
+    ReleaseCall(Box<CallWord>),
     /// Take no new attaches, answer those in hand, then be done.
-    End,
+    Shutdown,
 }
 
 /// What the host is asked to do.
@@ -114,28 +114,28 @@
         reset: bool,
     },
     /// Ask a name server: on a socket of its own, with a fresh port.
-    NameAsk {
+    DnsQuery {
         ticket: Ticket,
         to: SocketAddr,
         tcp: bool,
         bytes: Vec<u8>,
     },
     /// Close that question's socket.
-    NameClose {
+    DnsClose {
         ticket: Ticket,
     },
     /// This front's list told of a server: for other fronts, where there are any.
-    Told(Listed),
+    ServerListed(Listed),
     /// What this front sees of sites: for the fleet.
-    Sees(Observed),
+    SitesObserved(Observed),
     /// A call stands here, or stands no more: for other fronts.
-    Call {
+    CallChanged {
         call: u64,
-        word: Option<Box<CallWord>>,
+        record: Option<Box<CallWord>>,
     },
     /// Which call is meant that another front may have set up: by the name of its dialog with the caller, or with
-    /// the server. [`Input::Found`] is due within half a second.
-    Whose {
+    /// the server. [`Input::FindCallResult`] is due within half a second.
+    FindCall {
         ticket: u64,
         name: u64,
         by_leg: bool,
@@ -147,19 +147,19 @@
 /// How an attach ended for its caller, one of the rule's final answers, or its caller left first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    Stands,
+    Established,
     Refused,
-    Fails,
-    Left,
+    Failed,
+    Abandoned,
 }
 
 impl Outcome {
     pub fn name(self) -> &'static str {
         match self {
-            Outcome::Stands => "stands",
+            Outcome::Established => "stands",
             Outcome::Refused => "refused",
-            Outcome::Fails => "fails",
-            Outcome::Left => "left",
+            Outcome::Failed => "fails",
+            Outcome::Abandoned => "left",
         }
     }
 }
@@ -172,33 +172,33 @@
     pub outcome: Outcome,
     pub status: u16,
     /// The server of the last setup try.
-    pub pool: Option<SocketAddr>,
+    pub last_server: Option<SocketAddr>,
     pub tries: u32,
     /// Seconds from its arrival to this answer.
-    pub after: f64,
+    pub answered_after: f64,
     /// Seconds of its last setup try, where that stood.
-    pub set_up: f64,
+    pub set_up_delay: f64,
 }
 
 /// What is worth a line in the log.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Final(FinalAnswer),
+    FinalAnswer(FinalAnswer),
     /// A standing attach has ended; `cut` when its server's connection was lost or a side never confirmed.
     Released {
         session: Box<str>,
         cut: bool,
-        stood_for: f64,
+        established_for: f64,
     },
     /// A server's verdict changed; `age` is its processor's, seconds.
-    Pool {
+    ServerChanged {
         change: Change,
         age: f64,
     },
     /// A step of a look-up; `trouble`: not an ordinary one.
-    LookUp {
+    DnsStep {
         step: Step,
-        trouble: bool,
+        unusual: bool,
     },
     LinkUp {
         server: SocketAddr,
@@ -209,7 +209,7 @@
         retry_after: f64,
     },
     /// Set-ups taken back before they left.
-    TakenBack {
+    SetUpsWithdrawn {
         server: SocketAddr,
         count: usize,
     },
@@ -218,14 +218,14 @@
         detail: String,
     },
     /// The level of reduced service changed.
-    Level {
+    LevelChanged {
         from: usize,
         to: usize,
         why: Why,
-        takes: String,
+        admits: String,
     },
     /// An operator holds a level for so many seconds, or lets it go.
-    Pinned {
+    LevelPinned {
         level: Option<usize>,
         seconds: f64,
     },
@@ -235,13 +235,13 @@
     },
     /// The fleet's word on sites leaves this front less, or all again: pools of servers that it leaves alone, and
     /// attaches a second by procedure.
-    Narrowed {
+    SitesRestricted {
         pools: Vec<u16>,
-        parts: Vec<Option<f64>>,
+        rates: Vec<Option<f64>>,
     },
-    Ending {
-        in_hand: usize,
-        standing: usize,
+    ShuttingDown {
+        pending: usize,
+        established: usize,
     },
 }
 
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -11,13 +11,13 @@
 pub mod outcome;
 pub mod params;
 pub mod pool_list;
+pub mod router;
 mod servers;
 mod shared;
 mod sites;
 mod sources;
-pub mod told;
 
 pub use front::Front;
 pub use io::{Counters, Event, FinalAnswer, Input, LinkId, Outcome, Output, Source};
 pub use params::{Params, SiteParams};
-pub use sources::Name;
+pub use sources::NameStatus;
--- a/crates/front/src/params.rs
+++ b/crates/front/src/params.rs
@@ -17,10 +17,10 @@
     /// Trunk groups (RFC 4904) and their first choices.
     pub trunk_groups: HashMap<String, FirstChoice>,
     /// How many of them are dealt by DNS.
-    pub dealt_groups: usize,
+    pub dns_groups: usize,
     pub membership: MembershipParams,
     /// Other fronts are told what the list tells.
-    pub tells: bool,
+    pub has_peers: bool,
     /// Sites whose loss the fleet decides on; none: nothing is seen for it, nothing narrowed.
     pub sites: Option<SiteParams>,
     /// DNS as a second source of servers; none: the pool list alone.
@@ -30,23 +30,23 @@
     /// Levels of reduced service; none: full service always.
     pub levels: Option<LevelParams>,
     /// Procedure of an INVITE without Resource-Priority, or with one that no procedure names.
-    pub usual_procedure: usize,
+    pub default_procedure: usize,
     /// The front's host as it names itself in Via and Contact.
     pub host: String,
     /// So long before the caller's time is up its answer is sent: what the way back may take.
     pub answer_margin: f64,
     /// Attaches in hand past which new ones are refused unseen.
-    pub most_in_hand: usize,
+    pub max_pending: usize,
     /// Frames that may wait for one server's socket.
-    pub most_queued: usize,
+    pub max_queued_frames: usize,
     /// A connection not up after this is given up.
-    pub connect_within: f64,
+    pub connect_timeout: f64,
     /// Least and longest pause before a lost connection is tried again.
-    pub reconnect: (f64, f64),
+    pub reconnect_pause: (f64, f64),
     /// Time after the news of a drain within which nothing new may leave for that server (rule 3).
     pub drain_grace: f64,
     /// Longest time that standing attaches hold up an orderly end.
-    pub end_within: f64,
+    pub shutdown_timeout: f64,
 }
 
 /// The pool that is a trunk group's first choice.
@@ -55,7 +55,7 @@
     /// The one of that number.
     Pool(u16),
     /// By priority and weight of DNS; its place among the groups dealt so.
-    Dealt(usize),
+    Dns(usize),
 }
 
 /// What a front must know of sites.
@@ -63,7 +63,7 @@
 pub struct SiteParams {
     pub table: Table,
     /// Between two sights told.
-    pub every: f64,
+    pub report_interval: f64,
     /// A server that owes an answer for so long, or is not connected for so long, does not answer.
     pub silent_after: f64,
 }
--- a/crates/front/src/pool_list.rs
+++ b/crates/front/src/pool_list.rs
@@ -11,9 +11,9 @@
 use std::net::SocketAddr;
 
 /// Longest line of the feed, bytes; a longer one ends the connection.
-pub const LONGEST_LINE: usize = 1 << 20;
+pub const MAX_LINE_BYTES: usize = 1 << 20;
 /// Most servers that a list may name.
-pub const MOST_SERVERS: usize = 10_000;
+pub const MAX_SERVERS: usize = 10_000;
 
 /// One line of the feed.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -60,18 +60,18 @@
 
 /// What a line says.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct ListUpdate {
     pub whole: bool,
     pub servers: Vec<Listed>,
 }
 
 /// Why a line was not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum RejectedLine {
     /// Not JSON, not of the schema, or with values out of range.
-    Nonsense(String),
+    Invalid(String),
     /// Older than, or the same as, one already taken.
-    Backwards { epoch: u64, sequence: u64 },
+    Outdated { epoch: u64, sequence: u64 },
 }
 
 /// The feed's bytes and how far it has come.
@@ -90,11 +90,11 @@
     /// Takes bytes of the feed; false when a line is too long to follow and the connection must end.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.bytes.extend_from_slice(bytes);
-        self.bytes.len() <= LONGEST_LINE || self.bytes.contains(&b'\n')
+        self.bytes.len() <= MAX_LINE_BYTES || self.bytes.contains(&b'\n')
     }
 
     /// The next whole line's news, if there is a whole line.
-    pub fn next_line(&mut self, now: f64) -> Option<Result<News, Dropped>> {
+    pub fn next_line(&mut self, now: f64) -> Option<Result<ListUpdate, RejectedLine>> {
         let end = self.bytes.iter().position(|&b| b == b'\n')?;
         let line: Vec<u8> = self.bytes.drain(..=end).collect();
         let line = line.trim_ascii();
@@ -104,24 +104,27 @@
         Some(self.take(now, line))
     }
 
-    fn take(&mut self, now: f64, line: &[u8]) -> Result<News, Dropped> {
-        let line: Line = serde_json::from_slice(line).map_err(|e| Dropped::Nonsense(e.to_string()))?;
-        if line.servers.len() > MOST_SERVERS {
-            return Err(Dropped::Nonsense(format!("{} servers; {MOST_SERVERS} at most", line.servers.len())));
+    fn take(&mut self, now: f64, line: &[u8]) -> Result<ListUpdate, RejectedLine> {
+        let line: Line = serde_json::from_slice(line).map_err(|e| RejectedLine::Invalid(e.to_string()))?;
+        if line.servers.len() > MAX_SERVERS {
+            return Err(RejectedLine::Invalid(format!(
+                "{} servers; {MAX_SERVERS} at most",
+                line.servers.len()
+            )));
         }
         let position = (line.epoch, line.sequence);
         // Guards against a feed that repeats itself or goes backwards: old news would undo a drain. A whole
         // list of the same position is the ordinary greeting after a reconnect and says nothing new.
         if self.last.is_some_and(|last| position <= last) {
-            return Err(Dropped::Backwards { epoch: line.epoch, sequence: line.sequence });
+            return Err(RejectedLine::Outdated { epoch: line.epoch, sequence: line.sequence });
         }
         // A new epoch knows nothing of what was: only a whole list can begin it.
         if !line.whole && self.last.map(|l| l.0) != Some(line.epoch) {
-            return Err(Dropped::Nonsense(format!("epoch {} begins without a whole list", line.epoch)));
+            return Err(RejectedLine::Invalid(format!("epoch {} begins without a whole list", line.epoch)));
         }
         self.last = Some(position);
         let servers = line.servers.iter().map(|server| listed(now, server)).collect();
-        Ok(News { whole: line.whole, servers })
+        Ok(ListUpdate { whole: line.whole, servers })
     }
 }
 
@@ -159,7 +162,7 @@
         )
     }
 
-    fn taken(list: &mut PoolList, text: &str) -> Result<News, Dropped> {
+    fn taken(list: &mut PoolList, text: &str) -> Result<ListUpdate, RejectedLine> {
         assert!(list.push(text.as_bytes()));
         list.next_line(100.0).expect("a whole line")
     }
@@ -180,11 +183,11 @@
         taken(&mut list, &line(2, 6, false, &[(1, "draining", 1)])).unwrap();
         for (epoch, sequence) in [(2, 6), (2, 5), (1, 99)] {
             let dropped = taken(&mut list, &line(epoch, sequence, true, &[(1, "ready", 1)])).unwrap_err();
-            assert_eq!(dropped, Dropped::Backwards { epoch, sequence });
+            assert_eq!(dropped, RejectedLine::Outdated { epoch, sequence });
         }
         assert!(matches!(
             taken(&mut list, &line(3, 1, false, &[(1, "ready", 1)])),
-            Err(Dropped::Nonsense(_))
+            Err(RejectedLine::Invalid(_))
         ));
         taken(&mut list, &line(3, 1, true, &[(1, "ready", 1)])).unwrap();
     }
@@ -198,9 +201,9 @@
             "[1,2]\n",
             "{\"epoch\":1,\"sequence\":1,\"whole\":true,\"servers\":[{\"address\":\"x\"}]}\n",
         ] {
-            assert!(matches!(taken(&mut list, text), Err(Dropped::Nonsense(_))), "{text}");
+            assert!(matches!(taken(&mut list, text), Err(RejectedLine::Invalid(_))), "{text}");
         }
         assert!(list.next_line(0.0).is_none());
-        assert!(!list.push(&vec![b'x'; LONGEST_LINE + 1]));
+        assert!(!list.push(&vec![b'x'; MAX_LINE_BYTES + 1]));
     }
 }
--- a/crates/front/src/told.rs
+++ b/crates/front/src/router.rs
@@ -6,46 +6,46 @@
 
 /// One call of the module, with its time.
 #[derive(Clone, Debug)]
-pub enum Told {
+pub enum RouterInput {
     PoolsListed {
         entries: Vec<PoolEntry>,
         whole: bool,
     },
-    Arrived(NewAttach),
-    Stands {
+    AttachArrived(NewAttach),
+    AttachEstablished {
         ue: UeName,
         pool: PoolName,
         delay: f64,
     },
-    Ended {
+    TryEnded {
         ue: UeName,
         pool: PoolName,
         ended: Ended,
         finished: bool,
         report: Report,
     },
-    Left {
+    CallerLeft {
         ue: UeName,
     },
-    Heard {
+    PoolReport {
         pool: PoolName,
         probed: bool,
         report: Report,
     },
     Wake,
     /// A pull, and what it gave.
-    Pulled(Option<Decision>),
+    DecisionPulled(Option<Decision>),
 }
 
 /// What takes calls and gives decisions: the decision module in every front in service; baselines and
 /// planted faults in the lab.
 pub trait Router: Send {
-    fn tell(&mut self, now: f64, told: &Told);
+    fn handle(&mut self, now: f64, told: &RouterInput);
     fn next_decision(&mut self, now: f64) -> Option<Decision>;
 }
 
 impl Router for Control {
-    fn tell(&mut self, now: f64, told: &Told) {
+    fn handle(&mut self, now: f64, told: &RouterInput) {
         apply(self, now, told);
     }
     fn next_decision(&mut self, now: f64) -> Option<Decision> {
@@ -54,14 +54,14 @@
 }
 
 /// The module of one front.
-pub struct Tapped {
+pub struct RecordedRouter {
     router: Box<dyn Router>,
-    tape: Option<Vec<(f64, Told)>>,
+    tape: Option<Vec<(f64, RouterInput)>>,
 }
 
-impl Tapped {
-    pub fn new(router: Box<dyn Router>) -> Tapped {
-        Tapped { router, tape: None }
+impl RecordedRouter {
+    pub fn new(router: Box<dyn Router>) -> RecordedRouter {
+        RecordedRouter { router, tape: None }
     }
 
     /// Keeps every call from now on; for tests and short captures, since nothing bounds it.
@@ -69,13 +69,13 @@
         self.tape.get_or_insert_default();
     }
 
-    pub fn tape(&self) -> &[(f64, Told)] {
+    pub fn recording(&self) -> &[(f64, RouterInput)] {
         self.tape.as_deref().unwrap_or_default()
     }
 
     /// Makes the call and keeps it.
-    pub fn tell(&mut self, now: f64, told: Told) {
-        self.router.tell(now, &told);
+    pub fn handle(&mut self, now: f64, told: RouterInput) {
+        self.router.handle(now, &told);
         if let Some(tape) = &mut self.tape {
             tape.push((now, told));
         }
@@ -84,24 +84,24 @@
     pub fn next_decision(&mut self, now: f64) -> Option<Decision> {
         let decision = self.router.next_decision(now);
         if let Some(tape) = &mut self.tape {
-            tape.push((now, Told::Pulled(decision)));
+            tape.push((now, RouterInput::DecisionPulled(decision)));
         }
         decision
     }
 }
 
-fn apply(control: &mut Control, now: f64, told: &Told) {
+fn apply(control: &mut Control, now: f64, told: &RouterInput) {
     match told {
-        Told::PoolsListed { entries, whole } => control.pools_listed(now, entries, *whole),
-        Told::Arrived(new) => control.attach_arrived(now, *new),
-        Told::Stands { ue, pool, delay } => control.attach_stands(now, *ue, *pool, *delay),
-        Told::Ended { ue, pool, ended, finished, report } => {
+        RouterInput::PoolsListed { entries, whole } => control.pools_listed(now, entries, *whole),
+        RouterInput::AttachArrived(new) => control.attach_arrived(now, *new),
+        RouterInput::AttachEstablished { ue, pool, delay } => control.attach_stands(now, *ue, *pool, *delay),
+        RouterInput::TryEnded { ue, pool, ended, finished, report } => {
             control.try_ended(now, *ue, *pool, *ended, *finished, *report)
         }
-        Told::Left { ue } => control.client_left(now, *ue),
-        Told::Heard { pool, probed, report } => control.pool_heard(now, *pool, *probed, *report),
-        Told::Wake => control.wake(now),
-        Told::Pulled(_) => {}
+        RouterInput::CallerLeft { ue } => control.client_left(now, *ue),
+        RouterInput::PoolReport { pool, probed, report } => control.pool_heard(now, *pool, *probed, *report),
+        RouterInput::Wake => control.wake(now),
+        RouterInput::DecisionPulled(_) => {}
     }
 }
 
@@ -111,12 +111,12 @@
     seed: u64,
     deployment: Deployment,
     started: f64,
-    tape: &[(f64, Told)],
+    tape: &[(f64, RouterInput)],
 ) -> Result<usize, (usize, Option<Decision>, Option<Decision>)> {
     let mut control = Control::new(seed, deployment, started);
     let mut decisions = 0;
     for (place, (now, told)) in tape.iter().enumerate() {
-        if let Told::Pulled(expected) = told {
+        if let RouterInput::DecisionPulled(expected) = told {
             let got = control.next_decision(*now);
             if got != *expected {
                 return Err((place, *expected, got));
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -5,7 +5,7 @@
 use crate::io::{Event, LinkId, Outcome, Output};
 use crate::links::{Frame, LegRef, Link, LinkState};
 use crate::outcome;
-use crate::told::Told;
+use crate::router::RouterInput;
 use rand::Rng;
 use shalespindle_control::interface::{Ended, Report};
 use shalespindle_membership::Change;
@@ -17,7 +17,7 @@
     // ---- links ----
 
     pub(crate) fn connect(&mut self, now: f64, place: usize) {
-        let within = self.params.connect_within;
+        let within = self.params.connect_timeout;
         let link = &mut self.links[place];
         link.connection += 1;
         link.state = LinkState::Connecting;
@@ -79,7 +79,7 @@
             return;
         }
         let chance = self.rng.random();
-        let (least, longest) = self.params.reconnect;
+        let (least, longest) = self.params.reconnect_pause;
         let link = &mut self.links[id.link];
         let cut = link.state == LinkState::Up && by_server;
         link.cut_off |= cut;
@@ -117,8 +117,10 @@
                     let (ue, pool) = (leg.ue, self.links[place].pool);
                     let attach = leg.attach;
                     let report = Report::default();
-                    self.control
-                        .tell(now, Told::Ended { ue, pool, ended: Ended::Cut, finished: true, report });
+                    self.control.handle(
+                        now,
+                        RouterInput::TryEnded { ue, pool, ended: Ended::Cut, finished: true, report },
+                    );
                     if let Some((attach, _)) = attach {
                         self.release(now, attach, true, true, true);
                     }
@@ -170,7 +172,7 @@
         }
         if !queued.is_empty() {
             let server = self.links[place].address;
-            self.event(Event::TakenBack { server, count: queued.len() });
+            self.event(Event::SetUpsWithdrawn { server, count: queued.len() });
         }
     }
 
@@ -236,7 +238,7 @@
             }
         }
         self.remove_leg(now, at.key);
-        self.control.tell(now, Told::Ended { ue, pool, ended, finished: false, report });
+        self.control.handle(now, RouterInput::TryEnded { ue, pool, ended, finished: false, report });
     }
 
     /// Gives up a try: taken back if it has not left, else CANCEL. `finished`: its caller has gone.
@@ -269,7 +271,8 @@
             }
             _ => return,
         };
-        self.control.tell(now, Told::Ended { ue, pool, ended, finished, report: Report::default() });
+        self.control
+            .handle(now, RouterInput::TryEnded { ue, pool, ended, finished, report: Report::default() });
     }
 
     pub(crate) fn leg_due(&mut self, now: f64, at: LegRef) {
@@ -397,7 +400,7 @@
             (Method::Bye, LegStage::Releasing) if status >= 200 => {
                 let (ue, pool) = (leg.ue, self.links[place].pool);
                 let (ended, report) = (Ended::Released, outcome::report(message));
-                self.control.tell(now, Told::Ended { ue, pool, ended, finished: true, report });
+                self.control.handle(now, RouterInput::TryEnded { ue, pool, ended, finished: true, report });
                 self.remove_leg(now, key);
             }
             _ => {}
@@ -441,11 +444,11 @@
         let (pool, report) = (link.pool, outcome::report(message));
         link.seen.stood += 1;
         link.seen.wait = report.wait.or(link.seen.wait);
-        self.control.tell(now, Told::Heard { pool, probed: false, report });
-        self.control.tell(now, Told::Stands { ue, pool, delay });
+        self.control.handle(now, RouterInput::PoolReport { pool, probed: false, report });
+        self.control.handle(now, RouterInput::AttachEstablished { ue, pool, delay });
         let Some((key, _)) = attach else { return };
-        self.settled(now, key, Outcome::Stands, 200, delay);
-        self.standing += 1;
+        self.settled(now, key, Outcome::Established, 200, delay);
+        self.established += 1;
         let attach = &mut self.attaches[key];
         attach.stage = Stage::Standing;
         attach.stood_at = now;
@@ -494,7 +497,8 @@
     pub(crate) fn over_at_server(&mut self, now: f64, at: LegRef, report: Report, tell_caller: bool) {
         let Some(leg) = self.leg(at).filter(|l| l.stage == LegStage::Standing) else { return };
         let (ue, pool, attach) = (leg.ue, self.links[leg.link].pool, leg.attach);
-        self.control.tell(now, Told::Ended { ue, pool, ended: Ended::Released, finished: true, report });
+        self.control
+            .handle(now, RouterInput::TryEnded { ue, pool, ended: Ended::Released, finished: true, report });
         if let Some((key, _)) = attach {
             self.release(now, key, tell_caller, false, false);
         }
@@ -506,7 +510,7 @@
     pub(crate) fn probe(&mut self, pool: shalespindle_control::interface::PoolName) {
         let Some(&place) = self.by_pool.get(&pool) else { return };
         let serial = self.serial();
-        let most = self.params.most_queued;
+        let most = self.params.max_queued_frames;
         let (tag, host) = (&self.tag, &self.params.host);
         let link = &mut self.links[place];
         if link.state != LinkState::Up || !link.takes(most) {
@@ -537,6 +541,6 @@
         let (pool, report) = (link.pool, outcome::report(message));
         link.seen.wait = report.wait.or(link.seen.wait);
         let probed = (200..300).contains(&status);
-        self.control.tell(now, Told::Heard { pool, probed, report });
+        self.control.handle(now, RouterInput::PoolReport { pool, probed, report });
     }
 }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared.rs
@@ -45,13 +45,13 @@
 impl Front {
     /// Tells others of a call of this front: that it stands by that leg, or stands no more.
     pub(crate) fn tell_call(&mut self, key: usize, leg: Option<LegRef>) {
-        if !self.params.tells {
+        if !self.params.has_peers {
             return;
         }
         let attach = &self.attaches[key];
         let Some(own) = tag(&attach.called) else { return };
         let call = dialog_name(own);
-        let word = leg.and_then(|at| Some((at, self.leg(at)?))).map(|(at, leg)| {
+        let record = leg.and_then(|at| Some((at, self.leg(at)?))).map(|(at, leg)| {
             let caller = match attach.source {
                 Source::Datagram(from) => Some(from),
                 Source::Stream(_) => None,
@@ -71,11 +71,11 @@
                 caller,
             })
         });
-        match word {
+        match record {
             Some(_) => self.shared.own.insert(call, key),
             None => self.shared.own.remove(&call),
         };
-        self.outputs.push_back(Output::Call { call, word });
+        self.outputs.push_back(Output::CallChanged { call, record });
     }
 
     /// A caller releases a call that is not this front's; false where nobody can be asked.
@@ -93,14 +93,14 @@
     }
 
     fn ask_whose(&mut self, now: f64, name: u64, by_leg: bool, asking: Asking) -> bool {
-        if !self.params.tells || self.shared.asking.len() >= MOST_ASKED {
+        if !self.params.has_peers || self.shared.asking.len() >= MOST_ASKED {
             return false;
         }
         self.shared.last_ticket += 1;
         let ticket = self.shared.last_ticket;
         self.shared.asking.insert(ticket, asking);
         self.timers.set(now + FOUND_WITHIN, Due::Whose { ticket });
-        self.outputs.push_back(Output::Whose { ticket, name, by_leg });
+        self.outputs.push_back(Output::FindCall { ticket, name, by_leg });
         true
     }
 
--- a/crates/front/src/sites.rs
+++ b/crates/front/src/sites.rs
@@ -4,7 +4,7 @@
 use crate::front::{Due, Front};
 use crate::io::{Event, Output};
 use crate::links::LinkState;
-use crate::told::Told;
+use crate::router::RouterInput;
 use shalespindle_control::interface::{PoolEntry, PoolName};
 use shalespindle_membership::Verdict;
 use shalespindle_sites::{Narrowing, Observed, ObservedServer};
@@ -29,7 +29,7 @@
     /// Tells the fleet what this front sees, now and again.
     pub(crate) fn sees_sites(&mut self, now: f64) {
         let Some(sites) = &self.params.sites else { return };
-        let (every, silent_after) = (sites.every, sites.silent_after);
+        let (every, silent_after) = (sites.report_interval, sites.silent_after);
         self.timers.set(now + every, Due::Sight);
         // The router asks nothing of servers that are left alone: whether they answer again is asked here.
         let asked: Vec<PoolName> = self.narrowed.alone.iter().copied().collect();
@@ -56,7 +56,7 @@
         let mut asked = self.levels.as_ref().map_or(Vec::new(), |levels| levels.asked().to_vec());
         asked.resize(self.params.deployment.procedures.len(), 0);
         let observed = Observed { servers: seen.collect(), asked };
-        self.outputs.push_back(Output::Sees(observed));
+        self.outputs.push_back(Output::SitesObserved(observed));
     }
 
     /// The fleet's word on sites leaves this front that much.
@@ -68,7 +68,7 @@
         self.leave_alone(now);
         let pools =
             self.links.iter().filter(|l| self.narrowed.leaves_alone(l.pool)).map(|l| l.number).collect();
-        self.event(Event::Narrowed { pools, parts: narrowing.parts });
+        self.event(Event::SitesRestricted { pools, rates: narrowing.parts });
     }
 
     /// Servers of the sites that are out are left alone, but for those without which a procedure would have none left:
@@ -119,7 +119,7 @@
             }
         }
         if !entries.is_empty() {
-            self.control.tell(now, Told::PoolsListed { entries, whole: false });
+            self.control.handle(now, RouterInput::PoolsListed { entries, whole: false });
         }
         for place in taken_back {
             self.take_back(now, place);
--- a/crates/front/src/sources.rs
+++ b/crates/front/src/sources.rs
@@ -4,8 +4,8 @@
 use crate::front::{Due, Front};
 use crate::io::{Event, Output};
 use crate::params::{DnsParams, FirstChoice, Params};
-use crate::pool_list::{Dropped, PoolList};
-use crate::told::Told;
+use crate::pool_list::{PoolList, RejectedLine};
+use crate::router::RouterInput;
 use shalespindle_control::interface::PoolEntry;
 use shalespindle_membership::{
     first_choices, Answer, Change, Found, Member, Membership, Numbers, Remembered, Verdict, Warning,
@@ -41,7 +41,7 @@
 
 /// A name that is looked up, for operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Name {
+pub struct NameStatus {
     pub name: String,
     /// What the last look-up came to and how long ago, seconds.
     pub last: Option<(&'static str, f64)>,
@@ -112,19 +112,19 @@
     }
 
     /// Servers not taken up for want of room.
-    pub fn turned_away(&self) -> u64 {
+    pub fn servers_over_capacity(&self) -> u64 {
         self.sources.members.turned_away()
     }
 
     /// Seconds that the pool list's feed has been away; none while it is there.
-    pub fn feed_away(&self, now: f64) -> Option<f64> {
+    pub fn feed_lost_for(&self, now: f64) -> Option<f64> {
         self.sources.members.feed_away(now)
     }
 
     /// The names that are looked up.
-    pub fn names(&self, now: f64) -> Vec<Name> {
+    pub fn names(&self, now: f64) -> Vec<NameStatus> {
         let Some(dns) = &self.sources.dns else { return Vec::new() };
-        let one = |(place, name): (usize, &String)| Name {
+        let one = |(place, name): (usize, &String)| NameStatus {
             name: name.clone(),
             last: dns.last[place].map(|(at, what)| (what, now - at)),
             next_in: dns.resolver.next_lookup(place).map_or(f64::INFINITY, |at| at - now),
@@ -143,15 +143,15 @@
             match line {
                 Ok(news) => {
                     self.sources.members.listed(now, news.whole, &news.servers);
-                    if self.params.tells {
-                        self.outputs.extend(news.servers.into_iter().map(Output::Told));
+                    if self.params.has_peers {
+                        self.outputs.extend(news.servers.into_iter().map(Output::ServerListed));
                     }
                 }
-                Err(Dropped::Nonsense(why)) => {
+                Err(RejectedLine::Invalid(why)) => {
                     self.counters.bad_list_lines += 1;
                     self.event(Event::Feed { what: "nonsense", detail: why });
                 }
-                Err(Dropped::Backwards { epoch, sequence }) => {
+                Err(RejectedLine::Outdated { epoch, sequence }) => {
                     // No news, but the feed is there.
                     self.sources.members.listed(now, false, &[]);
                     let detail = format!("epoch {epoch}, line {sequence}");
@@ -192,7 +192,7 @@
         }
         self.heed_resolver(now);
         self.sources.members.settle(now);
-        self.sources.dealt = first_choices(self.sources.members.members(), self.params.dealt_groups);
+        self.sources.dealt = first_choices(self.sources.members.members(), self.params.dns_groups);
         let mut entries = Vec::new();
         let mut changes = Vec::new();
         while let Some(change) = self.sources.members.next_change() {
@@ -205,7 +205,7 @@
             changes.push(change);
         }
         if !entries.is_empty() {
-            self.control.tell(now, Told::PoolsListed { entries, whole: false });
+            self.control.handle(now, RouterInput::PoolsListed { entries, whole: false });
         }
         for change in changes {
             self.listed(now, &change);
@@ -233,9 +233,9 @@
         while let Some(out) = dns.resolver.next_out() {
             match out {
                 Out::Ask { ticket, to, tcp, bytes } => {
-                    self.outputs.push_back(Output::NameAsk { ticket, to, tcp, bytes });
+                    self.outputs.push_back(Output::DnsQuery { ticket, to, tcp, bytes });
                 }
-                Out::Close { ticket } => self.outputs.push_back(Output::NameClose { ticket }),
+                Out::Close { ticket } => self.outputs.push_back(Output::DnsClose { ticket }),
                 Out::Done { name, outcome } => {
                     let what = match outcome {
                         Outcome::Servers { .. } => "servers",
@@ -249,11 +249,11 @@
             }
         }
         while let Some(step) = dns.resolver.next_step() {
-            let trouble = !matches!(
+            let unusual = !matches!(
                 step,
                 Step::Asked { .. } | Step::Answered { .. } | Step::Cached { .. } | Step::Alias { .. }
             );
-            self.outputs.push_back(Output::Event(Event::LookUp { step, trouble }));
+            self.outputs.push_back(Output::Event(Event::DnsStep { step, unusual }));
         }
     }
 
@@ -262,7 +262,7 @@
         let Some(group) = group else { return NO_POOL };
         match self.params.trunk_groups.get(group) {
             Some(FirstChoice::Pool(pool)) => *pool,
-            Some(FirstChoice::Dealt(place)) => self.sources.dealt.get(*place).copied().unwrap_or(NO_POOL),
+            Some(FirstChoice::Dns(place)) => self.sources.dealt.get(*place).copied().unwrap_or(NO_POOL),
             None => {
                 self.counters.unknown_trunk_group += 1;
                 NO_POOL
@@ -278,7 +278,7 @@
         link.ready = change.verdict == Verdict::In && !self.narrowed.leaves_alone(change.name);
         link.listed = change.verdict != Verdict::Out;
         let is_in = change.verdict == Verdict::In;
-        self.event(Event::Pool { change: *change, age: age(now, change.started) });
+        self.event(Event::ServerChanged { change: *change, age: age(now, change.started) });
         if is_in {
             return self.connect_when_due(now, place);
         }
--- a/crates/front/tests/attaches.rs
+++ b/crates/front/tests/attaches.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use shalespindle_front::told::replay;
+use shalespindle_front::router::replay;
 use shalespindle_front::{Event, Front, Input, Outcome};
 use shalespindle_signalling::message::Message;
 
@@ -26,9 +26,9 @@
     let bye = b.frames.last().unwrap().1.clone();
     assert!(bye.starts_with("BYE sip:x@10.0.0.1"));
     b.server_sends(1, &reply(&bye, 200, ""));
-    assert_eq!(b.front.standing(), 0);
+    assert_eq!(b.front.established(), 0);
     b.pass(40.0);
-    assert_eq!(b.front.held(), (0, 0), "nothing is kept");
+    assert_eq!(b.front.record_counts(), (0, 0), "nothing is kept");
 }
 
 #[test]
@@ -70,14 +70,14 @@
     b.caller_sends(&reply(&bye, 200, ""));
     let repeats = b.answers.len();
     b.pass(40.0);
-    assert_eq!((b.answers.len(), b.front.held()), (repeats, (0, 0)));
+    assert_eq!((b.answers.len(), b.front.record_counts()), (repeats, (0, 0)));
     // Another server cannot end a call that is not its own.
     b.invite("2", "tg-0", 3000);
     let (_, set_up) = b.last_set_up();
     b.server_sends(0, &reply(&set_up, 200, ""));
     let id = Message::parse(set_up.as_bytes()).unwrap().call_id().unwrap().to_string();
     b.server_sends(1, &bye.replace("Call-ID: 1", &format!("Call-ID: {id}")));
-    assert_eq!(b.front.standing(), 1);
+    assert_eq!(b.front.established(), 1);
 }
 
 #[test]
@@ -230,7 +230,7 @@
     b.now += 3.0;
     b.server_sends(to.port() - 6000, &reply(&set_up, 200, ""));
     assert!(b.finals().iter().all(|s| *s == 480), "repeated until an ACK comes, but never changed");
-    assert_eq!((b.front.standing(), b.front.counters().late_answers), (0, 1));
+    assert_eq!((b.front.established(), b.front.counters().late_answers), (0, 1));
 }
 
 #[test]
@@ -254,7 +254,7 @@
         assert_eq!(b.answers.len(), 1, "{text}");
         assert!(b.answers[0].starts_with(&format!("SIP/2.0 {status} ")), "{text}\n{}", b.answers[0]);
     }
-    assert_eq!((b.set_ups(), b.front.in_hand()), (0, 0));
+    assert_eq!((b.set_ups(), b.front.pending()), (0, 0));
     assert_eq!(b.front.counters().bad_messages, 2);
 }
 
@@ -277,7 +277,7 @@
     b.take(Input::CallerBytes { stream: 2, bytes: text.as_bytes() });
     assert_eq!(b.set_ups(), 1);
     b.take(Input::CallerClosed { stream: 2 });
-    assert_eq!((b.front.in_hand(), b.count("CANCEL")), (0, 1), "a lost caller has left");
+    assert_eq!((b.front.pending(), b.count("CANCEL")), (0, 1), "a lost caller has left");
 }
 
 #[test]
@@ -286,13 +286,13 @@
     for call in 0..5000 {
         b.invite(&format!("{call}"), "tg-0", 8000);
     }
-    let held = b.front.held();
+    let held = b.front.record_counts();
     assert!(held.0 <= 8 * 200 && held.1 <= 200, "{held:?}");
     assert!(b.front.counters().door_refused > 0);
     b.pass(60.0);
-    assert_eq!(b.front.in_hand(), 0);
+    assert_eq!(b.front.pending(), 0);
     b.pass(40.0);
-    assert_eq!(b.front.held(), (0, 0));
+    assert_eq!(b.front.record_counts(), (0, 0));
 }
 
 #[test]
@@ -300,7 +300,7 @@
     let mut b = Bench::new(1);
     b.invite("1", "tg-0", 3000);
     let (_, set_up) = b.last_set_up();
-    b.take(Input::End);
+    b.take(Input::Shutdown);
     b.invite("2", "tg-0", 3000);
     assert_eq!(b.finals(), [503]);
     assert!(b.answers.last().unwrap().contains("Retry-After: "));
@@ -357,12 +357,12 @@
     }
     b.pass(10.0);
     let seed = Front::control_seed(7);
-    let decisions = replay(seed, params().deployment, 1000.0, b.front.tape()).unwrap();
+    let decisions = replay(seed, params().deployment, 1000.0, b.front.recording()).unwrap();
     assert!(decisions > 600, "{decisions}");
     // The check can fail: another seed decides otherwise.
-    assert!(replay(seed + 1, params().deployment, 1000.0, b.front.tape()).is_err());
-    let answered = b.events.iter().filter(|e| matches!(e, Event::Final(_))).count();
-    let stood = |e: &&Event| matches!(e, Event::Final(a) if a.outcome == Outcome::Stands);
+    assert!(replay(seed + 1, params().deployment, 1000.0, b.front.recording()).is_err());
+    let answered = b.events.iter().filter(|e| matches!(e, Event::FinalAnswer(_))).count();
+    let stood = |e: &&Event| matches!(e, Event::FinalAnswer(a) if a.outcome == Outcome::Established);
     assert_eq!(answered, 600);
     let stood = b.events.iter().filter(stood).count();
     assert!(stood > 30, "{stood}");
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -32,22 +32,22 @@
         },
         priorities: [("wps.1".to_string(), 0)].into(),
         trunk_groups: (0..3u16).map(|n| (format!("tg-{n}"), FirstChoice::Pool(n))).collect(),
-        dealt_groups: 0,
-        tells: false,
+        dns_groups: 0,
+        has_peers: false,
         membership: MembershipParams::short(100),
         sites: None,
         dns: None,
-        usual_procedure: 0,
+        default_procedure: 0,
         tenants: Default::default(),
         levels: None,
         host: "front.example.org".into(),
         answer_margin: 0.05,
-        most_in_hand: 200,
-        most_queued: 16,
-        connect_within: 0.5,
-        reconnect: (0.1, 2.0),
+        max_pending: 200,
+        max_queued_frames: 16,
+        connect_timeout: 0.5,
+        reconnect_pause: (0.1, 2.0),
         drain_grace: GRACE,
-        end_within: 10.0,
+        shutdown_timeout: 10.0,
     }
 }
 
@@ -135,9 +135,12 @@
                 Output::Datagram { bytes, .. } | Output::ToCaller { bytes, .. } => {
                     self.answers.push(String::from_utf8(bytes).unwrap());
                 }
-                Output::NameAsk { ticket, to, tcp, bytes } => self.questions.push((ticket, to, tcp, bytes)),
-                Output::CloseCaller { .. } | Output::NameClose { .. } => {}
-                Output::Told(_) | Output::Call { .. } | Output::Whose { .. } | Output::Sees(_) => {}
+                Output::DnsQuery { ticket, to, tcp, bytes } => self.questions.push((ticket, to, tcp, bytes)),
+                Output::CloseCaller { .. } | Output::DnsClose { .. } => {}
+                Output::ServerListed(_)
+                | Output::CallChanged { .. }
+                | Output::FindCall { .. }
+                | Output::SitesObserved(_) => {}
                 Output::Connect { id, to } => {
                     let up = !self.refusing.contains(&to);
                     if up {
--- a/crates/front/tests/fuzz.rs
+++ b/crates/front/tests/fuzz.rs
@@ -91,7 +91,7 @@
         }
         if round % 4000 == 0 {
             b.pass(0.5);
-            let held = b.front.held();
+            let held = b.front.record_counts();
             most = (most.0.max(held.0), most.1.max(held.1));
             b.answers.clear();
             b.frames.clear();
@@ -101,7 +101,7 @@
     assert!(read > 100_000, "enough of them are still messages: {read}");
     assert!(most.0 <= 8 * 200 && most.1 <= 8 * 200, "{most:?}");
     b.pass(100.0);
-    assert_eq!(b.front.in_hand(), 0, "all were answered");
+    assert_eq!(b.front.pending(), 0, "all were answered");
     b.take(Input::FeedConnected);
     b.list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
     assert_eq!(b.front.members().filter(|m| m.verdict() == Verdict::In).count(), 3);
--- a/crates/front/tests/names.rs
+++ b/crates/front/tests/names.rs
@@ -22,12 +22,12 @@
     Params {
         // Groups 0 and 1 are dealt by the records.
         trunk_groups: [
-            ("tg-0".to_string(), FirstChoice::Dealt(0)),
-            ("tg-1".to_string(), FirstChoice::Dealt(1)),
+            ("tg-0".to_string(), FirstChoice::Dns(0)),
+            ("tg-1".to_string(), FirstChoice::Dns(1)),
             ("tg-2".to_string(), FirstChoice::Pool(2)),
         ]
         .into(),
-        dealt_groups: 2,
+        dns_groups: 2,
         dns: Some(DnsParams {
             resolver: ResolverParams {
                 upstreams: vec![SocketAddr::from(([127, 0, 0, 1], 53))],
@@ -71,9 +71,9 @@
         for reply in core.ask(b.now, question, tcp) {
             if tcp {
                 let framed = [&(reply.bytes.len() as u16).to_be_bytes()[..], &reply.bytes].concat();
-                b.take(Input::Name(In::Stream { ticket, bytes: &framed }));
+                b.take(Input::Dns(In::Stream { ticket, bytes: &framed }));
             } else {
-                b.take(Input::Name(In::Datagram { ticket, from: to, bytes: &reply.bytes }));
+                b.take(Input::Dns(In::Datagram { ticket, from: to, bytes: &reply.bytes }));
             }
         }
     }
@@ -121,7 +121,7 @@
     let (to, set_up) = b.last_set_up();
     assert_eq!(to, server(0));
     ok(&mut b, 0, &set_up);
-    assert_eq!(b.front.standing(), 1);
+    assert_eq!(b.front.established(), 1);
     let answered = b.answers.last().unwrap().clone();
     b.caller_sends(&within(&answered, "ACK", "a"));
     // The same name, another address.
@@ -133,7 +133,7 @@
     b.frames.clear();
     b.invite("2", "tg-0", 3000);
     assert_eq!(b.last_set_up().0, server(2), "new ones go where it is now");
-    assert_eq!(b.front.standing(), 1, "what stood stands");
+    assert_eq!(b.front.established(), 1, "what stood stands");
     b.caller_sends(&within(&answered, "BYE", "b"));
     let bye = b.frames.iter().find(|f| f.1.starts_with("BYE")).expect("released where it stands");
     assert_eq!(bye.0, server(0));
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_control::interface::*;
-use shalespindle_front::told::{Router, Told};
+use shalespindle_front::router::{Router, RouterInput};
 use std::collections::{BTreeMap, VecDeque};
 
 struct Asking {
@@ -66,9 +66,9 @@
 }
 
 impl Router for Baseline {
-    fn tell(&mut self, now: f64, told: &Told) {
+    fn handle(&mut self, now: f64, told: &RouterInput) {
         match told {
-            Told::PoolsListed { entries, whole } => {
+            RouterInput::PoolsListed { entries, whole } => {
                 if *whole {
                     self.pools.values_mut().for_each(|p| p.1 = false);
                 }
@@ -76,19 +76,19 @@
                     self.pools.insert(e.name, (e.number, e.ready));
                 }
             }
-            Told::Arrived(new) => {
+            RouterInput::AttachArrived(new) => {
                 let NewAttach { procedure, gives_up_at, first_choice, .. } = *new;
                 let asking =
                     Asking { procedure, gives_up_at, tries: 0, first_choice, out: None, not_before: now };
                 self.asking.insert(new.ue, asking);
                 self.undecided.push_back(new.ue);
             }
-            Told::Stands { ue, .. } | Told::Left { ue } => {
+            RouterInput::AttachEstablished { ue, .. } | RouterInput::CallerLeft { ue } => {
                 if let Some(pool) = self.asking.remove(ue).and_then(|a| a.out) {
                     self.back(pool);
                 }
             }
-            Told::Ended { ue, ended, finished, .. } => {
+            RouterInput::TryEnded { ue, ended, finished, .. } => {
                 let Some(asking) = self.asking.get_mut(ue) else { return };
                 let out = asking.out.take();
                 if *finished {
@@ -104,8 +104,8 @@
                     self.undecided.push_back(*ue);
                 }
             }
-            Told::Wake => self.wake_at = f64::INFINITY,
-            Told::Heard { .. } | Told::Pulled(_) => {}
+            RouterInput::Wake => self.wake_at = f64::INFINITY,
+            RouterInput::PoolReport { .. } | RouterInput::DecisionPulled(_) => {}
         }
     }
 
--- a/crates/lab/src/sim/fronts.rs
+++ b/crates/lab/src/sim/fronts.rs
@@ -43,10 +43,10 @@
                 return;
             }
             FrontNews::Name { ticket, tcp: true, bytes, .. } => {
-                Input::Name(In::Stream { ticket: *ticket, bytes })
+                Input::Dns(In::Stream { ticket: *ticket, bytes })
             }
             FrontNews::Name { ticket, place, bytes, .. } => {
-                Input::Name(In::Datagram { ticket: *ticket, from: name_server(*place), bytes })
+                Input::Dns(In::Datagram { ticket: *ticket, from: name_server(*place), bytes })
             }
         };
         made.take(now, arrived, input);
@@ -74,27 +74,29 @@
                         self.drop_connection(connection, false);
                     }
                 }
-                Output::Event(Event::Pool { change, .. }) => {
+                Output::Event(Event::ServerChanged { change, .. }) => {
                     if let Some(&server) = self.by_address.get(&change.address) {
                         let there = change.verdict == Verdict::In;
                         self.verdicts.push((now, front, server, there));
                     }
                 }
-                Output::Event(Event::Level { from, to, .. }) => self.levels.push((now, front, from, to)),
-                Output::NameAsk { ticket, to, tcp, bytes } => {
+                Output::Event(Event::LevelChanged { from, to, .. }) => {
+                    self.levels.push((now, front, from, to))
+                }
+                Output::DnsQuery { ticket, to, tcp, bytes } => {
                     let place = usize::from(to.port() - name_server(0).port());
                     let question = if tcp { bytes[2..].to_vec() } else { bytes };
                     let ask = Happening::NameAsk { front, life, ticket, place, tcp, question };
                     self.events.set(now + delay, ask);
                 }
                 // What comes after is of a ticket that is no more.
-                Output::NameClose { .. } => {}
-                Output::Sees(seen) => {
+                Output::DnsClose { .. } => {}
+                Output::SitesObserved(seen) => {
                     if let Some(country) = &mut self.country {
                         country.observed(now, front, &seen);
                     }
                 }
-                Output::Told(_) | Output::Call { .. } | Output::Whose { .. } => {}
+                Output::ServerListed(_) | Output::CallChanged { .. } | Output::FindCall { .. } => {}
                 Output::ToCaller { .. } | Output::CloseCaller { .. } | Output::Event(_) => {}
             }
         }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -435,7 +435,7 @@
                 }
                 Given::Narrow(narrowing) => {
                     if let Some(made) = &mut self.hosts[front].front {
-                        made.take(now, now, Input::Narrowed(narrowing));
+                        made.take(now, now, Input::SiteRestriction(narrowing));
                     }
                 }
                 Given::Word { site, word } => self.words.push((now, front, site, word)),
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -479,7 +479,7 @@
             let choice = group.first_choice.map_or_else(
                 || {
                     dealt += 1;
-                    FirstChoice::Dealt(dealt - 1)
+                    FirstChoice::Dns(dealt - 1)
                 },
                 FirstChoice::Pool,
             );
@@ -539,19 +539,19 @@
             },
             priorities: self.procedures.iter().enumerate().flat_map(named).collect(),
             trunk_groups,
-            dealt_groups: dealt,
+            dns_groups: dealt,
             membership: self.membership.params(),
-            tells: self.fleet.is_some(),
+            has_peers: self.fleet.is_some(),
             dns: self.dns.as_ref().map(DnsSettings::params),
-            usual_procedure: 0,
+            default_procedure: 0,
             host: self.front.host.clone().unwrap_or_else(|| self.front.listen.to_string()),
             answer_margin: self.front.answer_margin.seconds(),
-            most_in_hand: self.limits.attaches_in_hand,
-            most_queued: self.links.frames_queued,
-            connect_within: self.links.connect_within.seconds(),
-            reconnect: (self.links.reconnect_least.seconds(), self.links.reconnect_longest.seconds()),
+            max_pending: self.limits.attaches_in_hand,
+            max_queued_frames: self.links.frames_queued,
+            connect_timeout: self.links.connect_within.seconds(),
+            reconnect_pause: (self.links.reconnect_least.seconds(), self.links.reconnect_longest.seconds()),
             drain_grace: self.rules.drain_grace.seconds(),
-            end_within: self.front.end_within.seconds(),
+            shutdown_timeout: self.front.end_within.seconds(),
         }
     }
 }
--- a/crates/settings/src/sites.rs
+++ b/crates/settings/src/sites.rs
@@ -202,5 +202,9 @@
 /// What a front is told of sites.
 pub(crate) fn front(sites: &[SiteSettings], plan: &SitePlanSettings) -> Option<SiteParams> {
     let table = table(sites).ok().filter(|table| !table.is_empty())?;
-    Some(SiteParams { table, every: plan.every.seconds(), silent_after: plan.silent_after.seconds() })
+    Some(SiteParams {
+        table,
+        report_interval: plan.every.seconds(),
+        silent_after: plan.silent_after.seconds(),
+    })
 }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -80,7 +80,7 @@
 fn dns_makes_first_choices_optional_and_its_faults_are_named() {
     let good = format!("{}{DNS}", GOOD.replace("first_choice = 1\n", ""));
     let params = parse("f.toml", &good).unwrap().params();
-    assert_eq!(params.trunk_groups["wayanad"], FirstChoice::Dealt(0));
+    assert_eq!(params.trunk_groups["wayanad"], FirstChoice::Dns(0));
     let dns = params.dns.unwrap();
     assert_eq!(dns.resolver.names[0].to_string(), "_sip._tcp.auth.example.org.");
     assert_eq!(dns.pools["S1.auth.example.org."], 1);
--- a/crates/transport/src/answers.rs
+++ b/crates/transport/src/answers.rs
@@ -49,7 +49,7 @@
 
 fn snapshot(front: &mut Front, now: f64, host: &Host) -> Snapshot {
     let quantile = |q| host.lag.value_at_quantile(q) as f64 / 1000.0;
-    let (attaches_held, legs_held) = front.held();
+    let (attaches_held, legs_held) = front.record_counts();
     let deepest = front.deepest_level();
     let level = front.level(now).map(|(status, takes)| LevelState {
         level: status.level,
@@ -66,10 +66,10 @@
     Snapshot {
         front: front.host().to_string(),
         seconds_in_service: now - front.started(),
-        ending: front.is_ending(),
+        ending: front.is_shutting_down(),
         level,
-        in_hand: front.in_hand(),
-        standing: front.standing(),
+        in_hand: front.pending(),
+        standing: front.established(),
         attaches_held,
         legs_held,
         datagrams_dropped: host.datagrams_dropped,
@@ -80,17 +80,17 @@
 }
 
 fn members(front: &Front, now: f64) -> Members {
-    let name = |n: shalespindle_front::Name| NameState {
+    let name = |n: shalespindle_front::NameStatus| NameState {
         name: n.name,
         last: n.last.map(|l| l.0.to_string()),
         age: n.last.map(|l| l.1),
         next_in: Some(n.next_in).filter(|s| s.is_finite()),
     };
     Members {
-        feed_away: front.feed_away(now),
+        feed_away: front.feed_lost_for(now),
         names: front.names(now).into_iter().map(name).collect(),
         members: front.members().map(|m| member(m, now)).collect(),
-        turned_away: front.turned_away(),
+        turned_away: front.servers_over_capacity(),
     }
 }
 
--- a/crates/transport/src/log.rs
+++ b/crates/transport/src/log.rs
@@ -8,25 +8,25 @@
 /// Writes an event to the log; `front` names the front.
 pub fn log_event(front: &str, event: &Event) {
     match event {
-        Event::Final(a) => {
-            let pool = a.pool.map(|p| p.to_string()).unwrap_or_default();
-            let (after_ms, set_up_ms) = (a.after * 1000.0, a.set_up * 1000.0);
+        Event::FinalAnswer(a) => {
+            let pool = a.last_server.map(|p| p.to_string()).unwrap_or_default();
+            let (after_ms, set_up_ms) = (a.answered_after * 1000.0, a.set_up_delay * 1000.0);
             let outcome = a.outcome.name();
             match a.outcome {
-                Outcome::Stands | Outcome::Left | Outcome::Refused => info!(
+                Outcome::Established | Outcome::Abandoned | Outcome::Refused => info!(
                     target: "shalespindle::attach", front, session = &*a.session, number = &*a.number, outcome,
                     status = a.status, pool, tries = a.tries, after_ms, set_up_ms, "final answer"
                 ),
-                Outcome::Fails => warn!(
+                Outcome::Failed => warn!(
                     target: "shalespindle::attach", front, session = &*a.session, number = &*a.number, outcome,
                     status = a.status, pool, tries = a.tries, after_ms, set_up_ms, "final answer"
                 ),
             }
         }
-        Event::Released { session, cut, stood_for } => info!(
-            target: "shalespindle::attach", front, session = &**session, cut, stood_for_s = stood_for, "released"
+        Event::Released { session, cut, established_for } => info!(
+            target: "shalespindle::attach", front, session = &**session, cut, stood_for_s = established_for, "released"
         ),
-        Event::Pool { change: c, age } => {
+        Event::ServerChanged { change: c, age } => {
             let reason = row(c.list, c.dns).reason;
             let (list, dns, state) = (c.list.name(), c.dns.name(), format!("{:?}", c.verdict));
             if c.warned || c.because != Because::Row {
@@ -41,35 +41,35 @@
                 )
             }
         }
-        Event::LookUp { step, trouble: true } => {
+        Event::DnsStep { step, unusual: true } => {
             info!(target: "shalespindle::names", front, ?step, "look-up")
         }
-        Event::LookUp { step, trouble: false } => {
+        Event::DnsStep { step, unusual: false } => {
             debug!(target: "shalespindle::names", front, ?step, "look-up")
         }
         Event::LinkUp { server } => info!(target: "shalespindle::link", front, %server, "connected"),
         Event::LinkLost { server, cut, retry_after } => warn!(
             target: "shalespindle::link", front, %server, cut, retry_after_s = retry_after, "connection lost"
         ),
-        Event::TakenBack { server, count } => {
+        Event::SetUpsWithdrawn { server, count } => {
             info!(target: "shalespindle::link", front, %server, count, "set-ups taken back")
         }
         Event::Feed { what, detail } => warn!(target: "shalespindle::list", front, what, detail, "feed"),
-        Event::Level { from, to, why, takes } => {
-            warn!(target: "shalespindle::level", front, from, to, %why, takes, "level of reduced service")
+        Event::LevelChanged { from, to, why, admits } => {
+            warn!(target: "shalespindle::level", front, from, to, %why, takes = admits, "level of reduced service")
         }
-        Event::Pinned { level: Some(level), seconds } => {
+        Event::LevelPinned { level: Some(level), seconds } => {
             warn!(target: "shalespindle::level", front, level, seconds, "level pinned by an operator")
         }
-        Event::Pinned { level: None, .. } => {
+        Event::LevelPinned { level: None, .. } => {
             warn!(target: "shalespindle::level", front, "level let go by an operator")
         }
-        Event::Narrowed { pools, parts } => {
-            warn!(target: "shalespindle::sites", front, ?pools, ?parts, "what the fleet's word on sites leaves")
+        Event::SitesRestricted { pools, rates } => {
+            warn!(target: "shalespindle::sites", front, ?pools, parts = ?rates, "what the fleet's word on sites leaves")
         }
         Event::BadInput { from, why } => debug!(target: "shalespindle::input", front, from, why, "bad input"),
-        Event::Ending { in_hand, standing } => {
-            info!(target: "shalespindle::front", front, in_hand, standing, "ending")
+        Event::ShuttingDown { pending, established } => {
+            info!(target: "shalespindle::front", front, in_hand = pending, standing = established, "ending")
         }
     }
 }
--- a/crates/transport/src/owner.rs
+++ b/crates/transport/src/owner.rs
@@ -245,21 +245,21 @@
             Letter::FeedConnected => front.take(now, now, Input::FeedConnected),
             Letter::FeedBytes { bytes } => front.take(now, now, Input::FeedBytes { bytes: &bytes }),
             Letter::FeedLost => front.take(now, now, Input::FeedLost),
-            Letter::Name(report) => front.take(now, now, Input::Name(as_in(&report))),
+            Letter::Name(report) => front.take(now, now, Input::Dns(as_in(&report))),
             Letter::Fleet(Heard::Found { ticket, known, word }) => {
-                front.take(now, now, Input::Found { ticket, known, call: word });
+                front.take(now, now, Input::FindCallResult { ticket, known, call: word });
             }
             Letter::Fleet(Heard::Narrowed(narrowing)) => {
-                front.take(now, now, Input::Narrowed(narrowing));
+                front.take(now, now, Input::SiteRestriction(narrowing));
             }
             Letter::Fleet(Heard::News(News::Server(warning))) => {
-                front.take(now, now, Input::Warned(warning));
+                front.take(now, now, Input::ServerWarning(warning));
             }
             Letter::Fleet(Heard::News(News::CallOver { call })) => {
-                front.take(now, now, Input::CallOver { call });
+                front.take(now, now, Input::CallReleased { call });
             }
             Letter::Fleet(Heard::News(News::Release { word, .. })) => {
-                front.take(now, now, Input::Release(word));
+                front.take(now, now, Input::ReleaseCall(word));
             }
             Letter::Fleet(Heard::News(News::Level { level, until, .. })) => {
                 // False where this front has no such level: its own settings stand.
@@ -270,7 +270,7 @@
                 // Whoever asked may have gone; there is nobody to tell then.
                 let _ = to.send(answer(front, now, &ask, &host));
             }
-            Letter::End => front.take(now, now, Input::End),
+            Letter::End => front.take(now, now, Input::Shutdown),
             Letter::Stop => return false,
         }
         true
@@ -313,7 +313,7 @@
                         outgoing.close(reset);
                     }
                 }
-                Output::NameAsk { ticket, to, tcp, bytes } => {
+                Output::DnsQuery { ticket, to, tcp, bytes } => {
                     let mailbox = self.mailbox.clone();
                     // A loss is reported once, by the owner itself at times; what peers send waits for room.
                     let report = move |report| match report {
@@ -322,15 +322,17 @@
                     };
                     self.questions.ask(ticket, to, tcp, bytes, self.connect_within, report);
                 }
-                Output::NameClose { ticket } => self.questions.close(ticket),
-                Output::Told(listed) => self.sayings.push(saying(now, &listed)),
-                Output::Sees(seen) => self.sayings.push(Saying::Sees(seen)),
-                Output::Call { call, word } => self.sayings.push(Saying::Call { call, word }),
-                Output::Whose { ticket, name, by_leg } => {
+                Output::DnsClose { ticket } => self.questions.close(ticket),
+                Output::ServerListed(listed) => self.sayings.push(saying(now, &listed)),
+                Output::SitesObserved(seen) => self.sayings.push(Saying::Sees(seen)),
+                Output::CallChanged { call, record } => {
+                    self.sayings.push(Saying::Call { call, word: record })
+                }
+                Output::FindCall { ticket, name, by_leg } => {
                     self.sayings.push(Saying::Whose { ticket, name, by_leg })
                 }
                 Output::Event(event) => {
-                    self.unkept |= matches!(event, Event::Pool { .. });
+                    self.unkept |= matches!(event, Event::ServerChanged { .. });
                     (self.hook)(&event);
                 }
             }
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -61,7 +61,7 @@
         if settings.front.host.is_none() {
             params.host = address.to_string();
         }
-        let connect_within = Duration::from_secs_f64(params.connect_within);
+        let connect_within = Duration::from_secs_f64(params.connect_timeout);
         let name = params.host.clone();
         let mut front = Front::new(params, seed, ground.now());
         let mut memory = None;
