--- a/crates/front/src/router.rs
+++ b/crates/front/src/router.rs
@@ -13,22 +13,22 @@
     },
     AttachArrived(NewAttach),
     AttachEstablished {
-        ue: UeName,
-        pool: PoolName,
+        ue: UeId,
+        pool: PoolId,
         delay: f64,
     },
     TryEnded {
-        ue: UeName,
-        pool: PoolName,
-        ended: Ended,
+        ue: UeId,
+        pool: PoolId,
+        ended: EndReason,
         finished: bool,
         report: Report,
     },
     CallerLeft {
-        ue: UeName,
+        ue: UeId,
     },
     PoolReport {
-        pool: PoolName,
+        pool: PoolId,
         probed: bool,
         report: Report,
     },
@@ -94,12 +94,16 @@
     match told {
         RouterInput::PoolsListed { entries, whole } => control.pools_listed(now, entries, *whole),
         RouterInput::AttachArrived(new) => control.attach_arrived(now, *new),
-        RouterInput::AttachEstablished { ue, pool, delay } => control.attach_stands(now, *ue, *pool, *delay),
+        RouterInput::AttachEstablished { ue, pool, delay } => {
+            control.attach_established(now, *ue, *pool, *delay)
+        }
         RouterInput::TryEnded { ue, pool, ended, finished, report } => {
             control.try_ended(now, *ue, *pool, *ended, *finished, *report)
         }
         RouterInput::CallerLeft { ue } => control.client_left(now, *ue),
-        RouterInput::PoolReport { pool, probed, report } => control.pool_heard(now, *pool, *probed, *report),
+        RouterInput::PoolReport { pool, probed, report } => {
+            control.pool_reported(now, *pool, *probed, *report)
+        }
         RouterInput::Wake => control.wake(now),
         RouterInput::DecisionPulled(_) => {}
     }
