--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use shalespindle_console::{Ask, Order, Reply};
 use shalespindle_rig::{Faults, Fleet, FleetShape, Row, Servers, State};
-use shalespindle_sites::{SiteStatus, Stage, Verdict};
+use shalespindle_sites::{SiteState, SiteStatus, Stage};
 use std::process::Command;
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
 
     fn settled() -> Country {
         let country = Country::new(tables());
-        country.all(0..FRONTS, |site| site.verdict == Verdict::Up && site.reached == site.outside);
+        country.all(0..FRONTS, |site| site.state == SiteState::Up && site.reached == site.outside);
         country
     }
 
@@ -115,15 +115,17 @@
     let mut country = Country::settled();
     country.servers_of(0).for_each(|server| country.servers.stop(server));
     (0..EACH).for_each(|front| country.fleet.kill(front));
-    country.see(EACH..FRONTS, 0, |site| site.stage == Stage::Lost && site.out_here && site.fronts_heard == 0);
+    country.see(EACH..FRONTS, 0, |site| {
+        site.stage == Stage::Lost && site.excluded_here && site.fronts_alive == 0
+    });
     country.see(EACH..FRONTS, 1, is(Stage::Up));
     for server in country.servers_of(0) {
         country.servers.start_again(server).unwrap();
     }
     (0..EACH).for_each(|front| country.fleet.start(front).unwrap());
     // Home callers first: its own fronts use it before all others do.
-    country.see(0..EACH, 0, |site| matches!(site.stage, Stage::Returning { .. }) && !site.out_here);
-    country.see(0..FRONTS, 0, |site| site.verdict == Verdict::Up && !site.out_here && site.losses == 1);
+    country.see(0..EACH, 0, |site| matches!(site.stage, Stage::Returning { .. }) && !site.excluded_here);
+    country.see(0..FRONTS, 0, |site| site.state == SiteState::Up && !site.excluded_here && site.losses == 1);
 }
 
 #[test]
@@ -131,21 +133,21 @@
     let country = Country::settled();
     country.servers_of(1).for_each(|server| country.servers.silence(server, true));
     country.see(0..FRONTS, 1, is(Stage::Lost));
-    country.see(0..EACH, 1, |site| site.out_here && site.fronts_heard == EACH);
+    country.see(0..EACH, 1, |site| site.excluded_here && site.fronts_alive == EACH);
     // Its own fronts go by what they see themselves.
-    country.see(EACH..2 * EACH, 1, |site| !site.out_here);
+    country.see(EACH..2 * EACH, 1, |site| !site.excluded_here);
     country.servers_of(1).for_each(|server| country.servers.silence(server, false));
-    country.see(0..FRONTS, 1, |site| site.verdict == Verdict::Up && !site.out_here);
+    country.see(0..FRONTS, 1, |site| site.state == SiteState::Up && !site.excluded_here);
 }
 
 #[test]
 fn fronts_that_die_alone_and_a_site_cut_from_one_other_only_are_no_loss() {
     let mut country = Country::settled();
     (0..EACH).for_each(|front| country.fleet.kill(front));
-    country.see(EACH..FRONTS, 0, |site| site.fronts_heard == 0);
+    country.see(EACH..FRONTS, 0, |site| site.fronts_alive == 0);
     country.see(EACH..FRONTS, 0, |site| site.stage == Stage::Up && site.reached == site.outside);
     (0..EACH).for_each(|front| country.fleet.start(front).unwrap());
-    country.see(0..FRONTS, 0, |site| site.verdict == Verdict::Up && site.fronts_heard == EACH);
+    country.see(0..FRONTS, 0, |site| site.state == SiteState::Up && site.fronts_alive == EACH);
     // North and south no longer hear or reach each other; west hears and reaches both.
     let apart = |a: usize, b: usize| a != b && a < 2 && b < 2;
     country.fleet.relays.set(|faults| {
@@ -155,7 +157,7 @@
     let links = (0..FRONTS).flat_map(|f| (0..country.servers.count()).map(move |s| (f, s)));
     country.servers.cut(links.filter(|(f, s)| apart(home(*f), s / EACH)));
     for site in [0, 1] {
-        country.see(0..FRONTS, site, |site| site.verdict == Verdict::Doubtful && site.missed == EACH);
+        country.see(0..FRONTS, site, |site| site.state == SiteState::Doubtful && site.missed == EACH);
     }
     // Longer than it takes to declare a loss, counted in what is seen: sights go on all the time.
     let epoch = country.site(4, 0).unwrap().epoch;
@@ -171,9 +173,10 @@
     let country = Country::settled();
     country.cut_off(0);
     country.see(EACH..FRONTS, 0, is(Stage::Lost));
-    country
-        .see(0..EACH, 1, |site| site.verdict == Verdict::CutOff && site.stage == Stage::Up && !site.out_here);
-    country.see(0..EACH, 2, |site| site.verdict == Verdict::CutOff && site.stage == Stage::Up);
+    country.see(0..EACH, 1, |site| {
+        site.state == SiteState::CutOff && site.stage == Stage::Up && !site.excluded_here
+    });
+    country.see(0..EACH, 2, |site| site.state == SiteState::CutOff && site.stage == Stage::Up);
     // An order is not taken where it would reach too few.
     let refused = country.order(0, "west", Order::KeepOut, 60.0);
     assert!(
@@ -181,7 +184,7 @@
     );
     country.heal();
     country.see(0..EACH, 0, |site| site.epoch > 0);
-    country.all(0..FRONTS, |site| site.verdict == Verdict::Up && !site.out_here);
+    country.all(0..FRONTS, |site| site.state == SiteState::Up && !site.excluded_here);
 }
 
 #[test]
@@ -195,14 +198,14 @@
         .output()
         .unwrap();
     assert!(output.status.success(), "{output:?}");
-    country.see(0..3, 2, |site| site.stage == Stage::KeptOut && site.out_here);
+    country.see(0..3, 2, |site| site.stage == Stage::KeptOut && site.excluded_here);
     // Its own fronts leave its servers alone, too.
-    country.see(4..5, 2, |site| site.stage == Stage::KeptOut && site.out_here);
+    country.see(4..5, 2, |site| site.stage == Stage::KeptOut && site.excluded_here);
     country.fleet.hold(3, false).unwrap();
     country.fleet.start(5).unwrap();
-    country.see(3..FRONTS, 2, |site| site.stage == Stage::KeptOut && site.out_here);
+    country.see(3..FRONTS, 2, |site| site.stage == Stage::KeptOut && site.excluded_here);
     assert!(matches!(country.order(4, "west", Order::Return, 60.0), Reply::Done { .. }));
-    country.see(0..FRONTS, 2, |site| site.verdict == Verdict::Up && !site.out_here);
+    country.see(0..FRONTS, 2, |site| site.state == SiteState::Up && !site.excluded_here);
     for (site, seconds, part) in [("east", 60.0, "north, south, west"), ("west", 0.0, "--for")] {
         let refused = country.order(1, site, Order::Lost, seconds);
         assert!(matches!(&refused, Reply::Bad { why } if why.contains(part)), "{refused:?}");
@@ -239,7 +242,7 @@
     assert!([1, 3, 5].iter().all(|f| country.fleet.standing(*f).unwrap().sites.is_none()));
     // Half of the fronts do not tell what they see: too few for a loss, and none is declared by the rest.
     country.servers_of(2).for_each(|server| country.servers.stop(server));
-    country.see(0..1, 2, |site| site.verdict == Verdict::Doubtful);
+    country.see(0..1, 2, |site| site.state == SiteState::Doubtful);
     assert_eq!(country.site(2, 2).unwrap().stage, Stage::Up);
 }
 
@@ -327,7 +330,7 @@
             matches!(country.order(0, site, Order::Return, 60.0), Reply::Done { .. })
         });
     }
-    country.all(0..FRONTS, |site| site.verdict == Verdict::Up && !site.out_here);
+    country.all(0..FRONTS, |site| site.state == SiteState::Up && !site.excluded_here);
 }
 
 #[test]
--- a/crates/console/src/words.rs
+++ b/crates/console/src/words.rs
@@ -76,22 +76,22 @@
 
 fn sites_in_words(s: &SitesStatus, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     let cut_off = if s.cut_off { "; cut off: this front hears no more than half of the fleet" } else { "" };
-    writeln!(f, "sites, by the sights of {} of {} fronts{cut_off}", s.sights, s.fleet)?;
+    writeln!(f, "sites, by the sights of {} of {} fronts{cut_off}", s.observations, s.fleet)?;
     for site in &s.sites {
         let step = match site.stage {
             Stage::Returning { step } => format!(", step {step}"),
             _ => String::new(),
         };
         let held = site.held_for.map_or(String::new(), |left| format!(", held for {left:.0} s"));
-        let out = if site.out_here { "; left alone here" } else { "" };
+        let out = if site.excluded_here { "; left alone here" } else { "" };
         writeln!(
             f,
             "  {:20} {}{step} (epoch {}, {:.1} s{held}); fronts {} of {}; of {} outside {} reach it, {} miss it{out}",
             site.name,
-            site.verdict.name(),
+            site.state.name(),
             site.epoch,
-            site.since,
-            site.fronts_heard,
+            site.stage_age,
+            site.fronts_alive,
             site.fronts,
             site.outside,
             site.reached,
@@ -102,18 +102,22 @@
             f,
             "  {:20} stands {:.1} a second of {}; were it lost: {:.1} a second needed, the others bear {}",
             "",
-            site.stood,
-            bears(site.bears),
-            site.if_lost_needs,
-            bears(site.if_lost_bears)
+            site.established,
+            bears(site.capacity),
+            site.required_if_lost,
+            bears(site.capacity_if_lost)
         )?;
     }
     if !s.shares.is_empty() {
         let shares: Vec<String> = s.shares.iter().map(|s| format!("{:.2}", s)).collect();
         writeln!(f, "  taken of what is asked, by procedure: {}", shares.join(", "))?;
     }
-    if s.other_tables + s.bad > 0 {
-        writeln!(f, "  {} messages of other tables of sites, {} of bad form", s.other_tables, s.bad)?;
+    if s.other_tables + s.invalid_messages > 0 {
+        writeln!(
+            f,
+            "  {} messages of other tables of sites, {} of bad form",
+            s.other_tables, s.invalid_messages
+        )?;
     }
     Ok(())
 }
--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -6,7 +6,7 @@
 use crate::told::Told;
 use rand::Rng;
 use shalespindle_control::interface::NewAttach;
-use shalespindle_levels::{Ask, By, Door};
+use shalespindle_levels::{Admission, AttachRequest, RefusedBy};
 use shalespindle_signalling::message::{address, host, tag, Message, Method, ParseError};
 use shalespindle_signalling::transaction::{oldest_copy, Client, InviteServer, Todo, LONG, T4};
 use shalespindle_signalling::write::{ResponseHead, Writer};
@@ -225,23 +225,23 @@
         let highest = procedures.iter().fold(0.0, |top: f64, p| top.max(p.utility));
         let attach = &mut self.attaches[key];
         let tenant = host(&attach.caller).and_then(|h| self.params.tenants.get(h).copied());
-        let ask = Ask {
-            number,
-            worth: told.utility / highest,
+        let request = AttachRequest {
+            called_number: number,
+            relative_utility: told.utility / highest,
             late_share: told.late_share,
             latency_target: told.latency_target,
             tenant,
             procedure,
         };
-        match levels.ask(now, &ask) {
-            Door::Take(ticket) => {
+        match levels.admit(now, &request) {
+            Admission::Admit(ticket) => {
                 attach.ticket = Some(ticket);
                 None
             }
-            Door::Refuse { pause, by } => {
+            Admission::Refuse { pause, by } => {
                 match by {
-                    By::Level => self.counters.level_refused += 1,
-                    By::Plan => self.counters.plan_refused += 1,
+                    RefusedBy::Level => self.counters.level_refused += 1,
+                    RefusedBy::Plan => self.counters.plan_refused += 1,
                 }
                 Some(pause)
             }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use shalespindle_control::control::Control;
 use shalespindle_control::interface::*;
-use shalespindle_levels::{Levels, Status, Ticket};
+use shalespindle_levels::{Levels, LevelsStatus, Ticket};
 use shalespindle_signalling::timers::Timers;
 use shalespindle_signalling::transaction::{Client, InviteServer};
 use shalespindle_signalling::write::ResponseHead;
@@ -300,7 +300,7 @@
         let overdue = now - self.timers.next();
         if overdue > STOOD_STILL || now - arrived > STOOD_STILL {
             if let Some(levels) = &mut self.levels {
-                levels.stood_still(now);
+                levels.record_stall(now);
             }
         }
         self.run_due(now);
@@ -365,11 +365,11 @@
     fn heed_levels(&mut self, now: f64) {
         let Some(levels) = &mut self.levels else { return };
         while let Some(change) = levels.next_change() {
-            let takes = levels.takes_in_words(change.to);
-            let event = Event::Level { from: change.from, to: change.to, why: change.why, takes };
+            let takes = levels.describe_level(change.to);
+            let event = Event::Level { from: change.from, to: change.to, why: change.reason, takes };
             self.outputs.push_back(Output::Event(event));
         }
-        let due = levels.due();
+        let due = levels.deadline();
         if due < self.level_wake {
             self.level_wake = due;
             // Never at once again: a turn must come to an end whatever the levels ask for.
@@ -378,10 +378,10 @@
     }
 
     /// Level of reduced service now, with its reason; none where levels are off.
-    pub fn level(&mut self, now: f64) -> Option<(Status, String)> {
+    pub fn level(&mut self, now: f64) -> Option<(LevelsStatus, String)> {
         let levels = self.levels.as_mut()?;
         let status = levels.status(now);
-        Some((status, levels.takes_in_words(status.level)))
+        Some((status, levels.describe_level(status.level)))
     }
 
     /// Holds a level for so many seconds, or with `None` ends a pin; false where there is no such level.
@@ -528,11 +528,11 @@
         self.in_hand -= 1;
         if let (Some(levels), Some(ticket)) = (&mut self.levels, &self.attaches[key].ticket) {
             let ended = match outcome {
-                Outcome::Stands => shalespindle_levels::Outcome::Stood,
-                Outcome::Refused | Outcome::Fails => shalespindle_levels::Outcome::Lost,
-                Outcome::Left => shalespindle_levels::Outcome::Left,
+                Outcome::Stands => shalespindle_levels::Outcome::Established,
+                Outcome::Refused | Outcome::Fails => shalespindle_levels::Outcome::Failed,
+                Outcome::Left => shalespindle_levels::Outcome::Abandoned,
             };
-            levels.ended(now, ticket, ended);
+            levels.record_outcome(now, ticket, ended);
         }
         match outcome {
             Outcome::Stands => self.counters.stands += 1,
--- a/crates/front/src/io.rs
+++ b/crates/front/src/io.rs
@@ -1,10 +1,10 @@
 //! What goes into a front and what comes out of it.
 
 use serde::{Deserialize, Serialize};
-use shalespindle_levels::Why;
+use shalespindle_levels::ChangeReason;
 use shalespindle_membership::{Change, Listed, Warning};
 use shalespindle_replica::CallWord;
-use shalespindle_sites::{Narrowing, Observed};
+use shalespindle_sites::{Restrictions, Sample};
 use shalespindle_srv::{In, Step, Ticket};
 use std::net::SocketAddr;
 
@@ -78,7 +78,7 @@
         call: u64,
     },
     /// What the fleet's word on sites leaves this front.
-    Narrowed(Narrowing),
+    Narrowed(Restrictions),
     /// A call of a front that died is to be released in both directions.
     Release(Box<CallWord>),
     /// Take no new attaches, answer those in hand, then be done.
@@ -127,7 +127,7 @@
     /// This front's list told of a server: for other fronts, where there are any.
     Told(Listed),
     /// What this front sees of sites: for the fleet.
-    Sees(Observed),
+    Sees(Sample),
     /// A call stands here, or stands no more: for other fronts.
     Call {
         call: u64,
@@ -221,7 +221,7 @@
     Level {
         from: usize,
         to: usize,
-        why: Why,
+        why: ChangeReason,
         takes: String,
     },
     /// An operator holds a level for so many seconds, or lets it go.
--- a/crates/front/src/params.rs
+++ b/crates/front/src/params.rs
@@ -3,7 +3,7 @@
 use shalespindle_control::interface::Deployment;
 use shalespindle_levels::LevelParams;
 use shalespindle_membership::MembershipParams;
-use shalespindle_sites::Table;
+use shalespindle_sites::SiteTable;
 use shalespindle_srv::ResolverParams;
 use std::collections::{BTreeMap, HashMap};
 
@@ -61,7 +61,7 @@
 /// What a front must know of sites.
 #[derive(Clone, Debug)]
 pub struct SiteParams {
-    pub table: Table,
+    pub table: SiteTable,
     /// Between two sights told.
     pub every: f64,
     /// A server that owes an answer for so long, or is not connected for so long, does not answer.
--- a/crates/front/src/sites.rs
+++ b/crates/front/src/sites.rs
@@ -7,7 +7,7 @@
 use crate::told::Told;
 use shalespindle_control::interface::{PoolEntry, PoolName};
 use shalespindle_membership::Verdict;
-use shalespindle_sites::{Narrowing, Observed, ObservedServer};
+use shalespindle_sites::{Restrictions, Sample, ServerSample};
 use std::collections::BTreeSet;
 
 /// What the fleet's word leaves, as this front carries it out.
@@ -44,31 +44,31 @@
                 LinkState::Connecting | LinkState::Down { .. } => false,
             };
             let told = link.listed && link.seen.tried && (answers || owed >= silent_after);
-            ObservedServer {
+            ServerSample {
                 pool: link.number,
                 address: link.address.ip(),
                 reached: told.then_some(answers),
-                stood: link.seen.stood,
-                cuts: link.seen.cuts,
+                established: link.seen.stood,
+                disconnects: link.seen.cuts,
                 wait: link.seen.wait,
             }
         });
-        let mut asked = self.levels.as_ref().map_or(Vec::new(), |levels| levels.asked().to_vec());
+        let mut asked = self.levels.as_ref().map_or(Vec::new(), |levels| levels.first_attempts().to_vec());
         asked.resize(self.params.deployment.procedures.len(), 0);
-        let observed = Observed { servers: seen.collect(), asked };
+        let observed = Sample { servers: seen.collect(), requested: asked };
         self.outputs.push_back(Output::Sees(observed));
     }
 
     /// The fleet's word on sites leaves this front that much.
-    pub(crate) fn narrow(&mut self, now: f64, narrowing: Narrowing) {
+    pub(crate) fn narrow(&mut self, now: f64, narrowing: Restrictions) {
         if let Some(levels) = &mut self.levels {
-            levels.narrow(now, &narrowing.parts, narrowing.floor);
+            levels.set_rate_limits(now, &narrowing.rate_limits, narrowing.floor);
         }
-        self.narrowed.sites = narrowing.out;
+        self.narrowed.sites = narrowing.excluded;
         self.leave_alone(now);
         let pools =
             self.links.iter().filter(|l| self.narrowed.leaves_alone(l.pool)).map(|l| l.number).collect();
-        self.event(Event::Narrowed { pools, parts: narrowing.parts });
+        self.event(Event::Narrowed { pools, parts: narrowing.rate_limits });
     }
 
     /// Servers of the sites that are out are left alone, but for those without which a procedure would have none left:
@@ -78,7 +78,7 @@
         if self.narrowed.sites.is_empty() && self.narrowed.alone.is_empty() {
             return;
         }
-        let of = |pool: u16, at: std::net::SocketAddr| sites.table.of_server(pool, Some(at.ip()));
+        let of = |pool: u16, at: std::net::SocketAddr| sites.table.site_of_server(pool, Some(at.ip()));
         let out = |firm: bool, site: Option<usize>| {
             site.is_some_and(|s| self.narrowed.sites.iter().any(|(o, f)| *o == s && (*f || !firm)))
         };
--- a/crates/lab/src/country.rs
+++ b/crates/lab/src/country.rs
@@ -4,7 +4,9 @@
 use crate::scenario::Scenario;
 use shalespindle_peer_wire::front_id;
 use shalespindle_peers::{FrontId, Life, Peers, PeersParams, Word as PeerWord};
-use shalespindle_sites::{Narrowing, Observed, Out, Sites, SitesMessage, SitesParams, Table, Word};
+use shalespindle_sites::{
+    Output, Restrictions, Sample, SiteRecord, SiteTable, Sites, SitesMessage, SitesParams,
+};
 use std::collections::BTreeMap;
 
 /// Fronts told at a beat, and bytes of a message at most, as the settings have it where they say nothing.
@@ -26,14 +28,14 @@
 /// What a front's turn gives.
 pub enum Given {
     Frame { to: usize, frame: Frame },
-    Narrow(Narrowing),
-    Word { site: usize, word: Word },
+    Narrow(Restrictions),
+    Word { site: usize, word: SiteRecord },
 }
 
 /// The fronts of a run, as the fleet.
 pub struct Country {
     params: SitesParams,
-    table: Table,
+    table: SiteTable,
     every: f64,
     names: Vec<FrontId>,
     places: BTreeMap<FrontId, usize>,
@@ -72,18 +74,18 @@
         let Some(side) = &mut self.sides[front] else { return };
         match frame {
             Frame::Beat(words) => words.into_iter().for_each(|word| side.peers.hear(now, word)),
-            Frame::Sites(from, message) => side.sites.heard(now, &side.peers, from, message),
+            Frame::Sites(from, message) => side.sites.receive(now, &side.peers, from, message),
         }
     }
 
-    pub fn observed(&mut self, now: f64, front: usize, seen: &Observed) {
-        if let Some(side) = self.sides[front].as_mut().filter(|s| now >= s.sites.observes_at()) {
-            side.sites.observed(now, &side.peers, seen);
+    pub fn observed(&mut self, now: f64, front: usize, seen: &Sample) {
+        if let Some(side) = self.sides[front].as_mut().filter(|s| now >= s.sites.next_sample_at()) {
+            side.sites.record_sample(now, &side.peers, seen);
         }
     }
 
     pub fn due(&self, front: usize) -> f64 {
-        self.sides[front].as_ref().map_or(f64::INFINITY, |s| s.peers.due().min(s.sites.due()))
+        self.sides[front].as_ref().map_or(f64::INFINITY, |s| s.peers.due().min(s.sites.next_tick_at()))
     }
 
     pub fn turn(&mut self, now: f64, front: usize) -> Vec<Given> {
@@ -96,16 +98,16 @@
             }
         }
         while side.peers.next_change().is_some() {}
-        side.sites.turn(now, &side.peers, FANOUT, BYTES);
+        side.sites.tick(now, &side.peers, FANOUT, BYTES);
         while let Some(out) = side.sites.next_output() {
             match out {
-                Out::Send { to, message } => {
+                Output::Send { to, message } => {
                     let frame = Frame::Sites(self.names[front], message);
                     given.push(Given::Frame { to: self.places[&to], frame });
                 }
-                Out::Narrow(narrowing) => given.push(Given::Narrow(narrowing)),
-                Out::Word { site, to, .. } => given.push(Given::Word { site, word: to }),
-                Out::CutOff(_) => {}
+                Output::Restrict(narrowing) => given.push(Given::Narrow(narrowing)),
+                Output::RecordChanged { site, to, .. } => given.push(Given::Word { site, word: to }),
+                Output::CutOff(_) => {}
             }
         }
         given
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use shalespindle_front::{Counters, Front, Input, LinkId};
 use shalespindle_signalling::timers::Timers;
-use shalespindle_sites::Word;
+use shalespindle_sites::SiteRecord;
 use shalespindle_standin::callers::Callers;
 use shalespindle_standin::checker::check;
 use shalespindle_standin::feed::Feed;
@@ -113,7 +113,7 @@
     /// Verdicts: when, of which front, on which server, whether it is in service.
     pub verdicts: Vec<(f64, usize, usize, bool)>,
     /// Words on sites: when, of which front, on which site.
-    pub words: Vec<(f64, usize, usize, Word)>,
+    pub words: Vec<(f64, usize, usize, SiteRecord)>,
     /// What was done to the fleet, and when.
     pub actions: Vec<(f64, Action)>,
 }
@@ -174,7 +174,7 @@
     setup: Setup,
     country: Option<Country>,
     fleet_wake: Vec<f64>,
-    words: Vec<(f64, usize, usize, Word)>,
+    words: Vec<(f64, usize, usize, SiteRecord)>,
     levels: Vec<(f64, usize, usize, usize)>,
     verdicts: Vec<(f64, usize, usize, bool)>,
 }
--- a/crates/levels/src/lib.rs
+++ b/crates/levels/src/lib.rs
@@ -6,27 +6,27 @@
 //! what the front sees, takes time as an argument, draws chance from its seed, and gives the same levels for
 //! the same history. docs/design-notes/levels.md has the ways weighed.
 
-mod gauge;
 mod machine;
-mod parts;
+mod pressure;
+mod rate_limits;
 mod redials;
-mod shares;
+mod tenant_shares;
 
-pub use machine::{Change, Levels, Pin, Status, Why};
+pub use machine::{Change, ChangeReason, Levels, LevelsStatus, Pin};
 
 /// One step of reduced service. The first one, full service, is not listed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Step {
+pub struct LevelStep {
     /// It is entered at this pressure of the level before it,
-    pub enter: f64,
+    pub entry_pressure: f64,
     /// and left when its own is down to this.
-    pub exit: f64,
+    pub exit_pressure: f64,
     /// It takes whatever earns this part of the highest utility, or more,
-    pub floor: f64,
+    pub min_utility: f64,
     /// and of what earns less (not counting late redials) this share.
-    pub below: f64,
+    pub share_below: f64,
     /// Of what the floor takes, this share is taken: under 1 only in the last step, a trickle that measures.
-    pub above: f64,
+    pub share_above: f64,
 }
 
 impl LevelParams {
@@ -39,41 +39,41 @@
 /// What the levels are started with. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LevelParams {
-    pub steps: Vec<Step>,
+    pub steps: Vec<LevelStep>,
     /// No two changes of level are nearer than this.
-    pub least_stay: f64,
+    pub min_stay: f64,
     /// Outcomes are forgotten over this time.
     pub window: f64,
     /// Attaches within the window below which nothing is judged.
-    pub evidence: f64,
+    pub min_evidence: f64,
     /// Pressure is read from attaches that earn this part of the highest utility or more: what the last
     /// levels protect. The router refuses some of the rest on every busy day.
-    pub judge_from: f64,
+    pub min_judged_utility: f64,
     /// A redial counts as late from this part of its latency target on.
-    pub reach: f64,
+    pub late_redial_fraction: f64,
     /// From this pressure on, a level that would be entered next but one is entered at once.
-    pub leap: f64,
+    pub skip_pressure: f64,
     /// Thresholds and stays of each front differ by up to this part, so that fronts do not step as one.
-    pub spread: f64,
+    pub jitter: f64,
     /// A crossed threshold must stay crossed for a time drawn anew for each step, up to this: fronts that see
     /// the same trouble step at different moments, and the later ones see what the earlier ones' steps did.
-    pub patience: f64,
+    pub max_entry_delay: f64,
     /// The pause named at the first level; it doubles with each further one.
-    pub pause: f64,
-    pub longest_pause: f64,
+    pub base_pause: f64,
+    pub max_pause: f64,
     /// How long a caller who went unserved is known by its number.
-    pub remember: f64,
-    /// Shares of the tenants, by their index; empty where none are set.
+    pub redial_memory: f64,
+    /// TenantShares of the tenants, by their index; empty where none are set.
     pub tenant_shares: Vec<f64>,
 }
 
 /// An attach at the door.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ask {
+pub struct AttachRequest {
     /// The number called; 0 where none is told.
-    pub number: u64,
+    pub called_number: u64,
     /// Its utility as a part of the highest.
-    pub worth: f64,
+    pub relative_utility: f64,
     /// Part of that which is left past the latency target.
     pub late_share: f64,
     pub latency_target: f64,
@@ -84,7 +84,7 @@
 
 /// Whose word refuses an attach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
+pub enum RefusedBy {
     /// The level of reduced service.
     Level,
     /// The fleet's plan for a site that is out: this front's part of its procedure is used up.
@@ -93,22 +93,22 @@
 
 /// What the door says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Door {
+pub enum Admission {
     /// Taken: the router is asked. `ticket` goes with its outcome.
-    Take(Ticket),
+    Admit(Ticket),
     /// Refused here; its caller may come back after `pause` seconds (0: none is named).
-    Refuse { pause: f64, by: By },
+    Refuse { pause: f64, by: RefusedBy },
 }
 
 /// What an outcome is judged by.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ticket {
     /// When its caller first asked, as far as is known.
-    pub asked_at: f64,
-    pub arrived: f64,
+    pub first_asked_at: f64,
+    pub arrived_at: f64,
     pub latency_target: f64,
-    pub worth: f64,
-    pub number: u64,
+    pub relative_utility: f64,
+    pub called_number: u64,
     /// The level that took it.
     pub level: usize,
 }
@@ -116,9 +116,9 @@
 /// How a taken attach ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Stood,
+    Established,
     /// Refused by the router, throttled to the end, timed out, aborted.
-    Lost,
+    Failed,
     /// Its caller went away by its own choice: says nothing of the servers.
-    Left,
+    Abandoned,
 }
--- a/crates/levels/src/parts.rs
+++ b/crates/levels/src/rate_limits.rs
@@ -3,37 +3,37 @@
 use std::collections::BTreeMap;
 
 /// A part may be saved up for so long, seconds: attaches come in no steady row.
-const SAVED: f64 = 2.0;
+const BURST_SECONDS: f64 = 2.0;
 /// And up to so many attaches where that is more: at a front that is asked little they come in no row at all.
-const SAVED_WHOLE: f64 = 3.0;
+const MIN_BURST: f64 = 3.0;
 /// A tenant's floor is kept over about so many of its attaches.
-const FLOOR_OVER: f64 = 20.0;
+const FLOOR_AVERAGING: f64 = 20.0;
 
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
+struct TokenBucket {
     /// None: all are taken.
     a_second: Option<f64>,
     tokens: f64,
     at: f64,
 }
 
-/// Parts by procedure, and a floor for each tenant.
+/// RateLimits by procedure, and a floor for each tenant.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Parts {
-    buckets: Vec<Bucket>,
+pub(crate) struct RateLimits {
+    buckets: Vec<TokenBucket>,
     floor: f64,
     /// Of each tenant's attaches of late: asked and taken, while parts are on.
     tenants: BTreeMap<usize, (f64, f64)>,
 }
 
-impl Parts {
+impl RateLimits {
     /// What each procedure gets from now on, attaches a second; empty: all of all. What was saved stays.
     pub fn set(&mut self, now: f64, parts: &[Option<f64>], floor: f64) {
         if parts.is_empty() {
             self.tenants.clear();
         }
         self.buckets.iter_mut().for_each(|b| b.fill(now));
-        self.buckets.resize(parts.len(), Bucket { a_second: None, tokens: 0.0, at: now });
+        self.buckets.resize(parts.len(), TokenBucket { a_second: None, tokens: 0.0, at: now });
         for (bucket, part) in self.buckets.iter_mut().zip(parts) {
             if bucket.a_second.is_none() {
                 // Begins empty: over all fronts not one attach more is taken than the sum of the parts.
@@ -59,7 +59,7 @@
         let taken = bucket.take(now, starved);
         if let Some(tenant) = tenant {
             let (asked, had) = self.tenants.entry(tenant).or_default();
-            let kept = 1.0 - 1.0 / FLOOR_OVER;
+            let kept = 1.0 - 1.0 / FLOOR_AVERAGING;
             (*asked, *had) = (*asked * kept + 1.0, *had * kept + f64::from(u8::from(taken)));
         }
         taken
@@ -72,10 +72,10 @@
     }
 }
 
-impl Bucket {
+impl TokenBucket {
     fn fill(&mut self, now: f64) {
         let a_second = self.a_second.unwrap_or(0.0);
-        let most = (SAVED * a_second).max(SAVED_WHOLE);
+        let most = (BURST_SECONDS * a_second).max(MIN_BURST);
         self.tokens = (self.tokens + a_second * (now - self.at).max(0.0)).min(most);
         self.at = self.at.max(now);
     }
@@ -84,7 +84,7 @@
         let Some(a_second) = self.a_second else { return true };
         self.fill(now);
         // What a starved tenant takes ahead of time is missing to the others after it: the sum stays the same.
-        let least = if starved { 1.0 - (SAVED * a_second).max(1.0) } else { 1.0 };
+        let least = if starved { 1.0 - (BURST_SECONDS * a_second).max(1.0) } else { 1.0 };
         let taken = self.tokens >= least;
         if taken {
             self.tokens -= 1.0;
@@ -99,7 +99,7 @@
 
     #[test]
     fn over_any_time_no_more_than_the_part_is_taken_and_each_tenant_gets_its_floor() {
-        let mut parts = Parts::default();
+        let mut parts = RateLimits::default();
         parts.set(0.0, &[Some(4.0), None], 0.3);
         let (mut taken, mut had) = (0, [0, 0]);
         // Ten a second are asked, nine of them by tenant 0.
@@ -120,7 +120,7 @@
 
     #[test]
     fn a_part_of_less_than_one_attach_a_second_is_saved_up_to_whole_ones() {
-        let mut parts = Parts::default();
+        let mut parts = RateLimits::default();
         parts.set(0.0, &[Some(0.25)], 0.5);
         let taken = (0..400).filter(|n| parts.ask(f64::from(*n) * 0.1, 0, None)).count();
         assert_eq!(taken, 9, "40 s of a quarter, the first after 4 s");
--- a/crates/levels/src/redials.rs
+++ b/crates/levels/src/redials.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Numbers kept at most; the oldest goes first. Guards memory against floods of distinct numbers.
-const MOST: usize = 1 << 14;
+const MAX_CALLERS: usize = 1 << 14;
 
 /// When each of them first asked.
 #[derive(Debug, Default)]
@@ -14,8 +14,9 @@
 
 impl Redials {
     /// When the caller of that number first asked; `now` when it is not known.
-    pub fn asked_at(&mut self, now: f64, number: u64, remember: f64) -> f64 {
-        while self.order.front().is_some_and(|o| now - o.0 > remember) || self.order.len() > MOST {
+    pub fn first_asked_at(&mut self, now: f64, number: u64, redial_memory: f64) -> f64 {
+        while self.order.front().is_some_and(|o| now - o.0 > redial_memory) || self.order.len() > MAX_CALLERS
+        {
             if let Some((_, old)) = self.order.pop_front() {
                 self.first.remove(&old);
             }
@@ -23,8 +24,8 @@
         self.first.get(&number).copied().unwrap_or(now)
     }
 
-    pub fn unserved(&mut self, now: f64, number: u64, asked_at: f64) {
-        if number != 0 && self.first.insert(number, asked_at).is_none() {
+    pub fn unserved(&mut self, now: f64, number: u64, first_asked_at: f64) {
+        if number != 0 && self.first.insert(number, first_asked_at).is_none() {
             self.order.push_back((now, number));
         }
     }
--- a/crates/levels/tests/histories.rs
+++ b/crates/levels/tests/histories.rs
@@ -1,10 +1,18 @@
 //! Random histories and the hard cases, each with a clock of the test's own.
 
 use proptest::prelude::*;
-use shalespindle_levels::{Ask, Change, Door, LevelParams, Levels, Outcome, Step, Why};
+use shalespindle_levels::{
+    Admission, AttachRequest, Change, ChangeReason, LevelParams, LevelStep, Levels, Outcome,
+};
 
 fn params() -> LevelParams {
-    let step = |enter, floor, below, above| Step { enter, exit: enter / 3.0, floor, below, above };
+    let step = |enter, floor, below, above| LevelStep {
+        entry_pressure: enter,
+        exit_pressure: enter / 3.0,
+        min_utility: floor,
+        share_below: below,
+        share_above: above,
+    };
     LevelParams {
         steps: vec![
             step(0.1, 0.3, 1.0, 1.0),
@@ -12,23 +20,30 @@
             step(0.3, 0.5, 0.0, 1.0),
             step(0.6, 0.5, 0.0, 0.1),
         ],
-        least_stay: 2.0,
+        min_stay: 2.0,
         window: 3.0,
-        evidence: 8.0,
-        judge_from: 0.0,
-        reach: 1.0,
-        leap: 0.6,
-        spread: 0.2,
-        patience: 4.0,
-        pause: 0.5,
-        longest_pause: 4.0,
-        remember: 9.0,
+        min_evidence: 8.0,
+        min_judged_utility: 0.0,
+        late_redial_fraction: 1.0,
+        skip_pressure: 0.6,
+        jitter: 0.2,
+        max_entry_delay: 4.0,
+        base_pause: 0.5,
+        max_pause: 4.0,
+        redial_memory: 9.0,
         tenant_shares: vec![0.5, 0.3, 0.2],
     }
 }
 
-fn ask(number: u64, worth: f64, tenant: usize) -> Ask {
-    Ask { number, worth, late_share: 0.2, latency_target: 1.5, tenant: Some(tenant), procedure: 0 }
+fn ask(number: u64, relative_utility: f64, tenant: usize) -> AttachRequest {
+    AttachRequest {
+        called_number: number,
+        relative_utility,
+        late_share: 0.2,
+        latency_target: 1.5,
+        tenant: Some(tenant),
+        procedure: 0,
+    }
 }
 
 /// `rate` attaches a second for `seconds`; each stands after 0.1 s unless `lost` says otherwise.
@@ -43,10 +58,12 @@
     while *now < end {
         *now += 1.0 / rate;
         let number = (*now * 1000.0) as u64;
-        let worth = if number.is_multiple_of(4) { 1.0 } else { 1.0 / 3.0 };
-        if let Door::Take(ticket) = levels.ask(*now, &ask(number, worth, (number % 3) as usize)) {
-            let outcome = if lost(*now, number) { Outcome::Lost } else { Outcome::Stood };
-            levels.ended(*now, &ticket, outcome);
+        let relative_utility = if number.is_multiple_of(4) { 1.0 } else { 1.0 / 3.0 };
+        if let Admission::Admit(ticket) =
+            levels.admit(*now, &ask(number, relative_utility, (number % 3) as usize))
+        {
+            let outcome = if lost(*now, number) { Outcome::Failed } else { Outcome::Established };
+            levels.record_outcome(*now, &ticket, outcome);
         }
         changes.extend(std::iter::from_fn(|| levels.next_change()));
     }
@@ -63,7 +80,7 @@
     assert!(drive(&mut levels, &mut now, 20.0, 20.0, |_, _| false).is_empty());
     let up = drive(&mut levels, &mut now, 30.0, 20.0, |_, n| n * 7919 % 101 < 80);
     assert!(up.iter().any(|c| c.to >= 3), "{up:?}");
-    assert!(up.iter().any(|c| c.to == c.from + 2), "pressure over the leap skips a level: {up:?}");
+    assert!(up.iter().any(|c| c.to == c.from + 2), "pressure over the skip_pressure skips a level: {up:?}");
     let down = drive(&mut levels, &mut now, 120.0, 20.0, |_, _| false);
     assert_eq!(levels.level(), 0);
     assert!(down.iter().all(|c| c.to + 1 == c.from) && apart(&down, 2.0), "{down:?}");
@@ -92,19 +109,24 @@
 #[test]
 fn too_little_to_judge_by_changes_nothing_and_silence_ends_a_level() {
     let (mut levels, mut now) = (Levels::new(4, params(), 0.0), 0.0);
-    assert!(drive(&mut levels, &mut now, 60.0, 1.0, |_, _| true).is_empty(), "one a second is no evidence");
+    assert!(
+        drive(&mut levels, &mut now, 60.0, 1.0, |_, _| true).is_empty(),
+        "one a second is no min_evidence"
+    );
     drive(&mut levels, &mut now, 20.0, 30.0, |_, _| true);
     assert!(levels.level() > 0);
     // No traffic for a minute: time alone leads back, one level at a time.
     let mut at = now;
-    while levels.due().is_finite() && at < now + 60.0 {
-        at = levels.due().max(at + 0.01);
+    while levels.deadline().is_finite() && at < now + 60.0 {
+        at = levels.deadline().max(at + 0.01);
         levels.tick(at);
     }
     assert_eq!(levels.level(), 0);
     now += 60.0;
     // Then a burst that is served: nothing is held against it.
-    assert!(drive(&mut levels, &mut now, 5.0, 200.0, |_, _| false).iter().all(|c| c.why == Why::Silence));
+    assert!(drive(&mut levels, &mut now, 5.0, 200.0, |_, _| false)
+        .iter()
+        .all(|c| c.reason == ChangeReason::Silence));
 }
 
 #[test]
@@ -114,15 +136,16 @@
         let (mut now, mut held) = (0.0, Vec::new());
         drive(&mut levels, &mut now, 10.0, 30.0, |_, _| false);
         for n in 0..60u32 {
-            if let Door::Take(ticket) = levels.ask(now + f64::from(n) * 0.01, &ask(n.into(), 1.0, 0)) {
+            if let Admission::Admit(ticket) = levels.admit(now + f64::from(n) * 0.01, &ask(n.into(), 1.0, 0))
+            {
                 held.push(ticket);
             }
         }
         now += 2.6;
         if told {
-            levels.stood_still(now);
+            levels.record_stall(now);
         }
-        held.iter().for_each(|t| levels.ended(now, t, Outcome::Stood));
+        held.iter().for_each(|t| levels.record_outcome(now, t, Outcome::Established));
         levels.tick(now + 3.0);
         levels.level()
     };
@@ -150,9 +173,9 @@
         for (place, (tenant, number)) in
             [(2, 7_000_000 + round % 5), (0, 8_000_000 + round)].into_iter().enumerate()
         {
-            match levels.ask(now, &ask(number, 1.0, tenant)) {
-                Door::Take(ticket) => levels.ended(now, &ticket, Outcome::Lost),
-                Door::Refuse { .. } => refused[place] += 1,
+            match levels.admit(now, &ask(number, 1.0, tenant)) {
+                Admission::Admit(ticket) => levels.record_outcome(now, &ticket, Outcome::Failed),
+                Admission::Refuse { .. } => refused[place] += 1,
             }
         }
     }
@@ -167,10 +190,10 @@
     let mut now = 1.0;
     drive(&mut levels, &mut now, 40.0, 30.0, |_, _| false);
     assert_eq!(levels.level(), 3, "whatever the pressure");
-    let refused = levels.ask(now, &ask(1, 0.3, 0));
-    assert!(matches!(refused, Door::Refuse { pause, .. } if pause > 0.5), "{refused:?}");
+    let refused = levels.admit(now, &ask(1, 0.3, 0));
+    assert!(matches!(refused, Admission::Refuse { pause, .. } if pause > 0.5), "{refused:?}");
     levels.tick(50.0);
-    assert_eq!((levels.level(), levels.status(50.0).why), (0, Why::Unpinned));
+    assert_eq!((levels.level(), levels.status(50.0).reason), (0, ChangeReason::Unpinned));
 }
 
 /// Of these moments, how many lie within one second, at most.
@@ -210,11 +233,11 @@
     let mut levels = Levels::new(9, params(), 0.0);
     for n in 0..200_000u64 {
         let now = n as f64 * 1e-5;
-        if let Door::Take(ticket) = levels.ask(now, &ask(n + 1, 1.0, n as usize)) {
-            levels.ended(now, &ticket, Outcome::Lost);
+        if let Admission::Admit(ticket) = levels.admit(now, &ask(n + 1, 1.0, n as usize)) {
+            levels.record_outcome(now, &ticket, Outcome::Failed);
         }
     }
-    assert!(levels.remembered() <= (1 << 14) + 2, "{}", levels.remembered());
+    assert!(levels.remembered_callers() <= (1 << 14) + 2, "{}", levels.remembered_callers());
 }
 
 proptest! {
@@ -230,7 +253,7 @@
             for (kind, length, share) in &script {
                 match kind {
                     0 => now += f64::from(*length) / 10.0,
-                    1 => levels.stood_still(now),
+                    1 => levels.record_stall(now),
                     _ => {
                         let lost = |_, n: u64| n * 7919 % 101 < u64::from(*share);
                         let rate = f64::from(*length);
--- a/crates/peer-service/src/lib.rs
+++ b/crates/peer-service/src/lib.rs
@@ -15,7 +15,7 @@
 use shalespindle_peer_store::Store;
 use shalespindle_peer_wire::{front_id, Codec};
 use shalespindle_replica::{Fleet, FleetParams};
-use shalespindle_sites::{Order, Sites, SitesFault, SitesParams, Table};
+use shalespindle_sites::{Order, SiteTable, Sites, SitesError, SitesParams};
 use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mailbox, SMALL_STACK};
 use sites::SitesOwner;
 use std::io;
@@ -43,7 +43,7 @@
     /// None: nothing outlives the process.
     pub keep: Option<Keep>,
     /// Sites that the fleet judges; none: nothing is told or heeded of any.
-    pub sites: Option<(SitesParams, Table)>,
+    pub sites: Option<(SitesParams, SiteTable)>,
 }
 
 /// A front among others; dropping it leaves in order and leaves nothing running.
@@ -67,7 +67,7 @@
     }
 
     /// An operator's order on a site, for all fronts, waited for on the caller's thread; none once the owner has ended.
-    pub fn order(&self, site: String, order: Order, lasts: f64) -> Option<Result<(), SitesFault>> {
+    pub fn order(&self, site: String, order: Order, lasts: f64) -> Option<Result<(), SitesError>> {
         let (to, from) = mpsc::channel();
         self.0.send_urgent(Letter::Order { site, order, lasts, to }).ok()?;
         from.recv_timeout(ANSWERED_WITHIN).ok()
--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -8,7 +8,7 @@
 use shalespindle_peer_wire::{front_id, Body, Codec, DropCounts};
 use shalespindle_peers::{Change, FrontId, State};
 use shalespindle_replica::{CallWord, Fleet, News, Out, ServerWord};
-use shalespindle_sites::{Narrowing, Observed, Order, SitesFault, SitesStatus};
+use shalespindle_sites::{Order, Restrictions, Sample, SitesError, SitesStatus};
 use shalespindle_sockets::{Ground, Mail};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     /// A call stands here, or stands no more.
     Call { call: u64, word: Option<Box<CallWord>> },
     /// What this front sees of sites, and what is asked of it.
-    Sees(Observed),
+    Sees(Sample),
     /// Whose call is it, by the name of its dialog with the caller or with the server; [`Heard::Found`] answers.
     Whose { ticket: u64, name: u64, by_leg: bool },
 }
@@ -38,7 +38,7 @@
 pub enum Heard {
     News(News),
     /// What the fleet's word on sites leaves this front.
-    Narrowed(Narrowing),
+    Narrowed(Restrictions),
     /// Known: one of the fleet's; without the word it has been released already.
     Found {
         ticket: u64,
@@ -58,7 +58,7 @@
         site: String,
         order: Order,
         lasts: f64,
-        to: mpsc::Sender<Result<(), SitesFault>>,
+        to: mpsc::Sender<Result<(), SitesError>>,
     },
     /// The list of the other fronts changed.
     Relist(Vec<(String, SocketAddr)>),
@@ -177,7 +177,7 @@
 impl Owner {
     pub fn run(mut self) {
         loop {
-            let sites = self.sites.as_ref().map_or(f64::INFINITY, |sites| sites.core.due());
+            let sites = self.sites.as_ref().map_or(f64::INFINITY, |sites| sites.core.next_tick_at());
             let mut next = self.mail.next_within(self.ground.until(self.fleet.wake_at().min(sites)));
             let mut taken = 0;
             while let Some(letter) = next {
@@ -208,7 +208,7 @@
                 match (self.codec.read(&bytes), &mut self.sites) {
                     (Ok((from, Body::Fleet(message))), _) => self.fleet.heard(now, from, message),
                     (Ok((from, Body::Sites(message))), Some(sites)) => {
-                        sites.core.heard(now, self.fleet.peers(), from, message);
+                        sites.core.receive(now, self.fleet.peers(), from, message);
                     }
                     // Dropped and counted, or of no use to a front without sites.
                     (Err(_), _) | (Ok((_, Body::Sites(_) | Body::Coordinator(_))), _) => {}
@@ -220,7 +220,7 @@
             Letter::Order { site, order, lasts, to } => {
                 let done = match &mut self.sites {
                     Some(sites) => sites.core.order(now, &site, order, lasts),
-                    None => Err(SitesFault::Off),
+                    None => Err(SitesError::Disabled),
                 };
                 // Whoever asked may have gone.
                 let _ = to.send(done);
@@ -245,7 +245,7 @@
             Saying::Call { call, word } => self.fleet.tell_call(now, call, word.map(|w| *w)),
             Saying::Sees(seen) => {
                 if let Some(sites) = &mut self.sites {
-                    sites.core.observed(now, self.fleet.peers(), &seen);
+                    sites.core.record_sample(now, self.fleet.peers(), &seen);
                 }
             }
             Saying::Whose { ticket, name, by_leg } => {
@@ -268,11 +268,11 @@
         }
         while let Some(out) = self.sites.as_mut().and_then(|sites| sites.core.next_output()) {
             match out {
-                shalespindle_sites::Out::Send { to, message } => {
+                shalespindle_sites::Output::Send { to, message } => {
                     let frame = self.codec.write_sites(to, self.fleet.life(), message);
                     self.send_frame(to, frame);
                 }
-                shalespindle_sites::Out::Narrow(narrowing) => (self.heard)(Heard::Narrowed(narrowing)),
+                shalespindle_sites::Output::Restrict(narrowing) => (self.heard)(Heard::Narrowed(narrowing)),
                 out => {
                     if let Some(sites) = &self.sites {
                         sites.log(&out);
--- a/crates/peer-service/src/sites.rs
+++ b/crates/peer-service/src/sites.rs
@@ -1,7 +1,7 @@
 //! The sites' core in the hands of the fleet's owner: its turns and its log.
 
 use shalespindle_peers::Peers;
-use shalespindle_sites::{Out, Sites, Stage};
+use shalespindle_sites::{Output, Sites, Stage};
 use tracing::{info, warn};
 
 /// The core, and what bounds its messages.
@@ -13,12 +13,12 @@
 
 impl SitesOwner {
     pub fn turn(&mut self, now: f64, peers: &Peers) {
-        self.core.turn(now, peers, self.fanout, self.bytes);
+        self.core.tick(now, peers, self.fanout, self.bytes);
     }
 
-    pub fn log(&self, out: &Out) {
+    pub fn log(&self, out: &Output) {
         match out {
-            Out::Word { site, from, to, missed, outside } => {
+            Output::RecordChanged { site, from, to, missed, outside } => {
                 let site = self.core.table().site(*site).name.as_str();
                 let (epoch, losses, was) = (to.epoch, to.losses, stage(from.stage));
                 let is = stage(to.stage);
@@ -31,14 +31,14 @@
                     }
                 }
             }
-            Out::CutOff(true) => warn!(
+            Output::CutOff(true) => warn!(
                 target: "shalespindle::sites",
                 "this front hears no more than half of the fleet: it declares nothing and goes by what it sees itself"
             ),
-            Out::CutOff(false) => {
+            Output::CutOff(false) => {
                 info!(target: "shalespindle::sites", "this front hears more than half of the fleet again")
             }
-            Out::Send { .. } | Out::Narrow(_) => {}
+            Output::Send { .. } | Output::Restrict(_) => {}
         }
     }
 }
--- a/crates/peer-wire/tests/frames.rs
+++ b/crates/peer-wire/tests/frames.rs
@@ -9,7 +9,7 @@
 use shalespindle_replica::{
     Fact, Item, Key, Known, LevelWord, Message, Part, PastReach, Reach, ServerWord, Told,
 };
-use shalespindle_sites::{Rumour, Sight, SiteSight, SitesMessage};
+use shalespindle_sites::{Observation, RelayedObservation, SiteObservation, SitesMessage};
 
 const KEY: [u8; 32] = [7; 32];
 const LIFE: Life = Life { number: 1_700_000_000_000, nonce: u64::MAX };
@@ -134,13 +134,13 @@
 #[test]
 fn frames_about_sites_go_in_a_version_of_their_own_that_fronts_of_before_drop() {
     let (mut a, mut b, to) = pair();
-    let sight = Sight {
-        number: 4,
-        sites: vec![SiteSight { listed: 2, reached: 1, stood: 120, wait: 9 }],
-        asked: vec![7],
+    let observation = Observation {
+        sequence: 4,
+        sites: vec![SiteObservation { tried: 2, reached: 1, established: 120, wait_code: 9 }],
+        requested: vec![7],
     };
-    let sights = vec![Rumour { front: 3, life: 8, age: 0.5, sight }];
-    let message = SitesMessage { table: 17, words: Vec::new(), sights };
+    let observations = vec![RelayedObservation { front: 3, incarnation: 8, age: 0.5, observation }];
+    let message = SitesMessage { table_digest: 17, records: Vec::new(), observations };
     let frame = a.write_sites(to, LIFE, message.clone()).unwrap();
     assert_eq!(frame[2], SITES_VERSION);
     assert_eq!(b.read(&frame), Ok((front_id("a"), Body::Sites(message))));
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -10,8 +10,8 @@
 use shalespindle_control::interface::{ColdStart, Deployment, Procedure as ToldProcedure};
 use shalespindle_front::params::FirstChoice;
 use shalespindle_front::Params;
-use shalespindle_levels::{LevelParams, Step};
-use shalespindle_sites::{SitesParams, Table};
+use shalespindle_levels::{LevelParams, LevelStep};
+use shalespindle_sites::{SiteTable, SitesParams};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -460,7 +460,7 @@
     }
 
     /// What the fleet's judging of sites is started with; none where no sites are named.
-    pub fn sites_params(&self) -> Option<(SitesParams, Table)> {
+    pub fn sites_params(&self) -> Option<(SitesParams, SiteTable)> {
         sites::params(&self.sites, &self.site_plan, &self.procedures)
     }
 
@@ -493,26 +493,26 @@
             self.procedures.iter().map(|p| p.latency_target.seconds()).fold(f64::INFINITY, f64::min);
         let longest = self.procedures.iter().map(|p| p.t_timer.seconds()).fold(0.0, f64::max);
         let l = &self.levels;
-        let step = |s: &StepSettings| Step {
-            enter: s.enter,
-            exit: s.exit,
-            floor: s.floor,
-            below: s.below,
-            above: s.above,
+        let step = |s: &StepSettings| LevelStep {
+            entry_pressure: s.enter,
+            exit_pressure: s.exit,
+            min_utility: s.floor,
+            share_below: s.below,
+            share_above: s.above,
         };
         let levels = LevelParams {
             steps: l.steps.iter().map(step).collect(),
-            least_stay: l.least_stay.seconds(),
+            min_stay: l.least_stay.seconds(),
             window: l.window * shortest,
-            evidence: l.evidence,
-            judge_from: l.judge_from,
-            reach: l.reach,
-            leap: l.leap,
-            spread: l.spread,
-            patience: l.patience * l.least_stay.seconds(),
-            pause: l.pause * shortest,
-            longest_pause: self.limits.longest_pause.seconds(),
-            remember: longest,
+            min_evidence: l.evidence,
+            min_judged_utility: l.judge_from,
+            late_redial_fraction: l.reach,
+            skip_pressure: l.leap,
+            jitter: l.spread,
+            max_entry_delay: l.patience * l.least_stay.seconds(),
+            base_pause: l.pause * shortest,
+            max_pause: self.limits.longest_pause.seconds(),
+            redial_memory: longest,
             tenant_shares: self.tenants.iter().map(|t| t.share).collect(),
         };
         Params {
--- a/crates/settings/src/sites.rs
+++ b/crates/settings/src/sites.rs
@@ -11,7 +11,7 @@
 use shalespindle_front::SiteParams;
 use shalespindle_peer_wire::front_id;
 use shalespindle_peers::FrontId;
-use shalespindle_sites::{Class, SiteSpec, SitesFault, SitesParams, Table};
+use shalespindle_sites::{ProcedureClass, SiteSpec, SiteTable, SitesError, SitesParams};
 
 /// A named group of fronts and servers that can be lost together.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, JsonSchema)]
@@ -105,19 +105,19 @@
 const SIGHTS: f64 = 6.0;
 
 /// The table that settings come to.
-pub(crate) fn table(sites: &[SiteSettings]) -> Result<Table, SitesFault> {
+pub(crate) fn table(sites: &[SiteSettings]) -> Result<SiteTable, SitesError> {
     let spec = |site: &SiteSettings| SiteSpec {
         name: site.name.clone(),
         fronts: site.fronts.iter().map(|name| front_id(name)).collect(),
         pools: site.pools.clone(),
         networks: site.networks.clone(),
-        bears: site.bears,
+        capacity: site.bears,
     };
     let name = |front: FrontId| {
         let mut names = sites.iter().flat_map(|s| &s.fronts);
         names.find(|n| front_id(n) == front).cloned().unwrap_or_default()
     };
-    Table::new(sites.iter().map(spec).collect(), name)
+    SiteTable::new(sites.iter().map(spec).collect(), name)
 }
 
 /// Each fault of the sites with its key; its text says what to do.
@@ -139,7 +139,7 @@
     for (place, site) in sites.iter().enumerate() {
         let known = |name: &String| *name == fleet.name || fleet.peers.iter().any(|p| p.name == *name);
         if let Some(front) = site.fronts.iter().find(|name| !known(name)) {
-            let fault = SitesFault::StrangeFront { front: front.clone(), site: site.name.clone() };
+            let fault = SitesError::UnknownFront { front: front.clone(), site: site.name.clone() };
             faults.push((format!("sites[{place}].fronts"), said(&fault)));
         }
     }
@@ -159,7 +159,7 @@
 }
 
 /// What is wrong and what to do, in one line.
-fn said(fault: &SitesFault) -> String {
+fn said(fault: &SitesError) -> String {
     match fault.help() {
         Some(help) => format!("{fault}: {help}"),
         None => fault.to_string(),
@@ -171,9 +171,9 @@
     sites: &[SiteSettings],
     plan: &SitePlanSettings,
     procedures: &[ProcedureSettings],
-) -> Option<(SitesParams, Table)> {
+) -> Option<(SitesParams, SiteTable)> {
     let table = table(sites).ok().filter(|table| !table.is_empty())?;
-    let class = |p: &ProcedureSettings| Class {
+    let class = |p: &ProcedureSettings| ProcedureClass {
         utility: p.utility,
         late_share: p.late_share,
         work: p.work,
@@ -182,19 +182,19 @@
     let every = plan.every.seconds();
     let params = SitesParams {
         classes: procedures.iter().map(class).collect(),
-        every,
-        sight_for: SIGHTS * every,
+        observation_interval: every,
+        observation_lifetime: SIGHTS * every,
         lost_after: plan.lost_after.seconds(),
         return_after: plan.return_after.seconds(),
-        return_longest: plan.return_longest.seconds(),
+        max_return_after: plan.return_longest.seconds(),
         forget_after: plan.forget_after.seconds(),
-        step_stay: plan.step_stay.seconds(),
-        steps: plan.steps.clone(),
+        min_step_duration: plan.step_stay.seconds(),
+        return_steps: plan.steps.clone(),
         busy_wait: plan.busy_wait.seconds(),
-        margin: plan.margin,
+        capacity_margin: plan.margin,
         floor: plan.floor,
-        refuses: plan.refuses,
-        longest_order: LONGEST_ORDER,
+        enforce_plan: plan.refuses,
+        max_order_duration: LONGEST_ORDER,
     };
     Some((params, table))
 }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -135,7 +135,7 @@
     let good =
         with_sites(&(north() + &site("south", "\"f1\"", "networks = [\"10.1.0.0/16\"]\nbears = 40.0")));
     let (_, table) = parse("front.toml", &good).unwrap().sites_params().unwrap();
-    assert_eq!((table.len(), table.of_server(7, Some([10, 1, 2, 3].into()))), (2, Some(1)));
+    assert_eq!((table.len(), table.site_of_server(7, Some([10, 1, 2, 3].into()))), (2, Some(1)));
     assert!(parse("front.toml", GOOD).unwrap().sites_params().is_none());
     let rows = [
         (site("south", "\"f0\"", "pools = [1]"), "sites", "leave it in the `fronts`"),
--- a/crates/sites/src/word.rs
+++ b/crates/sites/src/record.rs
@@ -1,4 +1,4 @@
-//! What has been found of a site, and how words of two fronts meet.
+//! What has been found of a site, and how records of two fronts meet.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,13 +11,13 @@
         step: u8,
     },
     Lost,
-    /// By an operator's word.
+    /// By an operator's record.
     KeptOut,
 }
 
 impl Stage {
     /// The more careful of two stages of one epoch counts.
-    fn care(self) -> (u8, u8) {
+    fn precedence(self) -> (u8, u8) {
         match self {
             Stage::Up => (0, 0),
             // An earlier step lets fewer in.
@@ -28,9 +28,9 @@
     }
 }
 
-/// The word that counts of a site. Times are seconds on the host's clock; ages cross between fronts.
+/// The record that counts of a site. Times are seconds on the host's clock; ages cross between fronts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Word {
+pub struct SiteRecord {
     /// Grows with each change.
     pub epoch: u64,
     pub stage: Stage,
@@ -42,23 +42,23 @@
     pub held_until: Option<f64>,
 }
 
-impl Word {
-    pub fn first(now: f64) -> Word {
-        Word { epoch: 0, stage: Stage::Up, losses: 0, since: now, held_until: None }
+impl SiteRecord {
+    pub fn initial(now: f64) -> SiteRecord {
+        SiteRecord { epoch: 0, stage: Stage::Up, losses: 0, since: now, held_until: None }
     }
 
     fn rank(&self) -> (u64, (u8, u8), u8) {
-        (self.epoch, self.stage.care(), self.losses)
+        (self.epoch, self.stage.precedence(), self.losses)
     }
 
-    /// Takes the other's word where it goes before this one; true where it changed. A join: any order of words, any
-    /// word twice, comes to the same.
-    pub fn meet(&mut self, other: &Word) -> bool {
+    /// Takes the other's record where it goes before this one; true where it changed. A join: any order of records, any
+    /// record twice, comes to the same.
+    pub fn merge(&mut self, other: &SiteRecord) -> bool {
         if other.rank() < self.rank() {
             return false;
         }
         if other.rank() == self.rank() {
-            // Of one word the longer hold, the earlier moment: what is known of its age only grows.
+            // Of one record the longer hold, the earlier moment: what is known of its age only grows.
             let held = match (self.held_until, other.held_until) {
                 (Some(a), Some(b)) => Some(a.max(b)),
                 (a, b) => a.or(b),
@@ -71,9 +71,9 @@
         new
     }
 
-    /// The next word, written here.
-    pub fn next(&self, now: f64, stage: Stage) -> Word {
-        Word { epoch: self.epoch + 1, stage, losses: self.losses, since: now, held_until: None }
+    /// The next record, written here.
+    pub fn successor(&self, now: f64, stage: Stage) -> SiteRecord {
+        SiteRecord { epoch: self.epoch + 1, stage, losses: self.losses, since: now, held_until: None }
     }
 
     pub fn is_held(&self, now: f64) -> bool {
--- a/crates/sites/src/table.rs
+++ b/crates/sites/src/table.rs
@@ -1,65 +1,65 @@
 //! Which front and which server is of which site.
 
-use crate::fault::SitesFault;
+use crate::error::SitesError;
 use crate::params::SiteSpec;
 use shalespindle_peers::FrontId;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// Sites at most: words on all of them fit into every message.
-pub const MOST_SITES: usize = 64;
+/// Sites at most: records on all of them fit into every message.
+pub const MAX_SITES: usize = 64;
 
 /// The table of sites, checked.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct SiteTable {
     sites: Vec<SiteSpec>,
     by_front: BTreeMap<FrontId, usize>,
     by_pool: BTreeMap<u16, usize>,
     digest: u64,
 }
 
-impl Table {
+impl SiteTable {
     /// `name` gives a front its name in faults.
-    pub fn new(sites: Vec<SiteSpec>, name: impl Fn(FrontId) -> String) -> Result<Table, SitesFault> {
-        if sites.len() > MOST_SITES {
-            return Err(SitesFault::TooMany { count: sites.len(), most: MOST_SITES });
+    pub fn new(sites: Vec<SiteSpec>, name: impl Fn(FrontId) -> String) -> Result<SiteTable, SitesError> {
+        if sites.len() > MAX_SITES {
+            return Err(SitesError::TooManySites { count: sites.len(), most: MAX_SITES });
         }
         let (mut by_front, mut by_pool) = (BTreeMap::new(), BTreeMap::new());
         for (place, site) in sites.iter().enumerate() {
             if sites[..place].iter().any(|other| other.name == site.name) {
-                return Err(SitesFault::NameTwice { name: site.name.clone() });
+                return Err(SitesError::DuplicateName { name: site.name.clone() });
             }
             if site.pools.is_empty() && site.networks.is_empty() {
-                return Err(SitesFault::NoServers { name: site.name.clone() });
+                return Err(SitesError::NoServers { name: site.name.clone() });
             }
-            let named = |first: usize| (sites[first].name.clone(), site.name.clone());
+            let names = |first: usize| (sites[first].name.clone(), site.name.clone());
             for front in &site.fronts {
                 if let Some(first) = by_front.insert(*front, place) {
-                    let (first, second) = named(first);
-                    return Err(SitesFault::FrontTwice { front: name(*front), first, second });
+                    let (first, second) = names(first);
+                    return Err(SitesError::DuplicateFront { front: name(*front), first, second });
                 }
             }
             for pool in &site.pools {
                 if let Some(first) = by_pool.insert(*pool, place) {
-                    let (first, second) = named(first);
-                    return Err(SitesFault::PoolTwice { pool: *pool, first, second });
+                    let (first, second) = names(first);
+                    return Err(SitesError::DuplicatePool { pool: *pool, first, second });
                 }
             }
             for (first, other) in sites[..place].iter().enumerate() {
-                let meet = |a: &&ipnet::IpNet| {
+                let overlaps = |a: &&ipnet::IpNet| {
                     other.networks.iter().any(|b| a.contains(&b.network()) || b.contains(&a.network()))
                 };
-                if let Some(one) = site.networks.iter().find(meet) {
+                if let Some(one) = site.networks.iter().find(overlaps) {
                     let both = |b: &&ipnet::IpNet| one.contains(&b.network()) || b.contains(&one.network());
                     let met = other.networks.iter().find(both).map(ToString::to_string);
-                    let (first, second) = named(first);
+                    let (first, second) = names(first);
                     let (one, other) = (met.unwrap_or_default(), one.to_string());
-                    return Err(SitesFault::NetworksMeet { one, first, other, second });
+                    return Err(SitesError::OverlappingNetworks { one, first, other, second });
                 }
             }
         }
         let digest = digest(&sites);
-        Ok(Table { sites, by_front, by_pool, digest })
+        Ok(SiteTable { sites, by_front, by_pool, digest })
     }
 
     pub fn len(&self) -> usize {
@@ -78,19 +78,19 @@
         &self.sites
     }
 
-    pub fn named(&self, name: &str) -> Result<usize, SitesFault> {
+    pub fn index_of(&self, name: &str) -> Result<usize, SitesError> {
         let known = || self.sites.iter().map(|s| s.name.as_str()).collect::<Vec<_>>().join(", ");
         let place = self.sites.iter().position(|s| s.name == name);
-        place.ok_or_else(|| SitesFault::Unknown { name: name.into(), known: known() })
+        place.ok_or_else(|| SitesError::UnknownSite { name: name.into(), known: known() })
     }
 
     /// Where a front stands; none: in no site.
-    pub fn of_front(&self, front: FrontId) -> Option<usize> {
+    pub fn site_of_front(&self, front: FrontId) -> Option<usize> {
         self.by_front.get(&front).copied()
     }
 
     /// Where a server stands; none: in no site, so that it is never narrowed.
-    pub fn of_server(&self, pool: u16, address: Option<IpAddr>) -> Option<usize> {
+    pub fn site_of_server(&self, pool: u16, address: Option<IpAddr>) -> Option<usize> {
         let by_network = || {
             let address = address?;
             self.sites.iter().position(|s| s.networks.iter().any(|n| n.contains(&address)))
--- a/crates/sites/tests/common/mod.rs
+++ b/crates/sites/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! Fronts in sites under virtual time: their beats and words on sites over a network with faults, their servers behind
+//! Fronts in sites under virtual time: their beats and records on sites over a network with faults, their servers behind
 //! links that can be cut.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_peers::{FrontId, Life, Peers, PeersParams, Word as PeerWord};
 use shalespindle_sites::{
-    Class, Narrowing, Observed, ObservedServer, Order, Out, SiteSpec, Sites, SitesMessage, SitesParams,
-    Stage, Table,
+    Order, Output, ProcedureClass, Restrictions, Sample, ServerSample, SiteSpec, SiteTable, Sites,
+    SitesMessage, SitesParams, Stage,
 };
 use shalespindle_timeline::Timeline;
 use std::collections::BTreeSet;
@@ -17,8 +17,8 @@
 pub struct Front {
     pub peers: Peers,
     pub sites: Sites,
-    pub narrowing: Narrowing,
-    pub life: u64,
+    pub restrictions: Restrictions,
+    pub incarnation: u64,
 }
 
 enum Frame {
@@ -45,8 +45,8 @@
     pub loss: f64,
     pub double: f64,
     pub delay: f64,
-    /// Attaches a second that each front is asked.
-    pub asked: Vec<f64>,
+    /// Attaches a second that each front is requested.
+    pub requested: Vec<f64>,
     /// Falls of servers so far, by site, and the wait that they tell.
     pub falls: Vec<u64>,
     pub waits: Vec<f64>,
@@ -54,15 +54,15 @@
     pub rng: ChaCha8Rng,
     pub timeline: Timeline,
     pub params: SitesParams,
-    table: Table,
+    table: SiteTable,
 }
 
 pub fn id(front: usize) -> FrontId {
     FrontId(1000 + front as u64)
 }
 
-pub fn class(utility: f64) -> Class {
-    Class { utility, late_share: 0.25, work: 1.0, repeatable: true }
+pub fn class(utility: f64) -> ProcedureClass {
+    ProcedureClass { utility, late_share: 0.25, work: 1.0, repeatable: true }
 }
 
 /// So many fronts in each site.
@@ -79,10 +79,10 @@
         fronts: (0..home.len()).filter(|f| home[*f] == site).map(id).collect(),
         pools: (0..SERVERS).map(|n| (site * SERVERS + n) as u16).collect(),
         networks: Vec::new(),
-        bears: Some(100.0),
+        capacity: Some(100.0),
     };
     let specs: Vec<SiteSpec> = sites.iter().enumerate().map(spec).collect();
-    let params = SitesParams::beating(EVERY, vec![class(1.0), class(0.2)]);
+    let params = SitesParams::from_heartbeat_interval(EVERY, vec![class(1.0), class(0.2)]);
     let count = home.len();
     let mut world = World {
         now: 0.0,
@@ -97,14 +97,14 @@
         loss: 0.0,
         double: 0.0,
         delay: 0.02,
-        asked: vec![1.0; count],
+        requested: vec![1.0; count],
         falls: vec![0; sites.len()],
         waits: vec![0.0; sites.len()],
         counted: vec![0.0; count],
         rng: ChaCha8Rng::seed_from_u64(seed),
         timeline: Timeline::new(names, 1.0),
         params,
-        table: Table::new(specs, |f| f.0.to_string()).unwrap(),
+        table: SiteTable::new(specs, |f| f.0.to_string()).unwrap(),
         home,
     };
     (0..count).for_each(|front| world.start(front));
@@ -119,7 +119,8 @@
         let peers = Peers::new(PeersParams::beating(EVERY), id(front), life, &listed, front as u64, begin);
         let table = self.table.clone();
         let sites = Sites::new(self.params.clone(), table, id(front), front as u64, begin);
-        self.fronts[front] = Some(Front { peers, sites, narrowing: Narrowing::default(), life: life.number });
+        self.fronts[front] =
+            Some(Front { peers, sites, restrictions: Restrictions::default(), incarnation: life.number });
         self.counted[front] = 0.0;
     }
 
@@ -153,21 +154,21 @@
         self.unreached.clear();
     }
 
-    fn observed(&self, front: usize) -> Observed {
+    fn record_sample(&self, front: usize) -> Sample {
         let servers = (0..self.names.len()).flat_map(|site| {
             let reached = self.servers_up[site] && !self.unreached.contains(&(front, site));
             let (falls, wait) = (self.falls[site], self.waits[site]);
-            (0..SERVERS).map(move |n| ObservedServer {
+            (0..SERVERS).map(move |n| ServerSample {
                 pool: (site * SERVERS + n) as u16,
                 address: [10, site as u8, 0, n as u8].into(),
                 reached: Some(reached),
-                stood: 0,
-                cuts: if n == 0 { falls } else { 0 },
+                established: 0,
+                disconnects: if n == 0 { falls } else { 0 },
                 wait: Some(wait),
             })
         });
-        let asked = self.counted[front] as u64;
-        Observed { servers: servers.collect(), asked: vec![asked, asked / 2] }
+        let requested = self.counted[front] as u64;
+        Sample { servers: servers.collect(), requested: vec![requested, requested / 2] }
     }
 
     pub fn step(&mut self) {
@@ -182,42 +183,42 @@
                 continue;
             };
             match frame {
-                Frame::Beat(words) => words.into_iter().for_each(|w| front.peers.hear(now, w)),
-                Frame::Sites(from, message) if !old => front.sites.heard(now, &front.peers, from, message),
+                Frame::Beat(records) => records.into_iter().for_each(|w| front.peers.hear(now, w)),
+                Frame::Sites(from, message) if !old => front.sites.receive(now, &front.peers, from, message),
                 Frame::Sites(..) => {}
             }
         }
         for at in 0..self.fronts.len() {
-            self.counted[at] += self.asked[at] * EVERY / 10.0;
+            self.counted[at] += self.requested[at] * EVERY / 10.0;
             if self.stopped.contains(&at) {
                 continue;
             }
-            let seen = self.observed(at);
+            let seen = self.record_sample(at);
             let old = self.old.contains(&at);
             let Some(front) = &mut self.fronts[at] else { continue };
             let mut sent: Vec<(FrontId, Frame)> = Vec::new();
             if front.peers.turn(now) {
-                let words = front.peers.words();
+                let records = front.peers.words();
                 let targets = front.peers.targets();
-                sent.extend(targets.into_iter().map(|to| (to, Frame::Beat(words.clone()))));
+                sent.extend(targets.into_iter().map(|to| (to, Frame::Beat(records.clone()))));
             }
             while front.peers.next_change().is_some() {}
             if !old {
-                if now >= front.sites.observes_at() {
-                    front.sites.observed(now, &front.peers, &seen);
+                if now >= front.sites.next_sample_at() {
+                    front.sites.record_sample(now, &front.peers, &seen);
                 }
-                front.sites.turn(now, &front.peers, 3, 1200);
+                front.sites.tick(now, &front.peers, 3, 1200);
             }
             let mut said = Vec::new();
             while let Some(out) = front.sites.next_output() {
                 match out {
-                    Out::Send { to, message } => sent.push((to, Frame::Sites(id(at), message))),
-                    Out::Narrow(narrowing) => front.narrowing = narrowing,
-                    Out::Word { site, to, .. } => {
-                        said.push(format!("{} {}", self.names[site], words(to.stage)))
+                    Output::Send { to, message } => sent.push((to, Frame::Sites(id(at), message))),
+                    Output::Restrict(restrictions) => front.restrictions = restrictions,
+                    Output::RecordChanged { site, to, .. } => {
+                        said.push(format!("{} {}", self.names[site], records(to.stage)))
                     }
-                    Out::CutOff(true) => said.push("cut off".into()),
-                    Out::CutOff(false) => said.push("hears most".into()),
+                    Output::CutOff(true) => said.push("cut off".into()),
+                    Output::CutOff(false) => said.push("hears most".into()),
                 }
             }
             said.into_iter().for_each(|what| self.timeline.add(now, at, what));
@@ -228,7 +229,7 @@
                     let lost = self.cut.contains(&(at, to)) || self.rng.random::<f64>() < self.loss;
                     let due = now + self.delay * (0.5 + self.rng.random::<f64>());
                     let copy = match &frame {
-                        Frame::Beat(words) => Frame::Beat(words.clone()),
+                        Frame::Beat(records) => Frame::Beat(records.clone()),
                         Frame::Sites(from, message) => Frame::Sites(*from, message.clone()),
                     };
                     if !lost {
@@ -257,7 +258,7 @@
     }
 
     pub fn stage(&self, front: usize, site: usize) -> Option<Stage> {
-        self.fronts[front].as_ref().map(|f| f.sites.word(site).stage)
+        self.fronts[front].as_ref().map(|f| f.sites.record(site).stage)
     }
 
     /// All fronts that run hold that stage of a site.
@@ -271,7 +272,7 @@
     }
 }
 
-pub fn words(stage: Stage) -> String {
+pub fn records(stage: Stage) -> String {
     match stage {
         Stage::Up => "up".into(),
         Stage::Returning { step } => format!("returns, step {step}"),
--- a/crates/sites/tests/judging.rs
+++ b/crates/sites/tests/judging.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{world, World, EVERY};
-use shalespindle_sites::{Order, Stage, Verdict};
+use shalespindle_sites::{Order, SiteState, Stage};
 
-/// More than it takes to declare a loss: the cores' own times and the way of a word through the fleet.
+/// More than it takes to declare a loss: the cores' own times and the way of a record through the fleet.
 const SOON: f64 = 30.0 * EVERY;
 
 fn three(seed: u64) -> World {
@@ -16,9 +16,9 @@
     world
 }
 
-fn verdict(world: &World, front: usize, site: usize) -> Verdict {
+fn state(world: &World, front: usize, site: usize) -> SiteState {
     let front = world.fronts[front].as_ref().unwrap();
-    front.sites.status(world.now, &front.peers).sites[site].verdict
+    front.sites.status(world.now, &front.peers).sites[site].state
 }
 
 #[test]
@@ -31,7 +31,7 @@
     world.timeline.world(world.now, "north dies");
     world.until("the loss", SOON, |w| w.all_say(0, Stage::Lost));
     world.pass(EVERY);
-    assert!(world.fronts.iter().flatten().all(|f| f.narrowing.out == [(0, false)]));
+    assert!(world.fronts.iter().flatten().all(|f| f.restrictions.excluded == [(0, false)]));
     world.timeline.world(world.now, "north is back");
     world.servers_up[0] = true;
     for front in world.of_site(0) {
@@ -43,7 +43,7 @@
         .fronts
         .iter()
         .flatten()
-        .all(|f| f.narrowing.out.is_empty() && f.narrowing.parts.is_empty()));
+        .all(|f| f.restrictions.excluded.is_empty() && f.restrictions.rate_limits.is_empty()));
     insta::assert_snapshot!("loss_and_return_of_a_site", world.timeline.to_string());
 }
 
@@ -53,8 +53,8 @@
     world.servers_up[0] = false;
     world.until("the loss", SOON, |w| w.all_say(0, Stage::Lost));
     // Its own fronts live; they go by what they see themselves.
-    let narrowing = &world.fronts[0].as_ref().unwrap().narrowing;
-    assert!(narrowing.out.is_empty(), "{narrowing:?}");
+    let restrictions = &world.fronts[0].as_ref().unwrap().restrictions;
+    assert!(restrictions.excluded.is_empty(), "{restrictions:?}");
     let mut world = three(3);
     for front in world.of_site(0) {
         world.kill(front);
@@ -63,7 +63,7 @@
     assert!(world.all_say(0, Stage::Up), "its servers are still of use: {}", world.timeline);
     let front = world.fronts[2].as_ref().unwrap();
     let north = &front.sites.status(world.now, &front.peers).sites[0];
-    assert_eq!((north.fronts, north.fronts_heard), (2, 0));
+    assert_eq!((north.fronts, north.fronts_alive), (2, 0));
 }
 
 #[test]
@@ -78,8 +78,8 @@
     world.pass(2.0 * SOON);
     for front in 0..6 {
         assert_eq!(
-            (verdict(&world, front, 0), verdict(&world, front, 1)),
-            (Verdict::Doubtful, Verdict::Doubtful)
+            (state(&world, front, 0), state(&world, front, 1)),
+            (SiteState::Doubtful, SiteState::Doubtful)
         );
     }
     assert!((0..3).all(|site| world.all_say(site, Stage::Up)), "{}", world.timeline);
@@ -94,8 +94,8 @@
     world.pass(SOON);
     for front in 0..2 {
         assert!((0..3).all(|site| world.stage(front, site) == Some(Stage::Up)), "{}", world.timeline);
-        assert_eq!(verdict(&world, front, 1), Verdict::CutOff);
-        assert!(world.fronts[front].as_ref().unwrap().narrowing.out.is_empty());
+        assert_eq!(state(&world, front, 1), SiteState::CutOff);
+        assert!(world.fronts[front].as_ref().unwrap().restrictions.excluded.is_empty());
     }
     world.heal();
     world.timeline.world(world.now, "the cut heals");
@@ -110,7 +110,7 @@
     world.cut_off(&[0]);
     world.pass(3.0 * SOON);
     assert!((0..2).all(|site| world.all_say(site, Stage::Up)), "{}", world.timeline);
-    assert!((0..6).all(|front| verdict(&world, front, 0) == Verdict::CutOff));
+    assert!((0..6).all(|front| state(&world, front, 0) == SiteState::CutOff));
 }
 
 #[test]
@@ -173,7 +173,7 @@
     world.servers_up[0] = true;
     world.until("the first step", 120.0, |w| w.all_say(0, Stage::Returning { step: 1 }));
     world.waits[0] = 2.0 * world.params.busy_wait;
-    world.pass(20.0 * world.params.step_stay);
+    world.pass(20.0 * world.params.min_step_duration);
     assert!(world.all_say(0, Stage::Returning { step: 1 }), "{}", world.timeline);
     world.waits[0] = 0.0;
     world.until("the return", 120.0, |w| w.all_say(0, Stage::Up));
@@ -185,7 +185,10 @@
     world.order(2, "north", Order::KeepOut, 20.0);
     world.until("the order everywhere", 5.0 * EVERY, |w| w.all_say(0, Stage::KeptOut));
     world.pass(EVERY);
-    assert!(world.fronts.iter().flatten().all(|f| f.narrowing.out == [(0, true)]), "its own fronts too");
+    assert!(
+        world.fronts.iter().flatten().all(|f| f.restrictions.excluded == [(0, true)]),
+        "its own fronts too"
+    );
     world.pass(10.0);
     // One that starts anew hears of it.
     world.kill(5);
@@ -193,7 +196,7 @@
     world.until("the front that starts anew", 10.0 * EVERY, |w| w.all_say(0, Stage::KeptOut));
     world.pass(8.0);
     world.until("its end", 60.0, |w| w.all_say(0, Stage::Up));
-    // Lost by an operator's word, and let back by one.
+    // Lost by an operator's record, and let back by one.
     world.order(0, "south", Order::Lost, 600.0);
     world.until("the order everywhere", 5.0 * EVERY, |w| w.all_say(1, Stage::Lost));
     world.pass(20.0);
@@ -203,7 +206,7 @@
 }
 
 /// Random faults over processes, seed 21: a front had just started when it was told that a kept out site may return. It
-/// had not heard that the site was kept out, said so in the same epoch, and the more careful word undid the order.
+/// had not heard that the site was kept out, said so in the same epoch, and the more careful record undid the order.
 #[test]
 fn an_order_at_a_front_that_has_just_started_counts_against_words_of_before_it() {
     let mut world = three(14);
@@ -249,11 +252,11 @@
     world.until("the loss", SOON, |w| (0..4).all(|f| w.stage(f, 0) == Some(Stage::Lost)));
     world.servers_up[0] = true;
     world.until("the return", 120.0, |w| (0..4).all(|f| w.stage(f, 0) == Some(Stage::Up)));
-    let epoch = world.fronts[0].as_ref().unwrap().sites.word(0).epoch;
+    let epoch = world.fronts[0].as_ref().unwrap().sites.record(0).epoch;
     world.stopped.clear();
     world.pass(20.0 * EVERY);
     assert!(world.all_say(0, Stage::Up), "{}", world.timeline);
-    assert!(world.fronts.iter().flatten().all(|f| f.sites.word(0).epoch == epoch), "{}", world.timeline);
+    assert!(world.fronts.iter().flatten().all(|f| f.sites.record(0).epoch == epoch), "{}", world.timeline);
 }
 
 #[test]
--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -7,13 +7,13 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_peers::FrontId;
-use shalespindle_sites::{plan, Class, Demand, Held, Stage, Word};
+use shalespindle_sites::{plan, Demand, ProcedureClass, SiteCapacity, SiteRecord, Stage};
 
-fn classes() -> Vec<Class> {
+fn classes() -> Vec<ProcedureClass> {
     vec![
-        Class { utility: 0.2, late_share: 0.5, work: 1.0, repeatable: true },
-        Class { utility: 1.0, late_share: 0.5, work: 4.0, repeatable: true },
-        Class { utility: 1.0, late_share: 0.5, work: 2.0, repeatable: false },
+        ProcedureClass { utility: 0.2, late_share: 0.5, work: 1.0, repeatable: true },
+        ProcedureClass { utility: 1.0, late_share: 0.5, work: 4.0, repeatable: true },
+        ProcedureClass { utility: 1.0, late_share: 0.5, work: 2.0, repeatable: false },
     ]
 }
 
@@ -38,31 +38,31 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
         let count = rng.random_range(1..6);
-        let class = |rng: &mut ChaCha8Rng| Class {
+        let class = |rng: &mut ChaCha8Rng| ProcedureClass {
             utility: rng.random_range(0.0..2.0),
             late_share: rng.random(),
             work: rng.random_range(0.1..5.0),
             repeatable: rng.random(),
         };
-        let classes: Vec<Class> = (0..count).map(|_| class(&mut rng)).collect();
+        let classes: Vec<ProcedureClass> = (0..count).map(|_| class(&mut rng)).collect();
         let demand: Vec<f64> = (0..count).map(|_| rng.random_range(0.0..50.0)).collect();
-        let (floor, bears) = (rng.random(), rng.random_range(0.0..300.0));
-        let parts = plan(&classes, floor, bears, &demand);
+        let (floor, capacity) = (rng.random(), rng.random_range(0.0..300.0));
+        let parts = plan(&classes, floor, capacity, &demand);
         let promised: f64 = (0..count).map(|c| parts.shares[c] * demand[c] * classes[c].work).sum();
-        assert!(promised <= bears * (1.0 + 1e-9), "{promised} of {bears}");
-        let least = floor.min(if parts.needs > 0.0 { bears / parts.needs } else { 1.0 });
+        assert!(promised <= capacity * (1.0 + 1e-9), "{promised} of {capacity}");
+        let least = floor.min(if parts.required > 0.0 { capacity / parts.required } else { 1.0 });
         assert!(parts.shares.iter().all(|s| *s >= least - 1e-9 && *s <= 1.0 + 1e-9), "{parts:?}");
         if parts.refuses() {
-            assert!(promised >= bears * (1.0 - 1e-9), "nothing is left over: {promised} of {bears}");
+            assert!(promised >= capacity * (1.0 - 1e-9), "nothing is left over: {promised} of {capacity}");
         }
     }
 }
 
 /// Each front knows its own demand and four fifths of the others': what all of them take together, beside what is borne.
 fn promised(fronts: usize, spread: f64, rng: &mut ChaCha8Rng) -> f64 {
-    let classes = [Class { utility: 1.0, late_share: 0.0, work: 1.0, repeatable: true }];
-    let asked: Vec<f64> = (0..fronts).map(|_| spread.powf(rng.random_range(-1.0..1.0))).collect();
-    let bears = 0.7 * asked.iter().sum::<f64>();
+    let classes = [ProcedureClass { utility: 1.0, late_share: 0.0, work: 1.0, repeatable: true }];
+    let requested: Vec<f64> = (0..fronts).map(|_| spread.powf(rng.random_range(-1.0..1.0))).collect();
+    let capacity = 0.7 * requested.iter().sum::<f64>();
     let mut sum = 0.0;
     for own in 0..fronts {
         let mut others: Vec<usize> = (0..fronts).filter(|f| *f != own).collect();
@@ -70,11 +70,11 @@
         let missing = others.len() / 5;
         let known = others[missing..].iter().chain([&own]);
         let demand =
-            Demand { known: known.map(|f| (FrontId(*f as u64), vec![asked[*f]])).collect(), missing };
-        let parts = plan(&classes, 0.0, 0.95 * bears, &demand.whole(1));
-        sum += parts.shares[0] * asked[own];
+            Demand { known: known.map(|f| (FrontId(*f as u64), vec![requested[*f]])).collect(), missing };
+        let parts = plan(&classes, 0.0, 0.95 * capacity, &demand.total_by_class(1));
+        sum += parts.shares[0] * requested[own];
     }
-    sum / bears
+    sum / capacity
 }
 
 #[test]
@@ -91,51 +91,51 @@
 
 #[test]
 fn what_a_site_bears_is_learned_when_it_is_full_and_grows_while_it_is_not() {
-    let mut held = Held::default();
-    held.seen(50.0, Some(0.0), 0.3, true);
-    assert_eq!(held.bears, None, "a site that was never full is of unknown size");
-    held.seen(80.0, Some(0.4), 0.3, false);
-    assert_eq!(held.bears, Some(80.0));
-    (0..20).for_each(|_| held.seen(60.0, Some(0.5), 0.3, false));
-    assert!((held.bears.unwrap() - 60.0).abs() < 1.0, "slower now: {held:?}");
-    let before = held.bears.unwrap();
-    held.seen(55.0, Some(0.1), 0.3, false);
-    assert_eq!(held.bears, Some(before), "nobody is refused: nothing is tried");
-    (0..5).for_each(|_| held.seen(55.0, Some(0.1), 0.3, true));
-    assert!(held.bears.unwrap() > 1.2 * before);
+    let mut held = SiteCapacity::default();
+    held.update(50.0, Some(0.0), 0.3, true);
+    assert_eq!(held.capacity, None, "a site that was never full is of unknown size");
+    held.update(80.0, Some(0.4), 0.3, false);
+    assert_eq!(held.capacity, Some(80.0));
+    (0..20).for_each(|_| held.update(60.0, Some(0.5), 0.3, false));
+    assert!((held.capacity.unwrap() - 60.0).abs() < 1.0, "slower now: {held:?}");
+    let before = held.capacity.unwrap();
+    held.update(55.0, Some(0.1), 0.3, false);
+    assert_eq!(held.capacity, Some(before), "nobody is refused: nothing is tried");
+    (0..5).for_each(|_| held.update(55.0, Some(0.1), 0.3, true));
+    assert!(held.capacity.unwrap() > 1.2 * before);
 }
 
 #[test]
 fn words_of_one_site_meet_in_one_word_whatever_their_order() {
     let stages =
         [Stage::Up, Stage::Returning { step: 0 }, Stage::Returning { step: 3 }, Stage::Lost, Stage::KeptOut];
-    let mut words = Vec::new();
+    let mut records = Vec::new();
     for epoch in 0..3 {
         for stage in stages {
             for losses in 0..2 {
-                words.push(Word { epoch, stage, losses, since: 5.0, held_until: None });
+                records.push(SiteRecord { epoch, stage, losses, since: 5.0, held_until: None });
             }
         }
     }
-    let meet = |a: &Word, b: &Word| {
-        let mut word = *a;
-        word.meet(b);
-        word
+    let merge = |a: &SiteRecord, b: &SiteRecord| {
+        let mut record = *a;
+        record.merge(b);
+        record
     };
-    for a in &words {
-        assert_eq!(meet(a, a), *a);
-        for b in &words {
-            assert_eq!(meet(a, b), meet(b, a));
-            for c in &words {
-                assert_eq!(meet(&meet(a, b), c), meet(a, &meet(b, c)));
+    for a in &records {
+        assert_eq!(merge(a, a), *a);
+        for b in &records {
+            assert_eq!(merge(a, b), merge(b, a));
+            for c in &records {
+                assert_eq!(merge(&merge(a, b), c), merge(a, &merge(b, c)));
             }
         }
     }
     // The more careful of equals: an operator's over the fleet's, the loss over the return, the earlier step.
-    let of = |stage| Word { epoch: 4, stage, losses: 0, since: 5.0, held_until: None };
-    assert_eq!(meet(&of(Stage::Lost), &of(Stage::KeptOut)).stage, Stage::KeptOut);
+    let of = |stage| SiteRecord { epoch: 4, stage, losses: 0, since: 5.0, held_until: None };
+    assert_eq!(merge(&of(Stage::Lost), &of(Stage::KeptOut)).stage, Stage::KeptOut);
     assert_eq!(
-        meet(&of(Stage::Returning { step: 0 }), &of(Stage::Returning { step: 1 })).stage,
+        merge(&of(Stage::Returning { step: 0 }), &of(Stage::Returning { step: 1 })).stage,
         Stage::Returning { step: 0 }
     );
 }
--- a/crates/transport/src/answers.rs
+++ b/crates/transport/src/answers.rs
@@ -55,11 +55,11 @@
         level: status.level,
         deepest,
         seconds: now - status.since,
-        why: status.why.to_string(),
+        why: status.reason.to_string(),
         takes,
         pressure: status.pressure,
         pinned_for: status.pin.map(|pin| pin.until - now),
-        taken: status.taken,
+        taken: status.admitted,
         refused: status.refused,
         changes: status.changes,
     });
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -5,14 +5,14 @@
 use shalespindle_peer_service::{Fronts, Keep, Saying, Start};
 use shalespindle_replica::ServerWord;
 use shalespindle_settings::{read_key, FleetSettings};
-use shalespindle_sites::{SitesParams, Table};
+use shalespindle_sites::{SiteTable, SitesParams};
 use shalespindle_sockets::{Ground, Mailbox};
 use std::io;
 
 /// Opens the socket between fronts; what others make known goes to the front's owner.
 pub(crate) fn fronts(
     settings: &FleetSettings,
-    sites: Option<(SitesParams, Table)>,
+    sites: Option<(SitesParams, SiteTable)>,
     seed: u64,
     ground: Ground,
     to: Mailbox<Letter>,
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -11,7 +11,7 @@
 use shalespindle_front::{Event, Front};
 use shalespindle_peer_service::{Fronts, Saying, Standing, Teller};
 use shalespindle_settings::{FleetSettings, Settings};
-use shalespindle_sites::SitesFault;
+use shalespindle_sites::SitesError;
 use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mailbox, LARGE_STACK};
 use socket2::SockRef;
 use std::io;
@@ -211,7 +211,7 @@
 }
 
 /// What became of an order on a site.
-fn ordered(site: &str, done: Result<(), SitesFault>) -> Reply {
+fn ordered(site: &str, done: Result<(), SitesError>) -> Reply {
     match done {
         Ok(()) => Reply::Done { what: format!("told to all fronts of the site {site}") },
         Err(fault) => {
