--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -27,7 +27,7 @@
 pub use fleet::{Counts, Fleet, FleetParams, Output};
 pub use message::{Cursor, Delta, DigestEntry, EndedCursor, Item, Message};
 pub use replicas::{Applied, Full, ReplicaParams, Replicas};
-pub use shalespindle_membership::Told;
+pub use shalespindle_membership::ReportedState;
 pub use snapshot::{
     Changes, IncarnationKey, Inventory, Restored, SaveSchedule, Snapshot, StoredFact, StoredIncarnation,
 };
--- a/crates/replica/src/view.rs
+++ b/crates/replica/src/view.rs
@@ -2,7 +2,7 @@
 
 use crate::facts::{CallRecord, Fact, Key, LevelOrder, ServerRecord};
 use crate::replicas::Replicas;
-use shalespindle_membership::{Told, Warning};
+use shalespindle_membership::{PeerWarning, ReportedState};
 use shalespindle_peers::FrontId;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetEvent {
     /// What others' lists say of a server, settled.
-    Server(Warning),
+    Server(PeerWarning),
     /// The level that operators hold, and until when; none: it is let go.
     Level { level: Option<u8>, until: f64, issued_by: String },
     /// A call of this front was released by another.
@@ -28,8 +28,8 @@
 pub struct Conflict {
     pub address: SocketAddr,
     pub incarnation: u64,
-    pub reports: Vec<(FrontId, Told)>,
-    pub resolved: Told,
+    pub reports: Vec<(FrontId, ReportedState)>,
+    pub resolved: ReportedState,
     pub since: f64,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct View {
     warning_ttl: f64,
-    servers: BTreeMap<SocketAddr, Warning>,
+    servers: BTreeMap<SocketAddr, PeerWarning>,
     /// Version of the word on the level that counts, and who said it.
     level: (u64, String),
     adopted_order: Option<LevelOrder>,
@@ -93,15 +93,17 @@
         };
         let until = written + self.warning_ttl;
         let (pool, incarnation, told) = (record.pool, record.incarnation, record.reported);
-        let warning = Warning { address, pool, incarnation, told, started, until };
+        let warning = PeerWarning { address, pool, incarnation, state: told, started, until };
         let before = self.servers.insert(address, warning);
-        let same = |b: Warning| {
+        let same = |b: PeerWarning| {
             let close = |a: f64, b: f64| (a - b).abs() < 1.0;
             let starts = match (b.started, started) {
                 (Some(a), Some(b)) => close(a, b),
                 (a, b) => a.is_none() && b.is_none(),
             };
-            (b.incarnation, b.told) == (warning.incarnation, warning.told) && starts && close(b.until, until)
+            (b.incarnation, b.state) == (warning.incarnation, warning.state)
+                && starts
+                && close(b.until, until)
         };
         if until > now && !before.is_some_and(same) {
             self.events.push_back(FleetEvent::Server(warning));
@@ -112,7 +114,7 @@
         &mut self,
         now: f64,
         address: SocketAddr,
-        reports: Vec<(FrontId, Told)>,
+        reports: Vec<(FrontId, ReportedState)>,
         highest: Option<u64>,
     ) {
         let resolved = reports.iter().map(|w| w.1).max();
--- a/crates/replica/tests/fleet.rs
+++ b/crates/replica/tests/fleet.rs
@@ -6,9 +6,11 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_peers::FrontId;
-use shalespindle_replica::{DigestEntry, FleetEvent, FleetParams, Message, Output, ServerRecord, Told};
+use shalespindle_replica::{
+    DigestEntry, FleetEvent, FleetParams, Message, Output, ReportedState, ServerRecord,
+};
 
-fn record(incarnation: u64, reported: Told) -> ServerRecord {
+fn record(incarnation: u64, reported: ReportedState) -> ServerRecord {
     ServerRecord { pool: 1, incarnation, reported, age: Some(1.0) }
 }
 
@@ -35,7 +37,8 @@
             let front = script.random_range(0..5usize);
             match script.random_range(0..10) {
                 0..=5 if net.fronts[front].is_some() => {
-                    let told = [Told::Ready, Told::Draining, Told::Gone][script.random_range(0..3)];
+                    let told = [ReportedState::Ready, ReportedState::Draining, ReportedState::Gone]
+                        [script.random_range(0..3)];
                     let (n, incarnation) = (script.random_range(1..40), script.random_range(1..4));
                     net.publish(front, n, record(incarnation, told));
                 }
@@ -70,22 +73,25 @@
 #[test]
 fn the_most_careful_word_counts_and_meetings_are_listed() {
     let mut net = net(3, 1);
-    net.publish(0, 7, record(4, Told::Ready));
-    net.publish(1, 7, record(4, Told::Draining));
+    net.publish(0, 7, record(4, ReportedState::Ready));
+    net.publish(1, 7, record(4, ReportedState::Draining));
     net.advance(2.0);
-    let resolved = |events: &FleetEvent| matches!(events, FleetEvent::Server(s) if s.told == Told::Draining && s.incarnation == 4);
+    let resolved = |events: &FleetEvent| matches!(events, FleetEvent::Server(s) if s.state == ReportedState::Draining && s.incarnation == 4);
     assert!(net.events[&2].iter().any(resolved));
     assert!(net.events[&0].iter().any(resolved), "front 0 called it ready");
     // Front 1 hears only what it knows better.
     assert!(!net.events.get(&1).is_some_and(|events| events.iter().any(resolved)));
     let status = net.fronts[2].as_ref().unwrap().status(net.now);
     assert_eq!((status.conflict_count, status.conflicts.len()), (1, 1));
-    assert_eq!(status.conflicts[0].resolved, Told::Draining);
+    assert_eq!(status.conflicts[0].resolved, ReportedState::Draining);
     // A later start is another matter.
-    net.publish(0, 7, record(5, Told::Ready));
+    net.publish(0, 7, record(5, ReportedState::Ready));
     net.advance(2.0);
     let last = net.events[&2].last().unwrap();
-    assert!(matches!(last, FleetEvent::Server(s) if s.told == Told::Ready && s.incarnation == 5), "{last:?}");
+    assert!(
+        matches!(last, FleetEvent::Server(s) if s.state == ReportedState::Ready && s.incarnation == 5),
+        "{last:?}"
+    );
     assert_eq!(net.fronts[2].as_ref().unwrap().status(net.now).conflicts, []);
 }
 
@@ -144,7 +150,7 @@
 fn a_front_that_returns_empty_catches_up_and_one_that_left_is_forgotten_in_time() {
     let mut net = net(4, 3);
     for n in 1..200 {
-        net.publish(0, n, record(1, Told::Ready));
+        net.publish(0, n, record(1, ReportedState::Ready));
     }
     net.advance(4.0);
     assert!(net.replicas_are_equal());
@@ -172,7 +178,7 @@
     }
     // Its next life is taken up.
     net.restart(0, 9);
-    net.publish(0, 1, record(2, Told::Gone));
+    net.publish(0, 1, record(2, ReportedState::Gone));
     net.advance(3.0);
     assert_eq!(net.fronts[2].as_ref().unwrap().replicas().fact_count(FrontId(0)), 1);
 }
@@ -182,11 +188,11 @@
     let sent = |facts: u16| {
         let mut net = net(3, 4);
         for n in 1..=facts {
-            net.publish(0, n, record(1, Told::Ready));
+            net.publish(0, n, record(1, ReportedState::Ready));
         }
         net.advance(10.0);
         let before = net.sent;
-        net.publish(0, 1, record(1, Told::Draining));
+        net.publish(0, 1, record(1, ReportedState::Draining));
         net.advance(2.0);
         assert!(net.replicas_are_equal());
         net.sent - before
@@ -201,7 +207,7 @@
         let mut net = net(5, 9);
         net.loss = 0.2;
         for n in 1..30 {
-            net.publish(usize::from(n % 5), n, record(u64::from(n), Told::Draining));
+            net.publish(usize::from(n % 5), n, record(u64::from(n), ReportedState::Draining));
             net.advance(0.1);
         }
         (net.sent, format!("{:?}", net.events))
@@ -235,7 +241,7 @@
         );
     }
     assert!(front.status(now).silenced);
-    front.publish_server(now, server(1), record(1, Told::Ready));
+    front.publish_server(now, server(1), record(1, ReportedState::Ready));
     front.turn(now + HEARTBEAT_INTERVAL);
     assert!(
         front.next_wakeup() > now + HEARTBEAT_INTERVAL,
@@ -252,7 +258,7 @@
     net.cut = vec![(0, 1), (1, 0)];
     for round in 0..50u64 {
         for n in 1..100 {
-            net.publish(0, n, record(round, Told::Ready));
+            net.publish(0, n, record(round, ReportedState::Ready));
         }
         net.advance(0.1);
     }
@@ -269,7 +275,7 @@
         net.max_delay = late;
         net.fronts[1] = None;
         for n in 1..600 {
-            net.publish(0, n, record(1, Told::Ready));
+            net.publish(0, n, record(1, ReportedState::Ready));
         }
         net.restart(1, 2);
         let begin = net.now;
--- a/crates/replica/tests/model.rs
+++ b/crates/replica/tests/model.rs
@@ -27,7 +27,7 @@
         _ => Fact::Server(shalespindle_replica::ServerRecord {
             pool: 1,
             incarnation: version,
-            reported: shalespindle_replica::Told::Ready,
+            reported: shalespindle_replica::ReportedState::Ready,
             age: None,
         }),
     }
--- a/crates/replica/tests/snapshot.rs
+++ b/crates/replica/tests/snapshot.rs
@@ -5,7 +5,8 @@
 use common::{record, server, Net, HEARTBEAT_INTERVAL};
 use shalespindle_peers::{FrontId, Incarnation};
 use shalespindle_replica::{
-    Changes, FleetEvent, FleetParams, IncarnationKey, SaveSchedule, ServerRecord, Snapshot, StoredFact, Told,
+    Changes, FleetEvent, FleetParams, IncarnationKey, ReportedState, SaveSchedule, ServerRecord, Snapshot,
+    StoredFact,
 };
 
 const HOLD: f64 = 5.0;
@@ -139,7 +140,7 @@
 #[test]
 fn warnings_and_operators_words_hold_on_as_long_as_they_would_have() {
     let mut net = net(2);
-    let told = ServerRecord { pool: 1, incarnation: 3, reported: Told::Draining, age: None };
+    let told = ServerRecord { pool: 1, incarnation: 3, reported: ReportedState::Draining, age: None };
     net.publish(1, 7, told);
     net.at(1).publish_level(0.0, Some(2), 60.0, "f1");
     net.advance(2.0);
@@ -151,7 +152,7 @@
         net.advance(HEARTBEAT_INTERVAL);
         let events = net.events.get(&0).cloned().unwrap_or_default();
         let warned = events.iter().any(
-            |n| matches!(n, FleetEvent::Server(w) if w.address == server(7) && w.told == Told::Draining),
+            |n| matches!(n, FleetEvent::Server(w) if w.address == server(7) && w.state == ReportedState::Draining),
         );
         let held = events.iter().any(|n| matches!(n, FleetEvent::Level { level: Some(2), .. }));
         assert_eq!((warned, held), (holds, holds), "off by {off}: {events:?}");
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -80,7 +80,7 @@
 fn dns_makes_first_choices_optional_and_its_faults_are_named() {
     let good = format!("{}{DNS}", GOOD.replace("first_choice = 1\n", ""));
     let params = parse("f.toml", &good).unwrap().params();
-    assert_eq!(params.trunk_groups["wayanad"], FirstChoice::Dealt(0));
+    assert_eq!(params.trunk_groups["wayanad"], FirstChoice::Dns(0));
     let dns = params.dns.unwrap();
     assert_eq!(dns.resolver.names[0].to_string(), "_sip._tcp.auth.example.org.");
     assert_eq!(dns.pools["S1.auth.example.org."], 1);
@@ -135,7 +135,7 @@
     let good =
         with_sites(&(north() + &site("south", "\"f1\"", "networks = [\"10.1.0.0/16\"]\nbears = 40.0")));
     let (_, table) = parse("front.toml", &good).unwrap().sites_params().unwrap();
-    assert_eq!((table.len(), table.of_server(7, Some([10, 1, 2, 3].into()))), (2, Some(1)));
+    assert_eq!((table.len(), table.site_of_server(7, Some([10, 1, 2, 3].into()))), (2, Some(1)));
     assert!(parse("front.toml", GOOD).unwrap().sites_params().is_none());
     let rows = [
         (site("south", "\"f0\"", "pools = [1]"), "sites", "leave it in the `fronts`"),
--- a/crates/transport/src/answers.rs
+++ b/crates/transport/src/answers.rs
@@ -4,7 +4,7 @@
 use shalespindle_console::{Ask, LevelState, MemberState, Members, NameState, Reply, Snapshot};
 use shalespindle_front::Front;
 use shalespindle_membership::table::row;
-use shalespindle_membership::{Because, Member};
+use shalespindle_membership::{Member, StatusReason};
 
 /// The longest pin, seconds: one that is forgotten must not outlive a day.
 const LONGEST_PIN: f64 = 86_400.0;
@@ -49,27 +49,27 @@
 
 fn snapshot(front: &mut Front, now: f64, host: &Host) -> Snapshot {
     let quantile = |q| host.lag.value_at_quantile(q) as f64 / 1000.0;
-    let (attaches_held, legs_held) = front.held();
+    let (attaches_held, legs_held) = front.record_counts();
     let deepest = front.deepest_level();
     let level = front.level(now).map(|(status, takes)| LevelState {
         level: status.level,
         deepest,
         seconds: now - status.since,
-        why: status.why.to_string(),
+        why: status.reason.to_string(),
         takes,
         pressure: status.pressure,
         pinned_for: status.pin.map(|pin| pin.until - now),
-        taken: status.taken,
+        taken: status.admitted,
         refused: status.refused,
         changes: status.changes,
     });
     Snapshot {
         front: front.host().to_string(),
         seconds_in_service: now - front.started(),
-        ending: front.is_ending(),
+        ending: front.is_shutting_down(),
         level,
-        in_hand: front.in_hand(),
-        standing: front.standing(),
+        in_hand: front.pending(),
+        standing: front.established(),
         attaches_held,
         legs_held,
         datagrams_dropped: host.datagrams_dropped,
@@ -80,41 +80,41 @@
 }
 
 fn members(front: &Front, now: f64) -> Members {
-    let name = |n: shalespindle_front::Name| NameState {
+    let name = |n: shalespindle_front::NameStatus| NameState {
         name: n.name,
         last: n.last.map(|l| l.0.to_string()),
         age: n.last.map(|l| l.1),
         next_in: Some(n.next_in).filter(|s| s.is_finite()),
     };
     Members {
-        feed_away: front.feed_away(now),
+        feed_away: front.feed_lost_for(now),
         names: front.names(now).into_iter().map(name).collect(),
         members: front.members().map(|m| member(m, now)).collect(),
-        turned_away: front.turned_away(),
+        turned_away: front.servers_over_capacity(),
     }
 }
 
 fn member(member: &Member, now: f64) -> MemberState {
-    let (list, dns) = member.words();
+    let (list, dns) = member.source_statuses();
     // Of several names the one whose answer is good for longest.
-    let named = member.named().max_by(|a, b| a.2.total_cmp(&b.2));
-    let because = match member.because() {
-        Because::Row => row(list, dns).reason,
-        Because::Flapping => "it came and went too often of late",
-        Because::LastResort => "the last resort: nothing else is left",
+    let named = member.dns_reports().max_by(|a, b| a.2.total_cmp(&b.2));
+    let because = match member.reason() {
+        StatusReason::Row => row(list, dns).reason,
+        StatusReason::Flapping => "it came and went too often of late",
+        StatusReason::LastResort => "the last resort: nothing else is left",
     };
     MemberState {
         address: member.address(),
         pool: member.pool(),
-        verdict: format!("{:?}", member.verdict()).to_lowercase(),
+        verdict: format!("{:?}", member.status()).to_lowercase(),
         seconds: now - member.since(),
         list: list.to_string(),
-        list_age: member.listed().map(|l| now - l.1),
+        list_age: member.list_report().map(|l| now - l.1),
         dns: dns.to_string(),
         dns_age: named.map(|n| now - n.1),
         dns_left: named.map(|n| n.2 - now),
         rank: member.rank(),
         because: because.into(),
-        warned: member.warned(),
+        warned: member.needs_attention(),
     }
 }
