--- a/crates/sites/src/sites.rs
+++ b/crates/sites/src/sites.rs
@@ -153,7 +153,7 @@
     pub fn record_sample(&mut self, now: f64, peers: &Peers, seen: &Sample) {
         self.sample_at = now + self.scaled_observation_interval(peers);
         let (observation, fell) = self.rates.observation(now, seen, &self.table);
-        let incarnation = peers.life().number;
+        let incarnation = peers.incarnation().number;
         self.observations.take(
             self.own,
             StoredObservation { incarnation, made_at: now, observation, relays_left: RELAY_ROUNDS },
@@ -177,7 +177,7 @@
 
     /// A message of a front that has been told apart from a stranger by the codec.
     pub fn receive(&mut self, now: f64, peers: &Peers, from: FrontId, message: SitesMessage) {
-        let Some(incarnation) = peers.life_of(from) else {
+        let Some(incarnation) = peers.incarnation_of(from) else {
             self.invalid_messages += 1;
             return;
         };
@@ -301,7 +301,7 @@
     }
 
     fn scaled_observation_interval(&self, peers: &Peers) -> f64 {
-        let fleet = peers.listed() as f64 + 1.0;
+        let fleet = peers.listed_count() as f64 + 1.0;
         self.params.observation_interval * (fleet / FULL_RATE_FLEET_SIZE).max(1.0)
     }
 
@@ -316,8 +316,8 @@
             return;
         }
         self.beat += 1;
-        self.next_tick_at = now + peers.every();
-        let fleet: Vec<FrontId> = peers.fleet().collect();
+        self.next_tick_at = now + peers.heartbeat_interval();
+        let fleet: Vec<FrontId> = peers.all_fronts().collect();
         self.observations.all.retain(|front, _| fleet.binary_search(front).is_ok());
         self.speak.retain(|front, _| fleet.binary_search(front).is_ok());
         self.hears(now, peers, fleet.len());
@@ -325,7 +325,7 @@
             let record = self.records[site];
             if let Some((next, votes)) = self.judged(now, site, &record, peers, &fleet) {
                 self.write(now, site, next, votes);
-                self.next_tick_at = now + peers.every();
+                self.next_tick_at = now + peers.heartbeat_interval();
             }
         }
         self.look(now, peers, &fleet);
@@ -582,7 +582,7 @@
         let asks = self.beat % DISCOVERY_INTERVAL == 1;
         let others: Vec<FrontId> = fleet.iter().copied().filter(|f| *f != self.own).collect();
         for to in self.round.next(fanout, &others) {
-            let of = |life: &u64| peers.life_of(to).is_none_or(|l| l.number == *life);
+            let of = |life: &u64| peers.incarnation_of(to).is_none_or(|l| l.number == *life);
             if self.speak.get(&to).is_some_and(of) {
                 messages.iter().for_each(|message| self.tell(Output::Send { to, message: message.clone() }));
             } else if asks {
--- a/crates/sites/src/status.rs
+++ b/crates/sites/src/status.rs
@@ -89,7 +89,7 @@
 
 impl Sites {
     pub fn status(&self, now: f64, peers: &Peers) -> SitesStatus {
-        let fleet: Vec<FrontId> = peers.fleet().collect();
+        let fleet: Vec<FrontId> = peers.all_fronts().collect();
         let demand = self.demand(now, peers, &fleet);
         let required: f64 = demand
             .total_by_class(self.params.classes.len())
