--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -1,7 +1,9 @@
-//! The decisions of one front. The host makes a [`Control`] at start, reports what happens through its
-//! methods (they only update what is known) and then pulls [`Control::next_decision`] until it returns
-//! `None`, carrying out each decision in order. The types are in `interface`. Every method takes the
-//! host's clock; the same calls in the same order give the same decisions.
+//! The routing and admission decisions of one front.
+//!
+//! The host creates a [`Control`] at start and reports events through its methods, which only update state.
+//! It then calls [`Control::next_decision`] until that returns `None` and carries out each decision in order.
+//! The types that cross this border are in [`crate::interface`]. Every method takes the host's clock, in
+//! seconds; the same calls in the same order give the same decisions.
 
 use crate::interface::*;
 use rand::{Rng, SeedableRng};
@@ -9,148 +11,164 @@
 use slab::Slab;
 use std::collections::{HashMap, VecDeque};
 
-/// Predicted wait below which a first set-up goes out, in shortest latency targets.
+/// Predicted wait below which a set-up may be sent, as a fraction of the shortest latency target.
 const WAIT_BOUND: f64 = 0.3;
-/// Delays are told apart only up to here, in bounds.
+/// Measured delays are capped at this many wait bounds: beyond it the exact value does not matter.
 const MAX_DELAY: f64 = 3.0;
-/// A set-up is taken for lost when one sent so much later, in bounds, was answered by the same pool.
+/// A set-up is treated as lost once a set-up sent to the same pool this much later, in wait bounds, has been
+/// answered.
 const OVERTAKEN_GAP: f64 = 0.25;
-/// Pause named to a refused caller, in bounds.
+/// Retry pause advised to a refused caller, in wait bounds.
 const REFUSAL_PAUSE: f64 = 0.5;
-/// Utilisation added by each own unanswered set-up and by the newcomer (design).
+/// Utilisation added by each unanswered set-up of this front and by the new one.
 const UTILISATION_STEP: f64 = 0.01;
-/// Time between two probes of a pool (design).
+/// Shortest interval between two probes of a pool, seconds.
 const MIN_PROBE_INTERVAL: f64 = 1.0;
-/// Smoothed delay, in bounds, from which a pool has no room to be probed each second.
+/// Smoothed delay, in wait bounds, above which a pool is too busy to be probed at the shortest interval.
 const BUSY_DELAY: f64 = 0.25;
-/// Time between the first probes of a pool not heard of before; it may be small, and all fronts start as one.
+/// Interval, in seconds, over which the first probe of a new pool is spread at random, and its first probe
+/// interval. The pool may be small, and all fronts may start at the same time.
 const FIRST_PROBE_INTERVAL: f64 = 8.0 * MIN_PROBE_INTERVAL;
-/// Longest time between two probes of a pool that stays so, if its trials are not more frequent.
+/// Longest interval between two probes of a busy pool, seconds; shorter where trials are more frequent.
 const MAX_PROBE_INTERVAL: f64 = 16.0 * MIN_PROBE_INTERVAL;
-/// Share of the smoothed delay that a new measurement replaces.
+/// Weight of a new measurement in the smoothed delay.
 const SMOOTHING_WEIGHT: f64 = 0.5;
-/// Hosts may round times to microseconds: a wait is lengthened by so much that it never ends early.
+/// Added to every timer, in seconds: hosts may round times to microseconds, and a timer must not end early.
 const CLOCK_RESOLUTION: f64 = 2e-6;
-/// Part of what would push a cold pool over that this front allows itself.
+/// Fraction of the load that would overload a cold pool that this front allows itself to send.
 const COLD_LOAD_SHARE: f64 = 0.8;
-/// The least part, of its own by a pool's size, that a front counts on where no more was borne.
+/// Smallest budget for a cold pool, as a fraction of this front's even share weighted by the pool's size. It
+/// applies where the front sent the predecessor less.
 const COLD_MIN_SHARE: f64 = 0.25;
-/// Age, in its own delay, from which a measurement is stale: that part of the queue it saw has passed.
+/// Age of a measurement, as a fraction of the delay it measured, from which it is stale: by then this
+/// fraction of the measured queue has been processed.
 const STALE_AGE: f64 = 0.6;
-/// Share of this front's part of the set-ups, by the pool's size, that may go there as trials.
+/// Fraction of this front's even share, weighted by the pool's size, that may go to a pool as trials.
 const TRIAL_SHARE: f64 = 1.0 / 3.0;
-/// A pool has room for any attach while its predicted wait is less than so many least delays.
+/// An attach that is not late is accepted at any utility while the predicted wait is below this many minimum
+/// delays of the pool.
 const ACCEPT_ANY_WAIT: f64 = 3.0;
-/// Set-ups that can be saved up for a cold pool; below two, so that never two go at once.
+/// Capacity of a cold pool's token bucket, in set-ups; below two, so that two are never sent at once.
 const COLD_MAX_TOKENS: f64 = 1.5;
-/// Part of the window in which a cold pool falls for which a turn of attaches with another first choice
-/// is open.
+/// Fraction of the overload window for which each slot for attaches with another first choice is open at a
+/// cold pool.
 const COLD_SLOT_SHARE: f64 = 0.5;
 
-/// What this front knows of one pool.
+/// State of one pool as known to this front.
 struct Pool {
     id: PoolId,
+    /// Number of the pool in the deployment, which a replacement processor keeps.
     number: u16,
+    /// Start of the processor on the host's clock; 0 if it has run for long.
     started_at: f64,
-    /// Last told to be in service.
+    /// Whether the pool was in service in the last list.
     ready: bool,
+    /// Last reported number of free agents.
     free_agents: Option<f64>,
-    /// All its agents; 0 where it never told.
+    /// Total number of agents; 0 if never reported.
     agents: f64,
-    /// It reports its processor's wait, so its own figure replaces delays measured from here.
+    /// The pool reports the wait at its processor, so that value is used instead of delays measured here.
     reports_wait: bool,
-    /// Least delay of an answered set-up, the network included.
+    /// Shortest delay of an answered set-up, network time included, seconds.
     min_delay: Option<f64>,
+    /// Smoothed set-up delay, or minimum delay plus reported wait, seconds.
     smoothed_delay: f64,
-    /// When it was last measured.
+    /// When `smoothed_delay` was last updated.
     measured_at: f64,
-    /// Set-ups sent and not ended, oldest first: attach, when sent.
+    /// Set-ups sent whose end has not been reported, oldest first: attach and send time.
     unanswered: VecDeque<(UeId, f64)>,
-    /// When the first set-up was sent of those after the last that the pool answered.
+    /// Send time of the first set-up after the last answered one; none if there is no such set-up.
     silent_since: Option<f64>,
-    /// When the set-up was sent that was answered last.
+    /// Latest send time among the answered set-ups.
     last_answered_sent_at: f64,
-    /// Set-ups sent after that one.
+    /// Number of set-ups sent since then.
     sent_since_answer: u32,
-    /// It lately answered promptly after it had left an earlier set-up unanswered.
+    /// The pool recently answered promptly after leaving an earlier set-up unanswered.
     lossy: bool,
-    /// When a set-up was last sent.
+    /// When the last set-up was sent.
     last_sent_at: f64,
-    /// No trial before.
+    /// Earliest time of the next trial.
     next_trial_at: f64,
-    /// When a probe was last answered.
+    /// When the last answer to a probe arrived.
     probe_answered_at: f64,
     next_probe_at: f64,
-    /// When it was last probed.
+    /// When the last probe was sent.
     last_probed_at: f64,
-    /// Time between the last probe and the next.
+    /// Interval between the last probe and the next, before jitter.
     probe_interval: f64,
-    /// Attaches that stood there, smoothed over `warm_after`, as of `stood_at`.
+    /// Number of attaches established there, decayed over `warm_after`, as of `established_updated_at`.
     established: f64,
     established_updated_at: f64,
-    /// Set-ups a second that this front brought to it when last in service, or to its predecessor.
+    /// Rate of attaches established through this front when the pool, or its predecessor, was last in
+    /// service.
     last_rate: Option<f64>,
-    /// A token bucket. Begun anywhere below one set-up: guards against hundreds of fronts none of which has
-    /// saved up a whole one by the time the pool is warm, or all at once. Their sum is the same from the
-    /// first second on.
+    /// Token bucket for set-ups while the pool is cold. It starts at a random level below one, so that
+    /// hundreds of fronts reach a whole token neither all at once nor only after the pool is warm; the sum
+    /// over all fronts is the same from the first second on.
     cold_tokens: f64,
     cold_tokens_updated_at: f64,
-    /// Turns of attaches with another first choice so far, each open for a moment, and the last one used.
-    /// Begins anywhere below one.
+    /// Number of slots elapsed for attaches with another first choice, starting at a random value below one.
+    /// Each slot is open only for a short time at its beginning.
     cold_slots: f64,
+    /// Number of the last slot in which a set-up was sent.
     last_cold_slot: f64,
-    /// How much of a turn is open.
+    /// Fraction of a slot for which it is open.
     cold_slot_open: f64,
 }
 
+/// One attach that waits for a decision or whose setup try is in progress.
 struct Attach {
     ue: UeId,
     procedure: usize,
     first_choice: u16,
     called_number: u64,
-    /// When its caller first asked, as far as this front knows.
+    /// When its caller first dialled, as far as this front knows.
     first_asked_at: f64,
     gives_up_at: f64,
     tries: u32,
-    /// The pool of the last try, avoided by the next.
+    /// Pool of the last setup try; the next try avoids it.
     last_pool: Option<usize>,
-    /// A setup try is out.
+    /// A setup try is in progress.
     try_pending: bool,
-    /// That one has been cancelled.
+    /// The setup try in progress has been cancelled.
     cancelled: bool,
-    /// No setup try may go before: the release guard of the last one.
+    /// Earliest time of the next setup try: the end of the release guard of the last one.
     not_before: f64,
 }
 
+/// The decision module of one front.
 pub struct Control {
     deployment: Deployment,
-    /// Predicted wait below which a set-up goes out; far below any T-timer.
+    /// Predicted wait below which a set-up may be sent, seconds; far below any T-timer.
     wait_bound: f64,
     rng: ChaCha8Rng,
     pools: Vec<Pool>,
     attaches: Slab<Attach>,
     by_ue: HashMap<UeId, usize>,
+    /// Attaches that wait for a decision.
     undecided: VecDeque<UeId>,
-    /// Attaches that wait out the release guard, in order of when it ends.
+    /// Attaches that wait for the end of the release guard, in order of that time.
     awaiting_guard: VecDeque<(f64, UeId)>,
-    /// Attaches whose setup try was overtaken by an answer, to be cancelled.
+    /// Attaches whose setup try was overtaken by the answer to a later one and is to be cancelled.
     overtaken: VecDeque<UeId>,
-    /// Earliest wake-up asked of the host and still to come.
+    /// Earliest pending wake-up requested from the host.
     wake_at: f64,
     started_at: f64,
-    /// Callers who went away unserved and may dial again: number called, when they first asked.
+    /// Callers whose attach ended unserved and who may dial again: called number and time of the first dial.
     unserved: HashMap<u64, f64>,
-    /// The same in order of when they went, to be forgotten after the T-timer.
+    /// The same callers in order of that end; entries are dropped after the longest T-timer.
     unserved_order: VecDeque<(f64, u64)>,
-    /// Longest time that a caller has been seen to wait, and when this front last had its turn.
+    /// Longest remaining patience of a caller at arrival so far, seconds.
     max_patience: f64,
+    /// When the host last pulled all decisions.
     last_pulled_at: f64,
-    /// Smoothed count of arrivals within `warm_after`, and when it was last brought up to date.
+    /// Number of arrivals, decayed over `warm_after`, as of `arrivals_updated_at`; redials are not counted.
     arrivals: f64,
     arrivals_updated_at: f64,
 }
 
 impl Control {
+    /// Creates the module; equal seeds, deployments and calls give equal decisions.
     pub fn new(seed: u64, deployment: Deployment, now: f64) -> Control {
         let targets = deployment.procedures.iter().map(|p| p.latency_target);
         Control {
@@ -174,9 +192,9 @@
         }
     }
 
-    // ---- bookkeeping: what the host reports ----
+    // ---- events reported by the host ----
 
-    /// News of the list: all of it (`whole`), or the entries that changed.
+    /// Updates the list of pools: the complete list, or only the entries that changed.
     pub fn pools_listed(&mut self, now: f64, entries: &[PoolEntry], complete: bool) {
         if complete {
             for index in 0..self.pools.len() {
@@ -197,7 +215,7 @@
             }
             let pool = &mut self.pools[index];
             if entry.started > pool.started_at {
-                // A new processor: what was measured of the old one says nothing of it.
+                // A new processor: measurements of the old one do not apply to it.
                 let (unanswered, next_probe_at) = (std::mem::take(&mut pool.unanswered), pool.next_probe_at);
                 *pool = Pool { unanswered, last_rate, ..Pool::new(entry, next_probe_at, self.rng.random()) };
             }
@@ -208,7 +226,7 @@
         }
     }
 
-    /// A place for a pool not heard of before: that of a predecessor out of service, else a new one.
+    /// Index for a pool not known before: that of a predecessor out of service, otherwise a new one.
     fn index_for(&mut self, now: f64, entry: &PoolEntry, last_rate: Option<f64>) -> usize {
         let next_probe_at = now + self.rng.random::<f64>() * FIRST_PROBE_INTERVAL;
         let pool = Pool { last_rate, ..Pool::new(entry, next_probe_at, self.rng.random()) };
@@ -226,6 +244,7 @@
         self.pools[index].ready = false;
     }
 
+    /// Takes a new attach, to be decided by the next [`Control::next_decision`].
     pub fn attach_arrived(&mut self, now: f64, new: NewAttach) {
         let max_t_timer =
             self.deployment.procedures.iter().fold(0.0, |longest: f64, p| longest.max(p.t_timer));
@@ -235,7 +254,8 @@
         }
         let remaining = new.gives_up_at - now;
         self.max_patience = self.max_patience.max(remaining);
-        // Guards against a front held up that takes for fresh what came long ago.
+        // After this front itself was stalled, an attach may have waited unread: its age is estimated from
+        // the longest patience seen, so that it is not treated as new.
         let unread_for = (self.max_patience - remaining).min(now - self.last_pulled_at);
         let redial = self.unserved.get(&new.called_number).copied();
         if redial.is_none() {
@@ -260,6 +280,7 @@
         self.undecided.push_back(new.ue);
     }
 
+    /// Records that an attach was established at a pool, `delay` seconds after its set-up was sent.
     pub fn attach_established(&mut self, now: f64, ue: UeId, pool: PoolId, delay: f64) {
         self.remove(ue);
         let delay = delay.max(CLOCK_RESOLUTION);
@@ -284,7 +305,7 @@
         }
     }
 
-    /// A setup try, or an attach that stood, has ended; `finished` says that no answer is owed any more.
+    /// A setup try or an established attach has ended; `finished` means that no final answer is due any more.
     pub fn try_ended(
         &mut self,
         now: f64,
@@ -302,7 +323,7 @@
                 EndReason::Rejected => {
                     pool.record_answer(sent);
                 }
-                // No measure of the processor: the pool is skipped until it tells of free agents.
+                // Not a measurement of the processor: the pool is skipped until it reports free agents.
                 EndReason::NoAgent => {
                     pool.record_answer(sent);
                     pool.free_agents = Some(0.0);
@@ -311,7 +332,7 @@
                     pool.record_delay(now, wait.unwrap_or(max_delay), max_delay);
                     pool.record_answer(sent);
                 }
-                // Silence has counted since it was sent.
+                // Silence has been counted since the set-up was sent.
                 EndReason::Released
                 | EndReason::Cancelled
                 | EndReason::Unreached
@@ -337,11 +358,12 @@
         self.undecided.push_back(ue);
     }
 
+    /// The caller gave up; nothing more is decided for the attach.
     pub fn client_left(&mut self, now: f64, ue: UeId) {
         self.end_unserved(now, ue);
     }
 
-    /// A pool was heard of outside a set-up; `probed` tells that it answered a probe.
+    /// A pool sent a report outside a set-up; `probed` means that it answered a probe.
     pub fn pool_reported(&mut self, now: f64, pool: PoolId, probed: bool, report: Report) {
         let max_delay = MAX_DELAY * self.wait_bound;
         let Some(pool) = self.pools.iter_mut().find(|p| p.id == pool) else {
@@ -353,13 +375,14 @@
         }
     }
 
+    /// A wake-up requested by [`Decision::Wake`] is due.
     pub fn wake(&mut self, now: f64) {
         if now >= self.wake_at {
             self.wake_at = f64::INFINITY;
         }
     }
 
-    /// The attach ends without standing; its caller may dial again.
+    /// Ends an attach that was not established; its caller may dial again.
     fn end_unserved(&mut self, now: f64, ue: UeId) {
         let Some(&key) = self.by_ue.get(&ue) else { return };
         let Attach { called_number, first_asked_at, .. } = self.attaches[key];
@@ -375,22 +398,23 @@
         }
     }
 
-    // ---- decisions: what the host pulls ----
+    // ---- decisions pulled by the host ----
 
+    /// Returns the next decision to carry out, or `None` until something new is reported or a wake-up is due.
     pub fn next_decision(&mut self, now: f64) -> Option<Decision> {
         while self.awaiting_guard.front().is_some_and(|w| w.0 <= now) {
             self.undecided.extend(self.awaiting_guard.pop_front().map(|w| w.1));
         }
         while let Some(ue) = self.overtaken.pop_front() {
-            // Guards against set-ups that are lost on the way: waiting on for them is in vain.
+            // The set-up or its answer was lost on the way; waiting longer would not help.
             let Some(&key) = self.by_ue.get(&ue) else { continue };
             let attach = &mut self.attaches[key];
             if attach.try_pending && !std::mem::replace(&mut attach.cancelled, true) {
                 return Some(Decision::Cancel { ue, setup_try: attach.tries - 1 });
             }
         }
-        // Newest first: guards against a pile of late attaches (after this front was held up) that would
-        // keep those who can still be served in time waiting behind them.
+        // Newest first: after this front was stalled, a backlog of late attaches would otherwise delay those
+        // that can still be served in time.
         while let Some(ue) = self.undecided.pop_back() {
             if let Some(&key) = self.by_ue.get(&ue) {
                 return Some(self.decide(now, key));
@@ -400,15 +424,17 @@
             if let Some(index) = self.pools.iter().position(|p| p.ready && p.next_probe_at <= now) {
                 let max_interval = (1.0 / self.trial_rate(now, index)).min(MAX_PROBE_INTERVAL);
                 let pool = &mut self.pools[index];
-                // Guards against probes that take what a pool has left, or keep it crowded: what one front
-                // asks each second, hundreds do. Covers silent and lost pools; finds a recovery later.
+                // Probes slow down at busy, silent and lost pools: one front probing every second means
+                // hundreds of probes a second from all fronts, which would use up the pool's remaining
+                // capacity or keep it overloaded. The cost is that a recovery is found later.
                 let probe_was_answered = pool.probe_answered_at >= pool.last_probed_at;
                 let is_busy = !probe_was_answered || pool.smoothed_delay > BUSY_DELAY * self.wait_bound;
                 pool.last_probed_at = now;
                 pool.probe_interval =
                     if is_busy { 2.0 * pool.probe_interval } else { pool.probe_interval / 2.0 }
                         .clamp(MIN_PROBE_INTERVAL, max_interval.max(MIN_PROBE_INTERVAL));
-                // Rare ones are spread: guards against hundreds of fronts that find a pool well together.
+                // Slow probes get jitter, so that hundreds of fronts do not find a recovered pool at the same
+                // time.
                 let jitter = if pool.probe_interval > MIN_PROBE_INTERVAL {
                     0.5 + self.rng.random::<f64>()
                 } else {
@@ -429,6 +455,7 @@
         None
     }
 
+    /// Decides on one attach: a set-up, a refusal or an abort.
     fn decide(&mut self, now: f64, key: usize) -> Decision {
         let attach = &self.attaches[key];
         let ue = attach.ue;
@@ -464,7 +491,8 @@
             pool.cold_tokens -= 1.0;
             pool.last_cold_slot = pool.cold_slots.floor();
         }
-        // Guards against single lost set-ups or answers: where they are known, time is left for another try.
+        // At a pool known to lose single set-ups or answers, the timeout leaves time for another try within
+        // the latency target.
         let time_before_retry =
             attach.first_asked_at + target - now - self.deployment.release_guard - self.wait_bound;
         let timeout =
@@ -472,12 +500,13 @@
         Decision::SetUp { ue, pool: pool.id, timeout: timeout.min(remaining) }
     }
 
-    /// The design's route: the first choice while under the bound, else the lower wait of two others.
+    /// Chooses a pool: the first choice while its predicted wait is below the bound, otherwise the one with
+    /// the lower predicted wait of two others drawn at random.
     fn route(&mut self, now: f64, key: usize) -> Option<usize> {
         let attach = &self.attaches[key];
         let allowed = &self.deployment.procedures[attach.procedure].pools;
         let (first_choice, last_pool) = (attach.first_choice, attach.last_pool);
-        // Over all pools known: the fall of others does not make a cold one able to bear their part.
+        // Divided over all known pools: when others fail, a cold pool cannot take over their share.
         let ready = self.pools.iter().filter(|p| p.ready).count() as f64;
         let even_rate = self.even_rate(now) * ready / self.pools.len().max(1) as f64;
         let relative_utility = self.relative_utility(attach, now);
@@ -505,7 +534,7 @@
                     return Some(index);
                 }
             } else if !pool.is_closed(&request) {
-                // Each of those seen so far has the same chance to be one of the two drawn.
+                // Reservoir sampling: each pool seen so far is equally likely to be one of the two drawn.
                 let slot = if seen < 2 { seen } else { self.rng.random_range(0..=seen) };
                 if slot < 2 {
                     drawn[slot] = Some(index);
@@ -524,7 +553,8 @@
         best
     }
 
-    /// What the attach would earn now, were it set up at the bound, as a share of the highest utility.
+    /// Utility of the attach if it were set up after the wait bound, as a fraction of the highest utility of
+    /// any procedure.
     fn relative_utility(&self, attach: &Attach, now: f64) -> f64 {
         let procedure = &self.deployment.procedures[attach.procedure];
         let max_utility =
@@ -532,25 +562,27 @@
         procedure.utility / max_utility * if self.is_late(attach, now) { procedure.late_share } else { 1.0 }
     }
 
-    /// It can no longer stand within its latency target.
+    /// Whether the attach can no longer be established within its latency target.
     fn is_late(&self, attach: &Attach, now: f64) -> bool {
         now + self.wait_bound - attach.first_asked_at
             > self.deployment.procedures[attach.procedure].latency_target
     }
 
-    /// Counts smoothed over `warm_after` become rates when divided by this.
+    /// Seconds by which a count decayed over `warm_after` is divided to get a rate; shorter soon after start.
     fn rate_span(&self, now: f64) -> f64 {
         let span = self.deployment.cold.warm_after;
         span * (1.0 - ((self.started_at - now) / span).exp()).max(1.0 / span)
     }
 
-    /// What this front brought to the processor that a new one replaces; none where none was known.
+    /// Rate of attaches that this front established at the processor that a new one replaces; none if no such
+    /// processor is known.
     fn predecessor_rate(&self, now: f64, number: u16) -> Option<f64> {
         let same = self.pools.iter().filter(|p| p.number == number);
         same.filter_map(|p| self.established_rate(now, p)).max_by(f64::total_cmp)
     }
 
-    /// Set-ups a second that stand at a pool through this front; for one out of service or cold, as it was.
+    /// Attaches a second established at a pool through this front; for a pool out of service or cold, the
+    /// last known rate.
     fn established_rate(&self, now: f64, pool: &Pool) -> Option<f64> {
         let cold = &self.deployment.cold;
         if !pool.ready || pool.capacity_fraction(now, cold) < 1.0 {
@@ -562,13 +594,14 @@
         )
     }
 
-    /// Set-ups a second that this front may send to a pool to measure it.
+    /// Set-ups a second that this front may send to a pool as trials, to measure it.
     fn trial_rate(&self, now: f64, index: usize) -> f64 {
         TRIAL_SHARE * self.even_rate(now) * self.relative_size(index)
     }
 
-    /// Size of a pool against the mean of those in service, by their agents; 1 where some have not told.
-    /// Guards small pools against trials by an even part, which alone can keep them crowded.
+    /// Size of a pool by its agents, relative to the mean of the pools in service; 1 if any of these has not
+    /// reported its agents. Keeps trials at small pools rare: an equal rate for all pools can keep a small
+    /// one overloaded.
     fn relative_size(&self, index: usize) -> f64 {
         let ready = || self.pools.iter().filter(|p| p.ready);
         let (all, fewest) = ready().fold((0.0, f64::INFINITY), |(a, l), p| (a + p.agents, p.agents.min(l)));
@@ -579,7 +612,7 @@
         }
     }
 
-    /// This front's even part of what callers ask, a second, for each pool in service.
+    /// Arrivals a second at this front, divided evenly among the pools in service.
     fn even_rate(&self, now: f64) -> f64 {
         let ready = self.pools.iter().filter(|p| p.ready).count().max(1) as f64;
         let span = self.deployment.cold.warm_after;
@@ -587,16 +620,18 @@
     }
 }
 
-/// An attach that asks for a pool: what it is worth now, and the bound on its wait.
+/// An attach to be routed: its current relative utility and the bound on its wait.
 struct RouteRequest<'a> {
     now: f64,
     first_choice: u16,
     relative_utility: f64,
+    /// Wait bound times relative utility, seconds.
     wait_bound: f64,
     deployment: &'a Deployment,
 }
 
 impl Pool {
+    /// A pool without any measurement.
     fn new(entry: &PoolEntry, next_probe_at: f64, cold_tokens: f64) -> Pool {
         Pool {
             id: entry.id,
@@ -631,10 +666,12 @@
         }
     }
 
-    /// A stale measurement is replaced, not smoothed: most of the queue of that
-    /// length has passed since.
-    /// Guards against absurd figures and slow forgetting: past `limit` a delay only says 'far too long'. Also
-    /// for reports frozen high and for queues long gone; where all pools are far too long it hides the least.
+    /// Updates the smoothed delay. A stale measurement is replaced rather than smoothed: most of the queue
+    /// that it measured has been processed since.
+    ///
+    /// `max_delay` caps absurd values, so that they are soon forgotten; this also covers reports that are
+    /// stuck at a high value and queues that have long been empty. Where all pools are beyond the cap, the
+    /// least loaded one cannot be told from the others.
     fn record_delay(&mut self, now: f64, delay: f64, max_delay: f64) {
         let delay = delay.min(max_delay);
         let weight = if self.is_stale(now) { 1.0 } else { SMOOTHING_WEIGHT };
@@ -646,6 +683,7 @@
         now - self.measured_at > STALE_AGE * self.smoothed_delay
     }
 
+    /// Updates the pool from a report; its wait replaces measured delays.
     fn apply_report(&mut self, now: f64, report: Report, max_delay: f64) {
         if report.free_agents.is_some() {
             self.free_agents = report.free_agents;
@@ -657,14 +695,14 @@
         }
     }
 
-    /// Takes a set-up off the unanswered ones; returns when it was sent.
+    /// Removes a set-up from the unanswered ones; returns when it was sent.
     fn remove_unanswered(&mut self, ue: UeId) -> Option<f64> {
         let index = self.unanswered.iter().position(|u| u.0 == ue)?;
         self.unanswered.remove(index).map(|u| u.1)
     }
 
-    /// The processor has answered the set-up sent then: silence counts only from later ones.
-    /// Returns how many before it were not.
+    /// Records that the set-up sent at `sent` was answered: silence counts only from later set-ups on.
+    /// Returns how many set-ups sent before it remain unanswered.
     fn record_answer(&mut self, sent: Option<f64>) -> usize {
         let Some(sent) = sent.filter(|&s| s > self.last_answered_sent_at) else {
             return 0;
@@ -677,13 +715,14 @@
         missed
     }
 
-    /// Unanswered set-ups that no answer has overtaken: guards against set-ups or answers that are lost on
-    /// the way while the pool works on. Wrong for a pool that answers out of order on purpose.
+    /// Send times of the unanswered set-ups that no answer has overtaken. The others are treated as lost,
+    /// since set-ups or answers may be lost on the way while the pool works on. This is wrong for a pool that
+    /// answers out of order on purpose.
     fn not_overtaken(&self) -> impl Iterator<Item = &f64> {
         self.unanswered.iter().map(|u| &u.1).filter(|&&sent| sent > self.last_answered_sent_at)
     }
 
-    /// Share of its full capacity that the processor is sure to have.
+    /// Fraction of its full capacity that the processor has for certain while it warms up.
     fn capacity_fraction(&self, now: f64, cold: &ColdStart) -> f64 {
         let age = ((now - self.started_at) / cold.warm_after).min(1.0);
         if self.started_at <= 0.0 {
@@ -692,9 +731,10 @@
         cold.start_capacity + (1.0 - cold.start_capacity) * age
     }
 
-    /// Guards rule 4: a cold processor gets no more than this front's even share of what it can do.
+    /// Refills the token bucket that keeps a cold processor from being overloaded: this front sends it no
+    /// more than a share of the load that its predecessor had.
     fn refill_cold_tokens(&mut self, now: f64, even_rate: f64, cold: &ColdStart) {
-        // Little where its predecessor bore next to nothing or none is known.
+        // The minimum applies where the predecessor had little load or is unknown.
         let previous_load = self.last_rate.unwrap_or(0.0) * cold.overload_multiple * COLD_LOAD_SHARE;
         let rate = previous_load.max(COLD_MIN_SHARE * even_rate);
         let added = rate * self.capacity_fraction(now, cold) * (now - self.cold_tokens_updated_at).max(0.0);
@@ -705,17 +745,19 @@
         self.cold_tokens_updated_at = now;
     }
 
-    /// Whether silence or an empty cold budget keeps the attach away. Such a pool is skipped like one
-    /// without free agents, so that it does not use up one of the two draws.
+    /// Whether silence or an empty token bucket excludes the pool. Such a pool is skipped like one without
+    /// free agents, so that it does not take one of the two draws.
     fn is_closed(&self, request: &RouteRequest) -> bool {
         if self.capacity_fraction(request.now, &request.deployment.cold) < 1.0 {
-            // The less it is worth the more must be saved up: the budget must not go to late redials first.
+            // The lower the utility, the more tokens are required: late redials must not use up the budget
+            // first.
             let needed = 1.0 + (COLD_MAX_TOKENS - 1.0) * (1.0 - request.relative_utility);
             if self.cold_tokens < needed || self.not_overtaken().next().is_some() {
                 return true;
             }
-            // Guards against what hundreds of fronts have saved up there while it was nobody's choice, and
-            // spend in one moment when their first choices fall. Leaves out callers who all name it at once.
+            // Hundreds of fronts may have saved up tokens while no caller had this pool as first choice, and
+            // would spend them at the same moment when their first choices fail. The slots spread these
+            // set-ups; callers with this pool as first choice are not limited by them.
             let open = self.cold_slots.fract() < self.cold_slot_open
                 && self.cold_slots.floor() > self.last_cold_slot;
             if self.number != request.first_choice && !open {
@@ -726,15 +768,21 @@
             && !self.allows_trial(request)
     }
 
-    /// Guards against being shut out by an old measurement: with nothing heard for as long as the wait
-    /// last seen, one set-up goes to measure again; to a silent pool, only after news of it, where there
-    /// are probes to bring them. Trials are spread, and those of all fronts together stay a part of what a
-    /// pool can do: guards against hundreds of fronts that try a crowded pool at once and so keep it crowded.
-    /// Covers any news that reaches all fronts together; a pool that recovers is found later. A pool known
-    /// to answer promptly what it does not lose is not crowded and needs no such care: any report that tells
-    /// of a short wait is news enough.
+    /// Whether one set-up may be sent as a trial, to measure the pool again.
+    ///
+    /// Without trials, an old measurement could exclude a pool for good. A trial is due once nothing has been
+    /// measured for a fraction of the last delay; at a silent pool it also requires a sign of life since the
+    /// last set-up, where probes can bring one.
+    ///
+    /// Trials are spread in time, and those of all fronts together stay a fraction of what a pool can
+    /// process: otherwise hundreds of fronts try an overloaded pool at once and keep it overloaded. This also
+    /// covers any report that reaches all fronts at the same time. The cost is that a recovered pool is found
+    /// later.
+    ///
+    /// A lossy pool answers promptly what it does not lose, so it is not overloaded and needs no such care:
+    /// any report of a short wait allows a trial.
     fn allows_trial(&self, request: &RouteRequest) -> bool {
-        // Where probes tell no wait, an answered one is all the news that a lossy pool can bring.
+        // Where answers to probes carry no wait, an answer is the only sign of life of a lossy pool.
         let last_wait_report = if self.lossy { self.measured_at } else { f64::NEG_INFINITY };
         let last_sign_of_life = self.probe_answered_at.max(last_wait_report);
         let is_alive = !request.deployment.may_probe || last_sign_of_life > self.last_sent_at;
@@ -747,13 +795,15 @@
         is_due && self.sent_since_answer == 0 || (is_due || reports_short_wait) && may_retry
     }
 
-    /// Bound on its wait for this attach: guards against pools so slow that one set-up takes longer than the
-    /// bound of what earns less, which an idle pool would then refuse. `whole` is 0 for what is late already.
+    /// Highest predicted wait at which the pool accepts this attach. At a slow pool a single set-up may take
+    /// longer than the bound of an attach of low utility, which an idle pool would then refuse; so the limit
+    /// is at least some minimum delays of the pool, up to `full_bound`, which is 0 for an attach that is
+    /// already late.
     fn max_wait(&self, request: &RouteRequest, full_bound: f64) -> f64 {
         request.wait_bound.max(full_bound.min(ACCEPT_ANY_WAIT * self.min_delay.unwrap_or(0.0)))
     }
 
-    /// The design's predicted wait with the newcomer added; infinite where it must not go.
+    /// Predicted wait with this attach added; infinite if it must not be sent to the pool.
     fn predicted_wait(&self, request: &RouteRequest) -> f64 {
         if self.is_closed(request) {
             return f64::INFINITY;
@@ -761,12 +811,14 @@
         if self.allows_trial(request) {
             return self.min_delay.unwrap_or(0.0).min(request.wait_bound / 2.0);
         }
-        // Unheard counts as idle; heard of, but not by an answered set-up, the delay stands for itself.
+        // A pool without any measurement counts as idle. If it was measured, but never by an answered set-up,
+        // the smoothed delay is used as it is.
         let Some(min_delay) = self.min_delay else {
             return self.smoothed_delay;
         };
-        // Guards against servers that fall silent (hung, gone, cut off, slowed): a set-up still unanswered is
-        // a delay of its age. May close a pool too long where answers come out of order.
+        // Covers servers that become silent (hung, crashed, disconnected or slowed down): the age of the
+        // oldest unanswered set-up counts as its delay. Where answers come out of order, this may exclude a
+        // pool for too long.
         let silence = self.silent_since.map_or(0.0, |from| request.now - from);
         let delay = self.smoothed_delay.max(min_delay).max(silence);
         let utilisation =
