--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
-//! shalespindle: a call controller for the edge of a network with central servers.
+//! Decisions of a call router at the edge of a network with central servers.
 //!
-//! [`control`] holds every decision on routes and admission, [`liveness`] the one on whether a server is still there;
-//! [`interface`] holds the plain types that cross its border.
+//! [`control`] decides on routes and admission, [`liveness`] on whether a server with established calls still
+//! runs. [`interface`] holds the plain types that cross the border of [`control`]. None of them does I/O.
 
 pub mod control;
 pub mod interface;
