--- a/crates/front/tests/names.rs
+++ b/crates/front/tests/names.rs
@@ -5,7 +5,7 @@
 use common::*;
 use shalespindle_front::params::{DnsParams, FirstChoice};
 use shalespindle_front::{Front, Input, Params};
-use shalespindle_membership::Verdict;
+use shalespindle_membership::ServiceStatus;
 use shalespindle_srv::{In, Name, ResolverParams};
 use shalespindle_standin::nameserver::{Entry, NameServer, Script};
 use std::net::SocketAddr;
@@ -22,12 +22,12 @@
     Params {
         // Groups 0 and 1 are dealt by the records.
         trunk_groups: [
-            ("tg-0".to_string(), FirstChoice::Dealt(0)),
-            ("tg-1".to_string(), FirstChoice::Dealt(1)),
+            ("tg-0".to_string(), FirstChoice::Dns(0)),
+            ("tg-1".to_string(), FirstChoice::Dns(1)),
             ("tg-2".to_string(), FirstChoice::Pool(2)),
         ]
         .into(),
-        dealt_groups: 2,
+        dns_groups: 2,
         dns: Some(DnsParams {
             resolver: ResolverParams {
                 upstreams: vec![SocketAddr::from(([127, 0, 0, 1], 53))],
@@ -71,9 +71,9 @@
         for reply in core.ask(b.now, question, tcp) {
             if tcp {
                 let framed = [&(reply.bytes.len() as u16).to_be_bytes()[..], &reply.bytes].concat();
-                b.take(Input::Name(In::Stream { ticket, bytes: &framed }));
+                b.take(Input::Dns(In::Stream { ticket, bytes: &framed }));
             } else {
-                b.take(Input::Name(In::Datagram { ticket, from: to, bytes: &reply.bytes }));
+                b.take(Input::Dns(In::Datagram { ticket, from: to, bytes: &reply.bytes }));
             }
         }
     }
@@ -97,8 +97,8 @@
     (b, core)
 }
 
-fn verdict(b: &Bench, at: u16) -> Option<Verdict> {
-    b.front.members().find(|m| m.address() == server(at)).map(|m| m.verdict())
+fn verdict(b: &Bench, at: u16) -> Option<ServiceStatus> {
+    b.front.members().find(|m| m.address() == server(at)).map(|m| m.status())
 }
 
 fn ok(b: &mut Bench, at: u16, set_up: &str) {
@@ -121,19 +121,19 @@
     let (to, set_up) = b.last_set_up();
     assert_eq!(to, server(0));
     ok(&mut b, 0, &set_up);
-    assert_eq!(b.front.standing(), 1);
+    assert_eq!(b.front.established(), 1);
     let answered = b.answers.last().unwrap().clone();
     b.caller_sends(&within(&answered, "ACK", "a"));
     // The same name, another address.
     publish(&mut core, &[(0, 2, 10), (1, 1, 20)]);
     pass(&mut b, &mut core, 11.0);
-    assert_eq!((verdict(&b, 0), verdict(&b, 2)), (Some(Verdict::Draining), Some(Verdict::In)));
+    assert_eq!((verdict(&b, 0), verdict(&b, 2)), (Some(ServiceStatus::Draining), Some(ServiceStatus::In)));
     // It is cold where it is now; then it is the first choice again.
     pass(&mut b, &mut core, 20.0);
     b.frames.clear();
     b.invite("2", "tg-0", 3000);
     assert_eq!(b.last_set_up().0, server(2), "new ones go where it is now");
-    assert_eq!(b.front.standing(), 1, "what stood stands");
+    assert_eq!(b.front.established(), 1, "what stood stands");
     b.caller_sends(&within(&answered, "BYE", "b"));
     let bye = b.frames.iter().find(|f| f.1.starts_with("BYE")).expect("released where it stands");
     assert_eq!(bye.0, server(0));
@@ -154,7 +154,7 @@
         assert_eq!(to, server(1), "DNS over TCP still names the other, but the list drains it");
         ok(&mut b, 1, &set_up);
     }
-    assert!(core.asked.len() > 4 && verdict(&b, 0) == Some(Verdict::Draining));
+    assert!(core.asked.len() > 4 && verdict(&b, 0) == Some(ServiceStatus::Draining));
 }
 
 #[test]
@@ -162,8 +162,8 @@
     let (mut b, mut core) = started(&[(0, 0, 10), (1, 1, 10)]);
     core.script = Script::Silent;
     pass(&mut b, &mut core, 100.0);
-    assert_eq!((verdict(&b, 0), verdict(&b, 1)), (Some(Verdict::In), Some(Verdict::In)));
-    assert!(b.front.members().all(|m| m.warned()), "with a warning by now");
+    assert_eq!((verdict(&b, 0), verdict(&b, 1)), (Some(ServiceStatus::In), Some(ServiceStatus::In)));
+    assert!(b.front.members().all(|m| m.needs_attention()), "with a warning by now");
     b.invite("1", "tg-0", 3000);
     assert_eq!(b.set_ups(), 1);
 }
