--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -2,44 +2,44 @@
 
 use std::io::{self, Read};
 
-pub const EVENT: usize = 56;
-pub const ACTION: usize = 24;
-pub const ENTRY: usize = 25;
-const HEADER: usize = 16;
+pub const EVENT_SIZE: usize = 56;
+pub const ACTION_SIZE: usize = 24;
+pub const POOL_ENTRY_SIZE: usize = 25;
+const HEADER_SIZE: usize = 16;
 /// A batch can run to megabytes; a length beyond this is taken for a broken stream.
-const LONGEST: usize = 1 << 30;
+const MAX_BATCH_SIZE: usize = 1 << 30;
 
 /// Big-endian fields of one record or of the tail, by byte position.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(pub &'a [u8]);
 
 impl<'a> Fields<'a> {
-    fn take<const N: usize>(self, at: usize) -> [u8; N] {
+    fn bytes_at<const N: usize>(self, offset: usize) -> [u8; N] {
         let mut out = [0; N];
-        out.copy_from_slice(&self.0[at..at + N]);
+        out.copy_from_slice(&self.0[offset..offset + N]);
         out
     }
-    pub fn u8(self, at: usize) -> u8 {
-        self.0[at]
+    pub fn u8(self, offset: usize) -> u8 {
+        self.0[offset]
     }
-    pub fn u16(self, at: usize) -> u16 {
-        u16::from_be_bytes(self.take(at))
+    pub fn u16(self, offset: usize) -> u16 {
+        u16::from_be_bytes(self.bytes_at(offset))
     }
-    pub fn u32(self, at: usize) -> u32 {
-        u32::from_be_bytes(self.take(at))
+    pub fn u32(self, offset: usize) -> u32 {
+        u32::from_be_bytes(self.bytes_at(offset))
     }
-    pub fn u64(self, at: usize) -> u64 {
-        u64::from_be_bytes(self.take(at))
+    pub fn u64(self, offset: usize) -> u64 {
+        u64::from_be_bytes(self.bytes_at(offset))
     }
-    pub fn f32(self, at: usize) -> f64 {
-        f64::from(f32::from_be_bytes(self.take(at)))
+    pub fn f32(self, offset: usize) -> f64 {
+        f64::from(f32::from_be_bytes(self.bytes_at(offset)))
     }
-    pub fn f64(self, at: usize) -> f64 {
-        f64::from_be_bytes(self.take(at))
+    pub fn f64(self, offset: usize) -> f64 {
+        f64::from_be_bytes(self.bytes_at(offset))
     }
     /// Four bytes of address and a port, as one number.
-    pub fn server(self, at: usize) -> u64 {
-        u64::from(self.u32(at)) << 16 | u64::from(self.u16(at + 4))
+    pub fn server(self, offset: usize) -> u64 {
+        u64::from(self.u32(offset)) << 16 | u64::from(self.u16(offset + 4))
     }
 }
 
@@ -54,13 +54,15 @@
 impl Batch {
     /// Reads the next batch into the same buffer; false at the end of input.
     pub fn read(&mut self, input: &mut impl Read) -> Result<bool, String> {
-        let mut header = [0; HEADER];
-        let mut have = 0;
-        while have < HEADER {
-            match input.read(&mut header[have..]) {
-                Ok(0) if have == 0 => return Ok(false),
-                Ok(0) => return Err(format!("batch header: input ends after {have} of {HEADER} bytes")),
-                Ok(n) => have += n,
+        let mut header = [0; HEADER_SIZE];
+        let mut received = 0;
+        while received < HEADER_SIZE {
+            match input.read(&mut header[received..]) {
+                Ok(0) if received == 0 => return Ok(false),
+                Ok(0) => {
+                    return Err(format!("batch header: input ends after {received} of {HEADER_SIZE} bytes"))
+                }
+                Ok(n) => received += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(format!("batch header: {e}")),
             }
@@ -72,10 +74,10 @@
         if !self.clock.is_finite() {
             return Err("batch header: the clock is not a number".into());
         }
-        if !(4..=LONGEST).contains(&length) {
+        if !(4..=MAX_BATCH_SIZE).contains(&length) {
             return Err(format!("batch header: a length of {length} bytes is out of range"));
         }
-        if self.records > (length - 4) / EVENT {
+        if self.records > (length - 4) / EVENT_SIZE {
             return Err(format!("batch header: {} records do not fit in {length} bytes", self.records));
         }
         self.body.resize(length - 4, 0);
@@ -85,16 +87,17 @@
     }
 
     pub fn record(&self, number: usize) -> Fields<'_> {
-        Fields(&self.body[number * EVENT..(number + 1) * EVENT])
+        Fields(&self.body[number * EVENT_SIZE..(number + 1) * EVENT_SIZE])
     }
 
     /// The stretch of the tail that the field at `at` of a record names, in units of `unit` bytes.
-    pub fn tail(&self, record: Fields, at: usize, unit: usize) -> Result<&[u8], String> {
-        let tail = &self.body[self.records * EVENT..];
-        let (from, count) = (record.u32(at) as usize, record.u32(at + 4) as usize);
+    pub fn tail(&self, record: Fields, offset: usize, unit: usize) -> Result<&[u8], String> {
+        let tail = &self.body[self.records * EVENT_SIZE..];
+        let (from, count) = (record.u32(offset) as usize, record.u32(offset + 4) as usize);
         let to = count.checked_mul(unit).and_then(|size| from.checked_add(size));
-        to.and_then(|to| tail.get(from..to))
-            .ok_or_else(|| format!("tail: {count} x {unit} bytes at {from} leave the {} there", tail.len()))
+        to.and_then(|to| tail.get(from..to)).ok_or_else(|| {
+            format!("tail: {count} x {unit} bytes at offset {from} exceed the tail of {} bytes", tail.len())
+        })
     }
 }
 
@@ -120,14 +123,14 @@
         for field in fields {
             self.frame.extend_from_slice(field);
         }
-        self.frame.resize(start + ACTION, 0);
+        self.frame.resize(start + ACTION_SIZE, 0);
         self.records += 1;
     }
     /// Adds a record whose only field is a text in the tail.
     pub fn push_text(&mut self, code: u8, text: &str) {
-        let (at, length) = (self.tail.len() as u32, text.len() as u32);
+        let (offset, length) = (self.tail.len() as u32, text.len() as u32);
         self.tail.extend_from_slice(text.as_bytes());
-        self.push(code, &[&at.to_be_bytes(), &length.to_be_bytes()]);
+        self.push(code, &[&offset.to_be_bytes(), &length.to_be_bytes()]);
     }
     /// The finished frame.
     pub fn finish(&mut self) -> &[u8] {
@@ -152,7 +155,7 @@
     }
 
     #[test]
-    fn broken_frames_are_named() {
+    fn errors_of_corrupt_frames_name_the_part_and_the_size() {
         assert_eq!(batch(4, 0, &[]), Ok(true));
         assert_eq!(Batch::default().read(&mut &[][..]), Ok(false));
         assert!(Batch::default().read(&mut &[0; 9][..]).unwrap_err().contains("after 9 of 16"));
@@ -162,11 +165,11 @@
     }
 
     #[test]
-    fn tail_offsets_stay_inside() {
-        let mut batch = Batch { clock: 0.0, records: 1, body: vec![0; EVENT + 3] };
+    fn a_stretch_beyond_the_end_of_the_tail_is_an_error() {
+        let mut batch = Batch { clock: 0.0, records: 1, body: vec![0; EVENT_SIZE + 3] };
         batch.body[4] = 3;
         assert_eq!(batch.tail(batch.record(0), 1, 1).map(<[u8]>::len), Ok(0));
         batch.body[8] = 1;
-        assert!(batch.tail(batch.record(0), 1, 1).unwrap_err().contains("leave the 3"));
+        assert!(batch.tail(batch.record(0), 1, 1).unwrap_err().contains("exceed the tail of 3 bytes"));
     }
 }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -14,20 +14,20 @@
         match batch.read(&mut input) {
             Ok(true) => {}
             Ok(false) => return ExitCode::SUCCESS,
-            Err(why) => {
-                eprintln!("shalespindle-adapter: {why}");
+            Err(error) => {
+                eprintln!("shalespindle-adapter: {error}");
                 return ExitCode::FAILURE;
             }
         }
         let answered = host.answer(&batch, &mut reply);
-        if let Err(why) = &answered {
-            eprintln!("shalespindle-adapter: {why}");
+        if let Err(error) = &answered {
+            eprintln!("shalespindle-adapter: {error}");
             reply.clear();
-            reply.push_text(50, why);
+            reply.push_text(host::action_code::ERROR, error);
         }
         let written = output.write_all(reply.finish()).and_then(|()| output.flush());
-        if let Err(why) = written {
-            eprintln!("shalespindle-adapter: reply: {why}");
+        if let Err(error) = written {
+            eprintln!("shalespindle-adapter: reply: {error}");
             return ExitCode::FAILURE;
         }
         if answered.is_err() {
