--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -1,15 +1,20 @@
-//! The wire's frames: big-endian records in, records out. Knows bytes, not meanings.
+//! Frames of the bench's wire: reads batches of big-endian event records and writes replies of action
+//! records. The meaning of the records is in `host`.
 
 use std::io::{self, Read};
 
+/// Size of an event record, bytes.
 pub const EVENT_SIZE: usize = 56;
+/// Size of an action record, bytes.
 pub const ACTION_SIZE: usize = 24;
+/// Size of one entry of a pool list in the tail, bytes.
 pub const POOL_ENTRY_SIZE: usize = 25;
+/// Size of a batch header, bytes: clock, length of the rest after the length field, number of records.
 const HEADER_SIZE: usize = 16;
-/// A batch can run to megabytes; a length beyond this is taken for a broken stream.
+/// Longest batch, bytes. Batches of megabytes occur; a length beyond this means that the stream is corrupt.
 const MAX_BATCH_SIZE: usize = 1 << 30;
 
-/// Big-endian fields of one record or of the tail, by byte position.
+/// Big-endian fields of one record or of a stretch of the tail, by byte offset.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(pub &'a [u8]);
 
@@ -37,13 +42,13 @@
     pub fn f64(self, offset: usize) -> f64 {
         f64::from_be_bytes(self.bytes_at(offset))
     }
-    /// Four bytes of address and a port, as one number.
+    /// An IPv4 address and a port as one number: address in bits 16 to 47, port in bits 0 to 15.
     pub fn server(self, offset: usize) -> u64 {
         u64::from(self.u32(offset)) << 16 | u64::from(self.u16(offset + 4))
     }
 }
 
-/// One batch: its clock, its records and its tail.
+/// One batch of events: clock in seconds, records and tail.
 #[derive(Default)]
 pub struct Batch {
     pub clock: f64,
@@ -52,7 +57,7 @@
 }
 
 impl Batch {
-    /// Reads the next batch into the same buffer; false at the end of input.
+    /// Reads the next batch into the same buffer. Returns false at the end of the input.
     pub fn read(&mut self, input: &mut impl Read) -> Result<bool, String> {
         let mut header = [0; HEADER_SIZE];
         let mut received = 0;
@@ -86,11 +91,13 @@
         Ok(true)
     }
 
+    /// Event record number `number`, from 0.
     pub fn record(&self, number: usize) -> Fields<'_> {
         Fields(&self.body[number * EVENT_SIZE..(number + 1) * EVENT_SIZE])
     }
 
-    /// The stretch of the tail that the field at `at` of a record names, in units of `unit` bytes.
+    /// Returns the stretch of the tail to which the field at `offset` of a record refers: a byte offset into
+    /// the tail and a count of units of `unit` bytes.
     pub fn tail(&self, record: Fields, offset: usize, unit: usize) -> Result<&[u8], String> {
         let tail = &self.body[self.records * EVENT_SIZE..];
         let (from, count) = (record.u32(offset) as usize, record.u32(offset + 4) as usize);
@@ -101,7 +108,7 @@
     }
 }
 
-/// One reply under construction.
+/// A reply under construction.
 #[derive(Default)]
 pub struct Reply {
     frame: Vec<u8>,
@@ -110,13 +117,14 @@
 }
 
 impl Reply {
+    /// Starts a new reply in the same buffers.
     pub fn clear(&mut self) {
         self.frame.clear();
         self.frame.resize(8, 0);
         self.tail.clear();
         self.records = 0;
     }
-    /// Adds a record: its code and the bytes of its fields in order.
+    /// Adds an action record: its code and the bytes of its fields in order, padded with zeros.
     pub fn push(&mut self, code: u8, fields: &[&[u8]]) {
         let start = self.frame.len();
         self.frame.push(code);
@@ -126,13 +134,13 @@
         self.frame.resize(start + ACTION_SIZE, 0);
         self.records += 1;
     }
-    /// Adds a record whose only field is a text in the tail.
+    /// Adds an action record whose only field refers to a text in the tail.
     pub fn push_text(&mut self, code: u8, text: &str) {
         let (offset, length) = (self.tail.len() as u32, text.len() as u32);
         self.tail.extend_from_slice(text.as_bytes());
         self.push(code, &[&offset.to_be_bytes(), &length.to_be_bytes()]);
     }
-    /// The finished frame.
+    /// Completes the frame and returns it.
     pub fn finish(&mut self) -> &[u8] {
         self.frame.extend_from_slice(&self.tail);
         let length = (self.frame.len() - 4) as u32;
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,5 @@
-//! Hosts the instances: turns a batch's records into calls on the module and its decisions into records.
+//! Hosts instances of the decision module: turns the event records of a batch into calls of the module and
+//! its decisions into action records.
 
 use crate::codec::{Batch, Fields, Reply, POOL_ENTRY_SIZE};
 use shalespindle_control::control::Control;
@@ -6,6 +7,7 @@
 use shalespindle_startup::{decode, ReportLayout, Startup};
 use std::collections::BTreeMap;
 
+/// Codes of the event records.
 mod event_code {
     pub const BOOT: u8 = 10;
     pub const ANNOUNCE: u8 = 20;
@@ -15,12 +17,14 @@
     pub const CLIENT_LEFT: u8 = 60;
     pub const WAKE: u8 = 70;
     pub const POOL_REPORT: u8 = 80;
+    /// Accepted and ignored.
     pub const IGNORED: u8 = 90;
     pub const KILL: u8 = 100;
     pub const REGISTER_LIST: u8 = 110;
     pub const TARGET: u8 = 120;
 }
 
+/// Codes of the action records.
 pub mod action_code {
     pub const ABORT: u8 = 10;
     pub const SET_UP: u8 = 20;
@@ -32,24 +36,28 @@
     pub const PROBE: u8 = 100;
 }
 
+/// One running instance of the decision module.
 struct Instance {
     control: Control,
     report_layout: ReportLayout,
-    /// Whether an event in this batch was addressed to it, so that it may act.
+    /// Whether an event of this batch was addressed to the instance; only then its decisions are pulled.
     addressed: bool,
 }
 
+/// All instances of this process.
 #[derive(Default)]
 pub struct Host {
+    /// By the number under which the bench addresses them.
     instances: BTreeMap<u32, Instance>,
-    /// The numbered lists of this process; a number is resolved in the order of events.
+    /// Registered pool lists by number. A number refers to the list registered last before the event that
+    /// uses it.
     lists: BTreeMap<u32, Vec<PoolEntry>>,
 }
 
 impl Host {
-    /// Takes in a whole batch, then pulls each called instance's decisions. All of an instance's events
-    /// carry the same clock, so none of its decisions has to come between two of them; a `kill` drops
-    /// what it held before the next `boot` is read.
+    /// Applies a whole batch, then pulls the decisions of each instance that an event was addressed to. All
+    /// events of a batch have the same clock, so no decision has to be made between two of them. A `kill`
+    /// event drops an instance with its state before a later `boot` of the same number is applied.
     pub fn answer(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), String> {
         reply.clear();
         let mut target = None;
@@ -72,6 +80,7 @@
         Ok(())
     }
 
+    /// Applies one event; `target` is the instance that it is addressed to, as set by an earlier event.
     fn apply(&mut self, batch: &Batch, event: Fields, target: &mut Option<u32>) -> Result<(), String> {
         let now = batch.clock;
         match event.u8(0) {
@@ -136,7 +145,7 @@
             event_code::CLIENT_LEFT => control.client_left(now, event.u32(1)),
             event_code::WAKE => control.wake(now),
             event_code::POOL_REPORT => {
-                // Unasked news of free lines is an answer that took no time at all.
+                // A report of free lines that no probe asked for comes as an answer that took no time.
                 let probed = event.f64(9) > 0.0 && event.u16(7) == 100;
                 let report = report(event, 17, layout);
                 control.pool_reported(now, event.server(1), probed, report);
@@ -148,10 +157,13 @@
     }
 }
 
+/// Decodes one row of a pool list.
 fn pool_entry(row: Fields) -> PoolEntry {
     PoolEntry { id: row.server(18), number: row.u16(0), started: row.f64(10), ready: row.u8(24) == 1 }
 }
 
+/// Decodes the statistics at byte `offset` of an event: a count and up to four numbers. A negative number
+/// means that the value is absent.
 fn report(event: Fields, offset: usize, layout: ReportLayout) -> Report {
     let count = usize::from(event.u8(offset));
     let value = |index: Option<usize>| {
@@ -165,6 +177,8 @@
     }
 }
 
+/// Decodes how a setup try or an established attach ended. The low four bits of `cause` tell why a processor
+/// was too busy: 1 means no free agent, 3 means that the remaining bits hold the wait in milliseconds.
 fn end_reason(disposition: u16, cause: u32, layout: ReportLayout) -> Result<EndReason, String> {
     let wait = (layout.throttled_includes_wait && cause % 16 == 3).then(|| f64::from(cause / 16) / 1000.0);
     Ok(match disposition {
@@ -180,6 +194,7 @@
     })
 }
 
+/// Appends a decision to the reply as an action record.
 fn encode(decision: Decision, reply: &mut Reply) {
     let server = |id: u64| -> [u8; 6] {
         let bytes = id.to_be_bytes();
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,6 @@
-//! shalespindle-adapter: the decision module on the bench's wire.
+//! shalespindle-adapter: runs instances of the decision module behind the bench's wire protocol, on standard
+//! input and output. An error is written to standard error, sent to the bench as a text record, and ends the
+//! process.
 
 mod codec;
 mod host;
