--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -91,8 +91,9 @@
 
 /// From bytes; a fault names its line and column.
 pub fn decode(text: &[u8]) -> Result<Startup, String> {
-    let text: StartupSettings = serde_json::from_slice(text).map_err(|e| format!("boot: settings: {e}"))?;
-    text.into_startup().map_err(|why| format!("boot: {why}"))
+    let settings: StartupSettings =
+        serde_json::from_slice(text).map_err(|e| format!("boot: settings: {e}"))?;
+    settings.into_startup().map_err(|error| format!("boot: {error}"))
 }
 
 impl StartupSettings {
@@ -111,13 +112,13 @@
             max_pending_attaches: self.limits.most_held,
             connect_timeout: self.limits.dial_timeout_s,
         };
-        let mut cells = self.domain.class_cells.into_iter();
+        let mut class_pools = self.domain.class_cells.into_iter();
         let procedures = self.classes.iter().map(|c| Procedure {
             latency_target: c.aim_s,
             utility: c.worth,
             late_share: c.late_share,
             t_timer: c.deadline_s,
-            pools: cells.next().unwrap_or_default(),
+            pools: class_pools.next().unwrap_or_default(),
         });
         let deployment = Deployment {
             procedures: procedures.collect(),
@@ -138,38 +139,40 @@
 
     fn check(&self) -> Result<(), String> {
         if self.classes.is_empty() {
-            return Err("settings.classes is empty; one procedure at least is allowed".into());
+            return Err("settings.classes is empty; at least one class is needed".into());
         }
-        for (place, class) in self.classes.iter().enumerate() {
-            let of = |key: &str| format!("classes[{place}].{key}");
-            time(&of("aim_s"), class.aim_s)?;
-            time(&of("deadline_s"), class.deadline_s)?;
-            within(&of("worth"), class.worth, 0.0, MOST)?;
-            within(&of("late_share"), class.late_share, 0.0, 1.0)?;
-            let earlier = &self.classes[..place];
+        for (index, class) in self.classes.iter().enumerate() {
+            let key_path = |key: &str| format!("classes[{index}].{key}");
+            check_time(&key_path("aim_s"), class.aim_s)?;
+            check_time(&key_path("deadline_s"), class.deadline_s)?;
+            check_range(&key_path("worth"), class.worth, 0.0, MAX_VALUE)?;
+            check_range(&key_path("late_share"), class.late_share, 0.0, 1.0)?;
+            let earlier = &self.classes[..index];
             if !class.name.is_empty() && earlier.iter().any(|c| c.name == class.name) {
                 return Err(format!(
-                    "settings.{} is {:?} again; each name once is allowed",
-                    of("name"),
+                    "settings.{} is {:?}, the name of an earlier class; only unique names are allowed",
+                    key_path("name"),
                     class.name
                 ));
             }
         }
         if self.classes.iter().all(|c| c.worth == 0.0) {
-            return Err("settings.classes: worth is 0 of all; more than 0 of one at least is needed".into());
+            return Err(
+                "settings.classes: worth is 0 in all classes; more than 0 is needed in at least one".into()
+            );
         }
         let (cells, classes) = (self.domain.class_cells.len(), self.classes.len());
         if cells < classes {
             return Err(format!(
-                "settings.domain.class_cells has {cells} lists; one for each of {classes} is needed"
+                "settings.domain.class_cells has {cells} lists; one for each of the {classes} classes is needed"
             ));
         }
-        time("limits.dial_timeout_s", self.limits.dial_timeout_s)?;
-        time("safety.warm_after_s", self.safety.warm_after_s)?;
-        time("safety.fall_s", self.safety.fall_s)?;
-        within("domain.guard_s", self.domain.guard_s, 0.0, MOST_SECONDS)?;
-        within("limits.max_retry_after_s", self.limits.max_retry_after_s, 0.0, MOST_SECONDS)?;
-        within("safety.tip_multiple", self.safety.tip_multiple, 1.0, MOST)?;
+        check_time("limits.dial_timeout_s", self.limits.dial_timeout_s)?;
+        check_time("safety.warm_after_s", self.safety.warm_after_s)?;
+        check_time("safety.fall_s", self.safety.fall_s)?;
+        check_range("domain.guard_s", self.domain.guard_s, 0.0, MAX_SECONDS)?;
+        check_range("limits.max_retry_after_s", self.limits.max_retry_after_s, 0.0, MAX_SECONDS)?;
+        check_range("safety.tip_multiple", self.safety.tip_multiple, 1.0, MAX_VALUE)?;
         if !(self.safety.start_capacity > 0.0 && self.safety.start_capacity <= 1.0) {
             let found = self.safety.start_capacity;
             return Err(format!(
@@ -187,21 +190,21 @@
 }
 
 /// No time of a deployment is longer, seconds: past it hosts could not take it for a time at all.
-const MOST_SECONDS: f64 = 86_400.0;
+const MAX_SECONDS: f64 = 86_400.0;
 /// No other figure is higher.
-const MOST: f64 = 1e9;
+const MAX_VALUE: f64 = 1e9;
 
-fn time(place: &str, value: f64) -> Result<(), String> {
-    match value > 0.0 && value <= MOST_SECONDS {
+fn check_time(key: &str, value: f64) -> Result<(), String> {
+    match value > 0.0 && value <= MAX_SECONDS {
         true => Ok(()),
-        false => Err(format!("settings.{place} is {value}; more than 0, up to {MOST_SECONDS} is allowed")),
+        false => Err(format!("settings.{key} is {value}; more than 0, up to {MAX_SECONDS} is allowed")),
     }
 }
 
-fn within(place: &str, value: f64, least: f64, most: f64) -> Result<(), String> {
-    match value >= least && value <= most {
+fn check_range(key: &str, value: f64, min: f64, max: f64) -> Result<(), String> {
+    match value >= min && value <= max {
         true => Ok(()),
-        false => Err(format!("settings.{place} is {value}; {least} or more, up to {most} is allowed")),
+        false => Err(format!("settings.{key} is {value}; {min} or more, up to {max} is allowed")),
     }
 }
 
