--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -1,10 +1,10 @@
-//! The start-up settings as the operators write them, decoded once into what the decision module needs and
-//! what its hosts need beside it: the adapter on the simulator's wire, the live front on sockets.
+//! Decodes the operators' start-up settings (JSON) into the parameters of the decision module and those of
+//! its hosts. Hosts are the adapter on the bench's wire and the live front on sockets.
 
 use serde::Deserialize;
 use shalespindle_control::interface::{ColdStart, Deployment, Procedure};
 
-/// The settings as they are written; keys that nobody here reads are passed over.
+/// The settings as written. Field names are the JSON keys; unknown keys are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StartupSettings {
     classes: Vec<Class>,
@@ -14,40 +14,57 @@
     stats: Stats,
 }
 
+/// One procedure.
 #[derive(Clone, Debug, Deserialize)]
 struct Class {
     #[serde(default)]
     name: String,
+    /// Latency target, seconds.
     aim_s: f64,
+    /// T-timer, seconds.
     deadline_s: f64,
+    /// Fraction of the utility that is earned after the latency target.
     late_share: f64,
+    /// Utility.
     worth: f64,
 }
 
+/// The network of servers.
 #[derive(Clone, Debug, Deserialize)]
 struct Domain {
+    /// For each class, the numbers of the pools that can serve it.
     class_cells: Vec<Vec<u16>>,
+    /// Release guard, seconds.
     guard_s: f64,
+    /// Whether a throttled set-up names the processor's wait.
     tells_wait: bool,
 }
 
+/// What a front may do, and how much of it.
 #[derive(Clone, Debug, Deserialize)]
 struct Limits {
+    /// Whether setup tries may be cancelled.
     cancelling: bool,
     dial_timeout_s: f64,
+    /// Maximum number of setup tries of one attach.
     max_attempts: u32,
     max_retry_after_s: f64,
+    /// Maximum number of pending attaches.
     most_held: usize,
+    /// Whether pools may be probed.
     probes: bool,
+    /// Whether a refused caller may be advised to wait.
     retry_after: bool,
 }
 
+/// Capacity of processors after a start; see [`ColdStart`].
 #[derive(Clone, Debug, Deserialize)]
 struct Safety {
     start_capacity: f64,
     warm_after_s: f64,
+    /// Overload multiple.
     tip_multiple: f64,
-    /// Named by the platform since its first page; where it is not, a second.
+    /// Overload window, seconds. Every platform has sent it from the start; one second where it is absent.
     #[serde(default = "one_second")]
     fall_s: f64,
 }
@@ -56,32 +73,35 @@
     1.0
 }
 
+/// Statistics that processors report.
 #[derive(Clone, Debug, Deserialize)]
 struct Stats {
+    /// Names in the order in which the values are sent.
     fields: Vec<String>,
 }
 
-/// Where the wire puts what the module is told; needed to decode later events.
+/// Position of each value in the reported statistics; needed to decode later events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportLayout {
     pub free_agents_index: Option<usize>,
     pub agents_index: Option<usize>,
     pub wait_index: Option<usize>,
+    /// Whether a throttled set-up names the processor's wait.
     pub throttled_includes_wait: bool,
 }
 
-/// What a host needs to know itself.
+/// Parameters of the host itself.
 #[derive(Clone, Debug, Default)]
 pub struct HostParams {
     /// Names of the procedures, in the deployment's order.
     pub procedure_names: Vec<String>,
-    /// Attaches that may be in hand at once.
+    /// Maximum number of attaches pending at the same time.
     pub max_pending_attaches: usize,
-    /// A connection that is not up within this counts as not made, seconds.
+    /// A connection attempt fails after this time, seconds.
     pub connect_timeout: f64,
 }
 
-/// The settings, taken apart by who needs them.
+/// The settings, divided by the component that uses them.
 #[derive(Clone, Debug, Default)]
 pub struct Startup {
     pub deployment: Deployment,
@@ -89,7 +109,7 @@
     pub host: HostParams,
 }
 
-/// From bytes; a fault names its line and column.
+/// Decodes the JSON text; a syntax error names its line and column.
 pub fn decode(text: &[u8]) -> Result<Startup, String> {
     let settings: StartupSettings =
         serde_json::from_slice(text).map_err(|e| format!("boot: settings: {e}"))?;
@@ -97,7 +117,7 @@
 }
 
 impl StartupSettings {
-    /// Checks the figures and takes them apart; a fault names its key and what is allowed.
+    /// Checks the values and divides them; an error names the key and the allowed range.
     pub fn into_startup(self) -> Result<Startup, String> {
         self.check()?;
         let fields = &self.stats.fields;
@@ -137,6 +157,7 @@
         Ok(Startup { deployment, report_layout, host })
     }
 
+    /// Checks that every value is within its range and that the lists agree.
     fn check(&self) -> Result<(), String> {
         if self.classes.is_empty() {
             return Err("settings.classes is empty; at least one class is needed".into());
@@ -189,11 +210,12 @@
     }
 }
 
-/// No time of a deployment is longer, seconds: past it hosts could not take it for a time at all.
+/// Longest time that a setting may have, seconds; hosts cannot represent arbitrarily long times.
 const MAX_SECONDS: f64 = 86_400.0;
-/// No other figure is higher.
+/// Highest value of any other number.
 const MAX_VALUE: f64 = 1e9;
 
+/// Checks a time in seconds.
 fn check_time(key: &str, value: f64) -> Result<(), String> {
     match value > 0.0 && value <= MAX_SECONDS {
         true => Ok(()),
@@ -201,6 +223,7 @@
     }
 }
 
+/// Checks a number against its range.
 fn check_range(key: &str, value: f64, min: f64, max: f64) -> Result<(), String> {
     match value >= min && value <= max {
         true => Ok(()),
--- a/crates/startup/src/tests.rs
+++ b/crates/startup/src/tests.rs
@@ -1,3 +1,5 @@
+//! Decoding and checking of the start-up settings.
+
 use super::*;
 
 const VALID: &str = r#"{"classes": [{"aim_s": 2.0, "deadline_s": 9.0, "late_share": 0.25, "name": "login",
