--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -4,10 +4,10 @@
 use shalespindle_control::interface::*;
 use std::collections::BTreeMap;
 
-pub const GUARD: f64 = 0.5;
-const SLACK: f64 = 0.02;
-const MULTIPLE: f64 = 2.0;
-const WINDOW: f64 = 1.0;
+pub const RELEASE_GUARD: f64 = 0.5;
+const TIME_TOLERANCE: f64 = 0.02;
+const OVERLOAD_MULTIPLE: f64 = 2.0;
+const OVERLOAD_WINDOW: f64 = 1.0;
 pub const PATIENCE: f64 = 3.0;
 
 pub fn deployment() -> Deployment {
@@ -23,42 +23,42 @@
         may_probe: true,
         may_cancel: true,
         max_tries: 4,
-        release_guard: GUARD,
+        release_guard: RELEASE_GUARD,
         max_pause: 2.0,
         cold: ColdStart {
             start_capacity: 0.3,
             warm_after: 15.0,
-            overload_multiple: MULTIPLE,
+            overload_multiple: OVERLOAD_MULTIPLE,
             overload_window: 1.0,
         },
     }
 }
 
-pub fn entry(name: PoolId, started: f64, ready: bool) -> PoolEntry {
-    PoolEntry { id: name, number: name as u16, started, ready }
+pub fn entry(id: PoolId, started: f64, ready: bool) -> PoolEntry {
+    PoolEntry { id, number: id as u16, started, ready }
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Try {
+pub struct SetupTry {
     pub pool: PoolId,
-    pub sent: f64,
-    pub ends: f64,
+    pub sent_at: f64,
+    pub times_out_at: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct OpenAttach {
     gives_up_at: f64,
-    released_at: f64,
-    out: Option<Try>,
+    guard_ends_at: f64,
+    setup_try: Option<SetupTry>,
 }
 
 pub struct World {
     pub control: Control,
     pub now: f64,
     pub decisions: Vec<Decision>,
-    pub broken: Option<String>,
+    pub violation: Option<String>,
     pub started: f64,
-    open: BTreeMap<UeId, Open>,
+    open: BTreeMap<UeId, OpenAttach>,
     ready: BTreeMap<PoolId, PoolEntry>,
     sent: BTreeMap<PoolId, Vec<f64>>,
     wakes: Vec<f64>,
@@ -73,7 +73,7 @@
             control: Control::new(seed, deployment, now),
             now,
             decisions: Vec::new(),
-            broken: None,
+            violation: None,
             started: now,
             open: BTreeMap::new(),
             ready: BTreeMap::new(),
@@ -82,12 +82,12 @@
             next_ue: 0,
             arrivals: 0,
         };
-        world.list(&[entry(0, 0.0, true), entry(1, 0.0, true), entry(2, 0.0, true)], true);
+        world.update_list(&[entry(0, 0.0, true), entry(1, 0.0, true), entry(2, 0.0, true)], true);
         world
     }
 
-    pub fn list(&mut self, entries: &[PoolEntry], whole: bool) {
-        if whole {
+    pub fn update_list(&mut self, entries: &[PoolEntry], complete: bool) {
+        if complete {
             self.ready.clear();
         }
         for e in entries {
@@ -97,11 +97,11 @@
                 self.ready.remove(&e.id);
             }
         }
-        self.control.pools_listed(self.now, entries, whole);
+        self.control.pools_listed(self.now, entries, complete);
         self.pull();
     }
 
-    pub fn told(&mut self, pool: PoolId, probed: bool, report: Report) {
+    pub fn report(&mut self, pool: PoolId, probed: bool, report: Report) {
         self.control.pool_reported(self.now, pool, probed, report);
     }
 
@@ -110,7 +110,7 @@
         self.next_ue += 1;
         self.arrivals += 1;
         let gives_up_at = self.now + patience;
-        self.open.insert(ue, Open { gives_up_at, released_at: 0.0, out: None });
+        self.open.insert(ue, OpenAttach { gives_up_at, guard_ends_at: 0.0, setup_try: None });
         self.control.attach_arrived(
             self.now,
             NewAttach { ue, procedure, first_choice, called_number: 0, gives_up_at },
@@ -119,50 +119,56 @@
         ue
     }
 
-    pub fn out(&self) -> Vec<(UeId, Try)> {
-        self.open.iter().filter_map(|(ue, o)| o.out.map(|t| (*ue, t))).collect()
+    pub fn tries_in_progress(&self) -> Vec<(UeId, SetupTry)> {
+        self.open.iter().filter_map(|(ue, o)| o.setup_try.map(|t| (*ue, t))).collect()
     }
 
-    pub fn stands(&mut self, ue: UeId) {
-        let Some(Open { out: Some(sent), .. }) = self.open.remove(&ue) else {
+    pub fn establish(&mut self, ue: UeId) {
+        let Some(OpenAttach { setup_try: Some(setup_try), .. }) = self.open.remove(&ue) else {
             return;
         };
-        self.control.attach_established(self.now, ue, sent.pool, self.now - sent.sent);
+        self.control.attach_established(self.now, ue, setup_try.pool, self.now - setup_try.sent_at);
         self.pull();
     }
 
-    pub fn ends(&mut self, ue: UeId, ended: EndReason, report: Report) {
+    pub fn end_try(&mut self, ue: UeId, reason: EndReason, report: Report) {
         let Some(open) = self.open.get_mut(&ue) else {
             return;
         };
-        let Some(sent) = open.out.take() else { return };
-        if matches!(ended, EndReason::TimedOut | EndReason::Cut | EndReason::Cancelled) {
-            open.released_at = self.now + GUARD;
+        let Some(setup_try) = open.setup_try.take() else { return };
+        if matches!(reason, EndReason::TimedOut | EndReason::Cut | EndReason::Cancelled) {
+            open.guard_ends_at = self.now + RELEASE_GUARD;
         }
-        self.control.try_ended(self.now, ue, sent.pool, ended, false, report);
+        self.control.try_ended(self.now, ue, setup_try.pool, reason, false, report);
         self.pull();
     }
 
-    pub fn leave(&mut self, ue: UeId) {
+    pub fn client_leaves(&mut self, ue: UeId) {
         self.open.remove(&ue);
         self.control.client_left(self.now, ue);
         self.pull();
     }
 
     /// Moves the clock on; time-outs and wake-ups come when they are due.
-    pub fn pass(&mut self, seconds: f64) {
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         loop {
-            let ends = self.out().iter().map(|(_, t)| t.ends).fold(f64::INFINITY, f64::min);
+            let times_out_at =
+                self.tries_in_progress().iter().map(|(_, t)| t.times_out_at).fold(f64::INFINITY, f64::min);
             let wake = self.wakes.iter().copied().fold(f64::INFINITY, f64::min);
-            let next = ends.min(wake);
+            let next = times_out_at.min(wake);
             if next > until {
                 break;
             }
             self.now = next.max(self.now);
-            let due: Vec<UeId> = self.out().iter().filter(|(_, t)| t.ends <= next).map(|o| o.0).collect();
-            for ue in due {
-                self.ends(ue, EndReason::TimedOut, Report::default());
+            let timed_out: Vec<UeId> = self
+                .tries_in_progress()
+                .iter()
+                .filter(|(_, t)| t.times_out_at <= next)
+                .map(|o| o.0)
+                .collect();
+            for ue in timed_out {
+                self.end_try(ue, EndReason::TimedOut, Report::default());
             }
             if wake <= next {
                 self.wakes.retain(|&w| w > next);
@@ -180,7 +186,7 @@
             match decision {
                 Decision::SetUp { ue, pool, timeout } => self.check_set_up(ue, pool, timeout),
                 Decision::Refuse { ue, .. } | Decision::Abort { ue } => self.check_final(ue),
-                Decision::Cancel { ue, .. } => self.ends(ue, EndReason::Cancelled, Report::default()),
+                Decision::Cancel { ue, .. } => self.end_try(ue, EndReason::Cancelled, Report::default()),
                 Decision::Probe { .. } => {}
                 Decision::Wake { after } => self.wakes.push(self.now + after),
             }
@@ -188,57 +194,67 @@
         self.check_answers();
     }
 
-    fn fault(&mut self, rule: u32, what: String) {
-        self.broken.get_or_insert(format!("rule {rule} at {}: {what}", self.now));
+    fn record_violation(&mut self, rule: u32, what: String) {
+        self.violation.get_or_insert(format!("rule {rule} at {}: {what}", self.now));
     }
 
     fn check_final(&mut self, ue: UeId) {
         match self.open.remove(&ue) {
-            None => self.fault(1, format!("a second answer for {ue}")),
-            Some(Open { out: Some(t), .. }) => self.fault(1, format!("{ue} answered with {t:?} out")),
+            None => self.record_violation(1, format!("second final answer for {ue}")),
+            Some(OpenAttach { setup_try: Some(t), .. }) => {
+                self.record_violation(1, format!("final answer for {ue} while {t:?} is in progress"))
+            }
             Some(_) => {}
         }
     }
 
     fn check_answers(&mut self) {
-        let overdue = self.open.iter().find(|(_, o)| o.out.is_none() && self.now > o.gives_up_at + SLACK);
+        let overdue = self
+            .open
+            .iter()
+            .find(|(_, o)| o.setup_try.is_none() && self.now > o.gives_up_at + TIME_TOLERANCE);
         if let Some((ue, _)) = overdue {
-            self.fault(1, format!("{ue} has no answer"));
+            self.record_violation(1, format!("no final answer for {ue}"));
         }
     }
 
     fn check_set_up(&mut self, ue: UeId, pool: PoolId, timeout: f64) {
         let now = self.now;
         let Some(open) = self.open.get(&ue).copied() else {
-            return self.fault(1, format!("{ue} is sent after its end"));
+            return self.record_violation(1, format!("set-up of {ue} after its final answer"));
         };
-        if now + timeout > open.gives_up_at + SLACK {
-            self.fault(1, format!("{ue} is sent past its end"));
+        if now + timeout > open.gives_up_at + TIME_TOLERANCE {
+            self.record_violation(1, format!("timeout of {ue} after its caller gives up"));
         }
-        if open.out.is_some() {
-            self.fault(2, format!("{ue} has two setup tries out"));
+        if open.setup_try.is_some() {
+            self.record_violation(2, format!("two setup tries of {ue} in progress"));
         }
-        if now < open.released_at {
-            self.fault(5, format!("{ue} is sent again inside the guard"));
+        if now < open.guard_ends_at {
+            self.record_violation(5, format!("set-up of {ue} before the release guard ends"));
         }
-        let Some(listed) = self.ready.get(&pool).copied() else {
-            return self.fault(3, format!("{ue} is sent to {pool}, which is not ready"));
+        let Some(entry) = self.ready.get(&pool).copied() else {
+            return self.record_violation(3, format!("set-up of {ue} to {pool}, which is not in service"));
         };
         let sent = self.sent.entry(pool).or_default();
         sent.push(now);
         let cold = deployment().cold;
-        let age = (now - listed.started) / cold.warm_after;
+        let age = (now - entry.started) / cold.warm_after;
         if age < 1.0 {
             // Load 1: each pool, warm, can just do its part of all arrivals.
             let rate = f64::from(self.arrivals) / (now - self.started).max(1.0);
             let capacity = rate / self.ready.len() as f64;
-            let present = capacity * (cold.start_capacity + (1.0 - cold.start_capacity) * age);
-            let window = sent.iter().filter(|&&s| s > now - WINDOW && s >= listed.started).count() as f64;
+            let present_capacity = capacity * (cold.start_capacity + (1.0 - cold.start_capacity) * age);
+            let recent =
+                sent.iter().filter(|&&s| s > now - OVERLOAD_WINDOW && s >= entry.started).count() as f64;
             // Room for one set-up saved up and for one begun by chance.
-            if window > MULTIPLE * present * WINDOW + 2.0 {
-                self.fault(4, format!("{window} set-ups to cold {pool}, which can do {present}"));
+            if recent > OVERLOAD_MULTIPLE * present_capacity * OVERLOAD_WINDOW + 2.0 {
+                self.record_violation(
+                    4,
+                    format!("{recent} set-ups to cold {pool}, capacity {present_capacity} a second"),
+                );
             }
         }
-        self.open.get_mut(&ue).unwrap().out = Some(Try { pool, sent: now, ends: now + timeout });
+        self.open.get_mut(&ue).unwrap().setup_try =
+            Some(SetupTry { pool, sent_at: now, times_out_at: now + timeout });
     }
 }
--- a/crates/control/tests/liveness.rs
+++ b/crates/control/tests/liveness.rs
@@ -7,81 +7,81 @@
 
 /// Judges every tenth of a second until the server is gone or the time is up; asks as it is told to. Returns the times
 /// at which it was asked, and when it was gone.
-fn watch(liveness: &mut Liveness, from: f64, until: f64) -> (Vec<f64>, Option<f64>) {
-    let mut asked = Vec::new();
+fn run_until_dead(liveness: &mut Liveness, from: f64, until: f64) -> (Vec<f64>, Option<f64>) {
+    let mut probed = Vec::new();
     for step in 0.. {
         let now = from + STEP * f64::from(step);
         if now > until {
-            return (asked, None);
+            return (probed, None);
         }
         match liveness.evaluate(now, true) {
             LivenessStatus::Alive => {}
             LivenessStatus::ProbeDue => {
                 liveness.probe_sent(now);
-                asked.push(now);
+                probed.push(now);
             }
-            LivenessStatus::Dead => return (asked, Some(now)),
+            LivenessStatus::Dead => return (probed, Some(now)),
         }
     }
-    unreachable!("time passes")
+    unreachable!("the loop ends at `until`")
 }
 
 #[test]
-fn a_server_that_vanished_is_asked_and_gone_before_the_limit() {
+fn a_vanished_server_is_probed_and_dead_before_the_limit() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Test);
     liveness.message_received(100.0);
-    let (asked, gone) = watch(&mut liveness, 100.0, 120.0);
-    assert!(asked.len() >= 4 && asked[0] <= 102.2, "{asked:?}");
-    let gone = gone.unwrap();
-    assert!((106.9..107.2).contains(&gone), "{gone}");
+    let (probed, dead_at) = run_until_dead(&mut liveness, 100.0, 120.0);
+    assert!(probed.len() >= 4 && probed[0] <= 102.2, "{probed:?}");
+    let dead_at = dead_at.unwrap();
+    assert!((106.9..107.2).contains(&dead_at), "{dead_at}");
 }
 
 #[test]
-fn a_server_that_speaks_or_answers_is_never_gone() {
+fn a_server_that_answers_late_is_never_dead() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Test);
     liveness.message_received(0.0);
-    let mut asked = 0;
+    let mut probed = 0;
     for step in 0..1000 {
         let now = STEP * f64::from(step);
         match liveness.evaluate(now, true) {
             LivenessStatus::Alive => {}
             LivenessStatus::ProbeDue => {
-                asked += 1;
+                probed += 1;
                 liveness.probe_sent(now);
                 // Each answer is late by more than the next question.
-                if asked % 3 == 0 {
+                if probed % 3 == 0 {
                     liveness.message_received(now);
                 }
             }
-            LivenessStatus::Dead => panic!("gone at {now}"),
+            LivenessStatus::Dead => panic!("dead at {now}"),
         }
     }
-    assert!(asked > 50, "{asked}");
+    assert!(probed > 50, "{probed}");
 }
 
 /// A cut of six seconds that begins just before the next word.
 #[test]
-fn a_server_that_is_back_after_six_seconds_keeps_its_calls() {
+fn a_server_that_returns_after_six_seconds_keeps_its_calls() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Test);
     liveness.message_received(0.0);
-    assert_eq!(watch(&mut liveness, 0.0, 6.5).1, None);
+    assert_eq!(run_until_dead(&mut liveness, 0.0, 6.5).1, None);
     liveness.message_received(6.6);
-    assert_eq!(watch(&mut liveness, 6.6, 13.0).1, None);
+    assert_eq!(run_until_dead(&mut liveness, 6.6, 13.0).1, None);
 }
 
 #[test]
-fn without_calls_nobody_is_asked_and_silence_from_before_them_counts_only_once_asked() {
+fn without_calls_no_probe_is_due_and_earlier_silence_counts_only_after_a_probe() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Test);
     liveness.message_received(0.0);
     assert_eq!(liveness.evaluate(50.0, false), LivenessStatus::Alive);
-    let (asked, gone) = watch(&mut liveness, 60.0, 70.0);
-    assert_eq!(asked[0], 60.0);
-    let gone = gone.unwrap();
-    assert!((61.0..61.2).contains(&gone), "{gone}");
+    let (probed, dead_at) = run_until_dead(&mut liveness, 60.0, 70.0);
+    assert_eq!(probed[0], 60.0);
+    let dead_at = dead_at.unwrap();
+    assert!((61.0..61.2).contains(&dead_at), "{dead_at}");
 }
 
 #[test]
-fn a_front_that_stood_still_asks_before_it_judges() {
+fn after_a_stall_the_front_probes_before_it_declares_a_server_dead() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Test);
     liveness.message_received(0.0);
     assert_eq!(liveness.evaluate(0.1, true), LivenessStatus::Alive);
@@ -94,32 +94,32 @@
 
 /// A call that was handed over: it may have ended long before this front knew of it.
 #[test]
-fn a_server_never_heard_is_asked_at_once_and_gone_sooner() {
+fn a_server_without_any_message_is_probed_at_once_and_dead_sooner() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Test);
-    let (asked, gone) = watch(&mut liveness, 10.0, 20.0);
-    assert_eq!(asked[0], 10.0);
-    let gone = gone.unwrap();
-    assert!((13.0..13.2).contains(&gone), "{gone}");
+    let (probed, dead_at) = run_until_dead(&mut liveness, 10.0, 20.0);
+    assert_eq!(probed[0], 10.0);
+    let dead_at = dead_at.unwrap();
+    assert!((13.0..13.2).contains(&dead_at), "{dead_at}");
 }
 
 #[test]
-fn where_tests_are_not_allowed_it_is_asked_less_often_and_gone_as_soon() {
+fn without_tests_a_server_is_probed_less_often_and_dead_as_soon() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Dial);
     liveness.message_received(0.0);
-    let (asked, gone) = watch(&mut liveness, 0.0, 20.0);
-    assert_eq!(asked.len(), 2, "{asked:?}");
-    assert!((6.9..7.2).contains(&gone.unwrap()));
+    let (probed, dead_at) = run_until_dead(&mut liveness, 0.0, 20.0);
+    assert_eq!(probed.len(), 2, "{probed:?}");
+    assert!((6.9..7.2).contains(&dead_at.unwrap()));
 }
 
 #[test]
-fn refusals_tell_of_a_process_that_is_gone_or_of_another_one() {
+fn refused_connections_mean_that_the_process_ended_or_was_replaced() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Test);
     assert!(!liveness.connection_refused(0.0));
-    assert!(!liveness.is_another_process(), "none was heard before");
+    assert!(!liveness.is_another_process(), "no message came before");
     let mut handed_over = Liveness::new(LIMIT, ProbeMethod::Test);
     handed_over.evaluate(0.0, true);
     handed_over.connection_refused(0.2);
-    assert!(handed_over.is_another_process(), "a call was said to stand there");
+    assert!(handed_over.is_another_process(), "a call was established there before");
     liveness.message_received(1.0);
     assert!(!liveness.is_another_process());
     assert!(!liveness.connection_refused(2.0));
--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -10,13 +10,13 @@
 /// What happens, in order: kind, detail, milliseconds that pass first.
 type Script = Vec<(u8, u8, u16)>;
 
-fn play(script: Script, seed: u64, probes: bool) -> World {
+fn run(script: Script, seed: u64, probes: bool) -> World {
     let mut world = World::new(seed, Deployment { may_probe: probes, ..deployment() });
     for (kind, detail, pause) in script {
-        world.pass(f64::from(pause % 700) / 1000.0);
-        let pick = usize::from(detail);
+        world.advance(f64::from(pause % 700) / 1000.0);
+        let detail_index = usize::from(detail);
         let pool = u64::from(detail % 3);
-        let out = world.out();
+        let in_progress = world.tries_in_progress();
         let report = Report {
             free_agents: Some(9.0),
             wait: (detail & 1 == 1).then(|| f64::from(detail) / 50.0),
@@ -25,69 +25,77 @@
         match kind % 16 {
             0..=6 => {
                 let patience = PATIENCE * (0.01 + f64::from(detail) / 255.0);
-                world.arrive(pick % 2, u16::from(detail % 3), patience);
+                world.arrive(detail_index % 2, u16::from(detail % 3), patience);
             }
-            7 | 8 if !out.is_empty() => world.stands(out[pick % out.len()].0),
-            9 | 10 if !out.is_empty() => {
+            7 | 8 if !in_progress.is_empty() => {
+                world.establish(in_progress[detail_index % in_progress.len()].0)
+            }
+            9 | 10 if !in_progress.is_empty() => {
                 let wait = (detail & 2 == 2).then_some(0.7);
-                let kinds = [
+                let reasons = [
                     EndReason::Cut,
                     EndReason::Throttled { wait },
                     EndReason::Unreached,
                     EndReason::Rejected,
                     EndReason::Cancelled,
                 ];
-                world.ends(out[pick % out.len()].0, kinds[pick / 7 % 5], report);
+                world.end_try(
+                    in_progress[detail_index % in_progress.len()].0,
+                    reasons[detail_index / 7 % 5],
+                    report,
+                );
+            }
+            11 if !in_progress.is_empty() => {
+                world.client_leaves(in_progress[detail_index % in_progress.len()].0)
             }
-            11 if !out.is_empty() => world.leave(out[pick % out.len()].0),
-            12 => world.list(&[entry(pool, 0.0, detail & 4 == 0)], false),
-            13 => world.list(&[entry(pool, world.now - f64::from(detail % 5), true)], false),
-            14 if detail > 200 => world.list(&[entry(pool, 0.0, true)], true),
-            14 => world.list(&[entry(0, 0.0, true), entry(1, 0.0, true), entry(2, 0.0, true)], true),
+            12 => world.update_list(&[entry(pool, 0.0, detail & 4 == 0)], false),
+            13 => world.update_list(&[entry(pool, world.now - f64::from(detail % 5), true)], false),
+            14 if detail > 200 => world.update_list(&[entry(pool, 0.0, true)], true),
+            14 => world.update_list(&[entry(0, 0.0, true), entry(1, 0.0, true), entry(2, 0.0, true)], true),
             15 => {
                 // Late news of attaches that ended long ago, and probes.
-                let stale = u32::from(detail);
-                if !out.iter().any(|o| o.0 == stale)
+                let ended = u32::from(detail);
+                if !in_progress.iter().any(|o| o.0 == ended)
                     && world
                         .decisions
                         .iter()
-                        .any(|d| matches!(d, Decision::Refuse { ue, .. } if *ue == stale))
+                        .any(|d| matches!(d, Decision::Refuse { ue, .. } if *ue == ended))
                 {
-                    world.control.try_ended(world.now, stale, pool, EndReason::TimedOut, true, report);
-                    world.control.client_left(world.now, stale);
+                    world.control.try_ended(world.now, ended, pool, EndReason::TimedOut, true, report);
+                    world.control.client_left(world.now, ended);
                 }
-                world.told(pool, detail & 8 == 0, report);
+                world.report(pool, detail & 8 == 0, report);
                 world.pull();
             }
             _ => {}
         }
-        if world.broken.is_some() {
+        if world.violation.is_some() {
             return world;
         }
     }
-    world.pass(10.0);
+    world.advance(10.0);
     world
 }
 
 #[test]
-fn random_runs_keep_the_rules() {
-    fn kept(script: Script, seed: u64, probes: bool) -> TestResult {
-        match play(script, seed, probes).broken {
-            Some(broken) => TestResult::error(broken),
+fn the_rules_hold_in_random_histories() {
+    fn rules_hold(script: Script, seed: u64, probes: bool) -> TestResult {
+        match run(script, seed, probes).violation {
+            Some(violation) => TestResult::error(violation),
             None => TestResult::passed(),
         }
     }
     for seed in 0..20 {
         let mut check =
             QuickCheck::new().rng(Gen::from_size_and_seed(60 + 40 * seed as usize, seed)).tests(100);
-        check.quickcheck(kept as fn(Script, u64, bool) -> TestResult);
+        check.quickcheck(rules_hold as fn(Script, u64, bool) -> TestResult);
     }
 }
 
 #[test]
 fn the_same_input_gives_the_same_decisions() {
     fn same(script: Script, seed: u64) -> bool {
-        play(script.clone(), seed, true).decisions == play(script, seed, true).decisions
+        run(script.clone(), seed, true).decisions == run(script, seed, true).decisions
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(300, 7)).tests(50);
     check.quickcheck(same as fn(Script, u64) -> bool);
@@ -95,54 +103,62 @@
 
 /// All pools cold at once under a steady stream: the combined budget of equal fronts holds.
 #[test]
-fn cold_pools_are_not_pushed_over() {
+fn cold_pools_are_not_overloaded() {
     for seed in 0..20 {
         let mut world = World::new(seed, deployment());
         for n in 0..500 {
             if n == 200 {
                 let now = world.now;
-                world.list(&[entry(0, now, true), entry(1, now, true), entry(2, now, true)], true);
+                world.update_list(&[entry(0, now, true), entry(1, now, true), entry(2, now, true)], true);
             }
-            world.pass(0.05);
+            world.advance(0.05);
             let ue = world.arrive(0, n % 3, PATIENCE);
-            world.stands(ue);
+            world.establish(ue);
         }
-        assert_eq!(world.broken, None);
+        assert_eq!(world.violation, None);
         let sent = world.decisions.iter().filter(|d| matches!(d, Decision::SetUp { pool: 1, .. })).count();
-        assert!(sent > 100, "{sent} to pool 1, where 67 came before it was cold");
+        assert!(sent > 100, "{sent} set-ups to pool 1, of which 67 were sent before it was cold");
     }
 }
 
 /// Rule 4 with hundreds of fronts beside one cold pool, each of which bore a small part of the load before.
 #[test]
-fn the_budgets_of_many_fronts_add_up() {
+fn the_budgets_of_many_fronts_sum_to_less_than_the_overload_of_a_cold_pool() {
     for seed in 0..5 {
         let mut fronts: Vec<World> = (0..200).map(|n| World::new(seed * 1000 + n, deployment())).collect();
-        let mut chance = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-        let mut at = Vec::new();
+        let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
+        let mut sent_steps = Vec::new();
         for step in 0..800 {
             for world in &mut fronts {
-                world.pass(0.05);
+                world.advance(0.05);
                 if step == 400 {
-                    world.list(&[entry(0, world.now, true)], false);
+                    world.update_list(&[entry(0, world.now, true)], false);
                 }
                 // Each front asks 0.2 a second of the pool before it restarts, 2 a second after.
-                let often = if step < 400 { 100 } else { 10 };
-                if chance.random_range(0..often) == 0 {
+                let one_in = if step < 400 { 100 } else { 10 };
+                if rng.random_range(0..one_in) == 0 {
                     let ue = world.arrive(1, 0, PATIENCE);
-                    let sent = world.out().iter().any(|o| o.0 == ue && o.1.pool == 0);
-                    at.extend((sent && step >= 400).then_some(step));
-                    world.stands(ue);
+                    let sent = world.tries_in_progress().iter().any(|o| o.0 == ue && o.1.pool == 0);
+                    sent_steps.extend((sent && step >= 400).then_some(step));
+                    world.establish(ue);
                 }
             }
         }
         // 40 a second were borne; the multiple of the least that it can do is 24 and rises to 80 in 15 s.
         for from in 400..680 {
-            let window = at.iter().filter(|&&s| s >= from && s < from + 20).count() as f64;
+            let window = sent_steps.iter().filter(|&&s| s >= from && s < from + 20).count() as f64;
             let limit = 24.0 + 56.0 * f64::from(from - 400) / 300.0;
             // A quarter for chance: 24 to 80 independent fronts send in a second.
-            assert!(window <= 1.25 * limit, "seed {seed}: {window} in the second from {from}, limit {limit}");
+            assert!(
+                window <= 1.25 * limit,
+                "seed {seed}: {window} set-ups in one second from step {from}, limit {limit}"
+            );
         }
-        assert!(at.len() > 400 && at[60] < 500, "{} in all, 60 by step {}", at.len(), at[60]);
+        assert!(
+            sent_steps.len() > 400 && sent_steps[60] < 500,
+            "{} set-ups in all, 60 by step {}",
+            sent_steps.len(),
+            sent_steps[60]
+        );
     }
 }
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -185,7 +185,7 @@
         let (cells, classes) = (self.domain.class_cells.len(), self.classes.len());
         if cells < classes {
             return Err(format!(
-                "settings.domain.class_cells has {cells} lists; one for each of the {classes} classes is needed"
+                "settings.domain.class_cells has {cells} lists; one is needed for each of {classes} classes"
             ));
         }
         check_time("limits.dial_timeout_s", self.limits.dial_timeout_s)?;
