--- a/crates/control/tests/cases.rs
+++ b/crates/control/tests/cases.rs
@@ -1,10 +1,12 @@
-//! Plain cases: the design's ordinary path, and one case for each failure found.
+//! Cases of the decision module: the ordinary path, and one case for each failure found in incidents and
+//! trials.
 
 mod common;
 
 use common::*;
 use shalespindle_control::interface::*;
 
+/// Pool of the last set-up; none if the last attach was refused or aborted.
 fn last_pool(world: &World) -> Option<PoolId> {
     world.decisions.iter().rev().find_map(|d| match d {
         Decision::SetUp { pool, .. } => Some(Some(*pool)),
@@ -13,7 +15,7 @@
     })?
 }
 
-/// Lets an attach stand at the pool after the given delay.
+/// Establishes an attach at the pool after the given delay.
 fn serve(world: &mut World, pool: u16, delay: f64) {
     let ue = world.arrive(0, pool, PATIENCE);
     assert_eq!(last_pool(world), Some(u64::from(pool)));
@@ -21,6 +23,7 @@
     world.establish(ue);
 }
 
+/// Reports the wait so often that older measurements no longer matter.
 fn report_wait(world: &mut World, pool: PoolId, wait: f64) {
     for _ in 0..20 {
         world.report(pool, true, wait_report(wait));
@@ -36,7 +39,7 @@
     Report { free_agents: Some(agents), ..Report::default() }
 }
 
-/// A world in which an attach has stood at each pool.
+/// A world in which one attach was established at each pool after `delay` seconds.
 fn world_with_measured_pools(delay: f64) -> World {
     let mut world = World::new(1, deployment());
     (0..3).for_each(|pool| serve(&mut world, pool, delay));
@@ -58,7 +61,8 @@
     assert!(matches!(world.decisions.last(), Some(Decision::Refuse { pause, .. }) if *pause > 0.0));
 }
 
-/// Incident ia91c9b: of a pile that comes at once a good part is taken, and not all.
+/// Incident ia91c9b: of many attaches that arrive at the same time, a good share is sent to a pool, but not
+/// all.
 #[test]
 fn own_unanswered_set_ups_raise_the_predicted_wait() {
     let mut world = World::new(1, deployment());
@@ -95,15 +99,16 @@
     };
     assert!(probes(0.1, 40, 0)[..2].iter().all(|n| (9..=11).contains(n)));
     assert_eq!(probes(0.1, 40, 0)[2], 0);
-    // Incident i189bb4: the probes of hundreds of fronts alone kept small pools crowded.
+    // Incident i189bb4: the probes of hundreds of fronts alone kept small pools overloaded.
     assert!(probes(3.0, 40, 0)[..2].iter().all(|n| (0..=4).contains(n)));
-    // Incident i9987e0: they did so from the first second on.
+    // Incident i9987e0: the same happened from the first second after the start.
     assert!(probes(0.1, 0, 0)[..2].iter().all(|n| (2..=7).contains(n)));
-    // Twin of a full-size kerala-hills day: with few fronts the same rarity kept idle pools closed.
+    // Small copy of a full-size kerala-hills day: with few fronts, probes as rare as that kept idle pools
+    // unused.
     assert!(probes(3.0, 40, 5)[..2].iter().all(|n| (7..=11).contains(n)));
 }
 
-/// Found on kyushu-buoy-net: without probes an old long delay shut the front out for good.
+/// Found on kyushu-buoy-net: without probes, an old long delay excluded a pool for good.
 #[test]
 fn an_old_measurement_does_not_exclude_a_pool() {
     let mut world = World::new(1, Deployment { may_probe: false, ..deployment() });
@@ -115,7 +120,7 @@
     assert_eq!(last_pool(&world), Some(0));
 }
 
-/// Incident i46697c: a report of four million seconds was believed for the rest of the day.
+/// Incident i46697c: a reported wait of four million seconds excluded the pool for the rest of the day.
 #[test]
 fn an_absurd_report_is_soon_forgotten() {
     let mut world = World::new(1, deployment());
@@ -127,7 +132,7 @@
     assert_eq!(last_pool(&world), Some(0));
 }
 
-/// A server that takes set-ups and answers none is left alone long before the first time-out.
+/// A server that receives set-ups and answers none gets no more of them long before the first timeout.
 #[test]
 fn a_silent_pool_gets_no_further_set_ups() {
     let mut world = World::new(1, deployment());
@@ -157,7 +162,7 @@
     assert_eq!(world.decisions.last(), Some(&Decision::Abort { ue }));
 }
 
-/// Found on kyushu-buoy-net: late redials and fresh attaches had the same claim on a busy pool.
+/// Found on kyushu-buoy-net: at a busy pool, late redials and new attaches were treated alike.
 #[test]
 fn near_the_bound_only_an_attach_of_higher_utility_is_sent() {
     let mut world = world_with_measured_pools(0.05);
@@ -168,7 +173,7 @@
     assert_eq!(last_pool(&world), Some(0));
 }
 
-/// Incident if76cd7: pools that lose single set-ups were closed by each loss until its time-out.
+/// Incident if76cd7: each lost set-up excluded its pool until the timeout.
 #[test]
 fn a_pool_that_loses_single_set_ups_stays_in_use() {
     let mut world = World::new(1, Deployment { may_probe: false, ..deployment() });
@@ -186,7 +191,8 @@
     assert_eq!(world.violation, None);
 }
 
-/// A set-up sent later was answered first: the lost one is cancelled, and sent again after the guard.
+/// When a later set-up is answered first, the earlier one is cancelled and sent again after the release
+/// guard.
 #[test]
 fn an_overtaken_setup_try_is_cancelled() {
     let mut world = World::new(1, deployment());
@@ -200,7 +206,7 @@
     assert_eq!(world.violation, None);
 }
 
-/// Incident i5813fd: a pool closed by silence used up one of the two draws, though a third had room.
+/// Incident i5813fd: a silent pool took one of the two draws although a third pool had capacity.
 #[test]
 fn a_silent_pool_is_not_drawn() {
     for seed in 0..20 {
@@ -209,7 +215,7 @@
         let mut world = World::new(seed, deployment);
         world.update_list(&[entry(3, 0.0, true)], false);
         (0..4).for_each(|pool| serve(&mut world, pool, 0.05));
-        // Pools 1 and 2 fall silent, then the first choice is busy: pool 3 must be found each time.
+        // Pools 1 and 2 become silent, then the first choice is busy: pool 3 must be chosen with every seed.
         world.arrive(0, 1, PATIENCE);
         world.arrive(0, 2, PATIENCE);
         world.advance(0.9);
@@ -219,7 +225,7 @@
     }
 }
 
-/// Set-ups in 4 s to the cold successor of a pool, after pool 1 has borne 20 a second.
+/// Number of set-ups in 4 s to the cold successor of pool `number`, after pool 1 has served 20 a second.
 fn set_ups_to_successor(number: u16, drains_before: bool) -> usize {
     let mut world = World::new(1, deployment());
     for _ in 0..400 {
@@ -245,18 +251,20 @@
     world.decisions[before..].iter().filter(|d| matches!(d, Decision::SetUp { pool: 9, .. })).count()
 }
 
-/// Hunted kerala-hills days and incident iddd997: an even part left the main pool's successor idle, also when
-/// the main pool had drained before; and the main pool's part pushed over one that had borne nothing.
+/// Found in searches on kerala-hills days and in incident iddd997: a budget by an even share left the
+/// successor of the main pool idle, also when the main pool had drained before; and a budget by the main
+/// pool's load overloaded a successor of a pool that had served nothing.
 #[test]
 fn a_cold_successor_is_budgeted_by_the_load_of_its_own_predecessor() {
-    // 20 a second borne, 0.3 to 0.5 of it for 4 s: 32 without, 64 with the whole multiple.
+    // 20 a second at 0.3 to 0.5 of full capacity for 4 s are 32 set-ups, and 64 with the full overload
+    // multiple.
     assert!((25..=64).contains(&set_ups_to_successor(1, false)));
     assert!((25..=64).contains(&set_ups_to_successor(1, true)));
     assert!(set_ups_to_successor(2, false) <= 2);
 }
 
-/// Hunted kerala-hills day: a pool never answered but by full replies counted as unheard, so as idle; and a
-/// pool without free agents counted as a slow one.
+/// Found in a search on a kerala-hills day: a pool that only sent throttled answers counted as one without a
+/// measurement, so as idle; and a pool without free agents counted as slow.
 #[test]
 fn throttled_answers_count_as_measurements_and_missing_agents_do_not() {
     for (reason, is_used_again) in [(EndReason::Throttled { wait: None }, false), (EndReason::NoAgent, true)]
@@ -271,8 +279,8 @@
     }
 }
 
-/// Incidents ia55317 and i189bb4: each front tried each crowded pool again as soon as its measurement was
-/// stale; hundreds of fronts together kept all pools full.
+/// Incidents ia55317 and i189bb4: each front tried each overloaded pool again as soon as its measurement was
+/// stale; hundreds of fronts together kept all pools overloaded.
 #[test]
 fn trials_of_all_fronts_stay_a_fraction_of_the_load() {
     let (mut trials, mut trials_at_small_pool) = (0, 0);
@@ -294,13 +302,15 @@
             }
         }
     }
-    // 40 fronts with 100 attaches each at crowded pools: some must try, not most.
+    // 40 fronts with 100 attaches each and overloaded pools: some attaches must be sent as trials, but not
+    // most.
     assert!((300..=2200).contains(&trials), "{trials}");
-    // Incident ia55317 again: a small pool was kept crowded by a third of all trials.
+    // Incident ia55317 also: a third of all trials kept a small pool overloaded.
     assert!(trials_at_small_pool < trials / 8, "{trials_at_small_pool} of {trials}");
 }
 
-/// Full-size kerala-hills days with answers lost: a second try after the whole latency target stood late.
+/// Full-size kerala-hills days with lost answers: a second try after the whole latency target was always
+/// late.
 #[test]
 fn a_try_at_a_lossy_pool_leaves_time_for_another() {
     let mut world = World::new(1, deployment());
@@ -315,7 +325,8 @@
     assert!((0.6..2.0 - RELEASE_GUARD).contains(&timeout(&mut world)));
 }
 
-/// Twin of a full-size kerala-hills day: reports told of a short wait, yet lost set-ups kept pools closed.
+/// Small copy of a full-size kerala-hills day: lost set-ups kept pools excluded although they reported a
+/// short wait.
 #[test]
 fn a_lossy_pool_is_tried_on_a_report_of_a_short_wait() {
     let mut world = World::new(1, deployment());
@@ -332,7 +343,8 @@
     }
 }
 
-/// Random run of the live front: where probes tell no wait, a lossy pool that lost one more was shut for good.
+/// Random run of the live front: where answers to probes carry no wait, a lossy pool that lost one more
+/// set-up was excluded for good.
 #[test]
 fn a_lossy_pool_is_tried_after_an_answered_probe_without_a_wait() {
     let mut world = World::new(1, deployment());
@@ -349,7 +361,8 @@
     }
 }
 
-/// Small twins of altiplano-calls-later days: pools that need 0.2 s for one set-up refused what earns less.
+/// Small copies of altiplano-calls-later days: attaches of low utility were refused at idle pools that need
+/// 0.2 s for one set-up.
 #[test]
 fn an_idle_slow_pool_accepts_an_attach_of_lower_utility() {
     let mut world = world_with_measured_pools(0.25);
@@ -358,12 +371,13 @@
     assert_eq!(last_pool(&world), Some(0));
 }
 
-/// Full-size kerala-hills days with fronts that stand still: what had waited for 2 s counted as fresh.
+/// Full-size kerala-hills days with stalled fronts: attaches that had waited for 2 s counted as new.
 #[test]
 fn after_a_stall_attaches_count_by_their_age() {
     let mut world = world_with_measured_pools(0.05);
     (0..3).for_each(|pool| report_wait(&mut world, pool, 0.2));
-    // No turn for two seconds, then news, one who came at once and one who came just now.
+    // The front is stalled for two seconds. Then it gets reports, one attach from the start of the stall and
+    // a new one.
     world.now += 2.0;
     for (remaining, sent) in [(PATIENCE - 2.0, false), (PATIENCE, true)] {
         (0..3).for_each(|pool| world.report(pool, true, wait_report(0.2)));
--- a/crates/control/tests/cold_server_load.rs
+++ b/crates/control/tests/cold_server_load.rs
@@ -1,6 +1,6 @@
-//! What the decisions of many fronts add up to at one cold server. Each front decides alone; simulated servers and
-//! callers under virtual time. The sum is held to N + 2 root N + 2 in every window, N being what the settings let the
-//! server bear in it.
+//! Load that many independent fronts put together on one cold server, with simulated servers and callers
+//! under virtual time. The number of set-ups in every overload window must not exceed N + 2 sqrt(N) + 2,
+//! where N is the number that overloads the server according to the settings.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,56 +12,61 @@
 const START_CAPACITY: f64 = 0.3;
 const WARM_AFTER: f64 = 15.0;
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// The window of the rule, seconds.
+/// The overload window, seconds.
 const OVERLOAD_WINDOW: f64 = 1.0;
-/// One way to a server.
+/// Network delay in one direction, seconds.
 const NETWORK_DELAY: f64 = 0.01;
-/// Load of a warm server.
+/// Load of a warm server, as a fraction of its capacity.
 const LOAD: f64 = 0.8;
-/// When one server is replaced by a cold one.
+/// When one server is replaced by a cold one, seconds.
 const REPLACED_AT: f64 = 20.0;
 const END: f64 = REPLACED_AT + WARM_AFTER;
 
-/// What happens beside the cold server.
+/// What happens in addition to the replacement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Disturbance {
     Nothing,
-    /// So many more attaches for so long, and one at each front in the instant that it begins.
+    /// This many times more attaches for this time, and one at each front in the instant when it begins.
     Burst {
         factor: f64,
         seconds: f64,
     },
-    /// Another server falls silent and is taken off the list a second later.
+    /// Another server becomes silent and is removed from the list a second later.
     NeighbourFails,
-    /// Nobody names the cold server first for six seconds, then all others fall silent in one instant.
+    /// The cold server is no caller's first choice for six seconds, then all others become silent in one
+    /// instant.
     NobodysFirstChoice,
-    /// The same beside usual traffic.
+    /// All others become silent in one instant under usual traffic.
     OthersFail,
-    /// Those who name the cold server first are so many times more from one instant on, for a second.
+    /// For one second, this many times more callers than usual have the cold server as first choice.
     Shift {
         factor: f64,
     },
-    /// All fronts start anew in one instant.
+    /// All fronts restart in one instant.
     AllRestart,
 }
 
-/// When that happens.
+/// When that happens, seconds.
 const DISTURBED_AT: f64 = REPLACED_AT + 6.0;
 
+/// Events of the simulation.
 #[derive(Clone, Copy, Debug)]
 enum EventKind {
+    /// An attach arrives at a front; the next one is scheduled.
     Arrives {
         front: usize,
     },
     ArrivesInBurst {
         front: usize,
     },
+    /// A set-up reaches a server.
     Received {
         front: usize,
         ue: UeId,
         server: usize,
         incarnation: u32,
     },
+    /// The answer to a set-up reaches the front.
     Answered {
         front: usize,
         ue: UeId,
@@ -85,17 +90,21 @@
         server: usize,
         incarnation: u32,
     },
+    /// The cold server replaces its predecessor.
     Replace,
-    /// The servers after the cold one, up to that one.
+    /// The servers after the cold one, up to `last`, become silent.
     Fail {
         last: usize,
     },
+    /// The same servers are removed from the list.
     Unlist {
         last: usize,
     },
+    /// All fronts restart.
     Restart,
 }
 
+/// Time, sequence number that keeps the order of events of the same time, and kind.
 struct Event(f64, u64, EventKind);
 
 impl PartialEq for Event {
@@ -121,6 +130,7 @@
     started: f64,
     /// Set-ups a second when warm.
     capacity: f64,
+    /// When the last set-up received will have been processed.
     free_at: f64,
     silent: bool,
     listed: bool,
@@ -139,27 +149,31 @@
     }
 }
 
+/// One front and its pending attaches.
 struct Front {
     control: Control,
+    /// Counts restarts; events of an earlier incarnation are dropped.
     incarnation: u32,
-    /// Setup tries of the attaches in hand and the server of the last one, by ue.
+    /// Number of setup tries of each pending attach, and the server of the last one.
     tries: std::collections::HashMap<UeId, (u32, usize)>,
 }
 
+/// The whole simulation.
 struct World {
     rng: ChaCha8Rng,
     disturbance: Disturbance,
+    /// Attaches a second at each front.
     rate: f64,
     servers: Vec<Server>,
     fronts: Vec<Front>,
     events: BinaryHeap<Reverse<Event>>,
     next_sequence: u64,
     last_ue: UeId,
-    /// When set-ups came to the cold server.
+    /// Times at which set-ups reached the cold server.
     cold_set_ups: Vec<f64>,
 }
 
-/// The cold one.
+/// Index of the server that is replaced by a cold one.
 const COLD_SERVER: usize = 0;
 
 fn deployment(servers: usize) -> Deployment {
@@ -187,7 +201,7 @@
 
 impl World {
     fn new(seed: u64, fronts: usize, servers: usize, rate_per_front: f64, disturbance: Disturbance) -> World {
-        // Guards against a server that bears less than a set-up in a window: no deployment has one.
+        // Keeps the overload limit above one set-up in a window: no deployment has a smaller server.
         let rate = rate_per_front.max(6.0 * servers as f64 / fronts as f64);
         let capacity = rate * fronts as f64 / servers as f64 / LOAD;
         let server = |n| Server {
@@ -361,7 +375,8 @@
         }
     }
 
-    /// A set-up comes to a server: worked off one after the other, turned away where that takes too long.
+    /// A set-up reaches a server, which processes set-ups one after the other; a silent server does not
+    /// answer.
     fn receive(&mut self, now: f64, front: usize, ue: UeId, server: usize, incarnation: u32) {
         if server == COLD_SERVER && self.servers[COLD_SERVER].started > 0.0 {
             self.cold_set_ups.push(now);
@@ -421,7 +436,8 @@
         }
     }
 
-    /// The window in which most came over the bound: how many, the bound then, and when after the start.
+    /// The window with the most set-ups above the bound: their number, the bound at that time, and the
+    /// seconds since the start of the server.
     fn worst_window(&self) -> (usize, f64, f64) {
         let server = &self.servers[COLD_SERVER];
         let mut worst_window = (0, f64::INFINITY, 0.0);
@@ -443,13 +459,14 @@
 
 const SEEDS: u64 = 20;
 
+/// Checks the bound for several sizes of the network under one disturbance, with all seeds.
 fn check_load(disturbance: Disturbance) {
     let mut violations = Vec::new();
     for fronts in [20, 30, 300] {
-        // Attaches a second that a front gets; with few fronts each gets more.
+        // Number of servers, and attaches a second at each front; few fronts get more each.
         for (servers, rate_per_front) in [(3, 2.0), (24, 2.0), (24, 15.0)] {
             if fronts == 300 && rate_per_front > 2.0 {
-                // Measured by hand (docs/design.md): it takes minutes.
+                // Checked by hand (docs/design.md), since it takes minutes.
                 continue;
             }
             let mut worst_of_seeds = (0, f64::INFINITY, 0.0);
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,15 +1,24 @@
-//! One front in a made-up world that checks the five rules after every step.
+//! A simulated environment of one front, which checks the five rules after every step:
+//!
+//! 1. Each attach gets exactly one final answer, by the time its caller gives up, and nothing is sent after that.
+//! 2. An attach has at most one setup try in progress.
+//! 3. Set-ups go only to pools in service.
+//! 4. A cold pool does not get more than the overload multiple of its present capacity.
+//! 5. After a setup try without an answer, none is sent before the release guard ends.
 
 use shalespindle_control::control::Control;
 use shalespindle_control::interface::*;
 use std::collections::BTreeMap;
 
 pub const RELEASE_GUARD: f64 = 0.5;
+/// Tolerance for timers, seconds.
 const TIME_TOLERANCE: f64 = 0.02;
 const OVERLOAD_MULTIPLE: f64 = 2.0;
 const OVERLOAD_WINDOW: f64 = 1.0;
+/// Seconds that a caller usually waits.
 pub const PATIENCE: f64 = 3.0;
 
+/// Two procedures of different utility and three pools.
 pub fn deployment() -> Deployment {
     let procedure = |utility| Procedure {
         latency_target: 2.0,
@@ -38,6 +47,7 @@
     PoolEntry { id, number: id as u16, started, ready }
 }
 
+/// A setup try in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct SetupTry {
     pub pool: PoolId,
@@ -45,6 +55,7 @@
     pub times_out_at: f64,
 }
 
+/// An attach without a final answer.
 #[derive(Clone, Copy, Debug)]
 struct OpenAttach {
     gives_up_at: f64,
@@ -52,15 +63,21 @@
     setup_try: Option<SetupTry>,
 }
 
+/// The front with its callers and pools.
 pub struct World {
     pub control: Control,
     pub now: f64,
     pub decisions: Vec<Decision>,
+    /// The first violation of a rule.
     pub violation: Option<String>,
     pub started: f64,
+    /// Attaches without a final answer.
     open: BTreeMap<UeId, OpenAttach>,
+    /// Pools in service.
     ready: BTreeMap<PoolId, PoolEntry>,
+    /// Send times of all set-ups.
     sent: BTreeMap<PoolId, Vec<f64>>,
+    /// Times of the requested wake-ups.
     wakes: Vec<f64>,
     next_ue: UeId,
     arrivals: u32,
@@ -149,7 +166,7 @@
         self.pull();
     }
 
-    /// Moves the clock on; time-outs and wake-ups come when they are due.
+    /// Advances the clock; timeouts and wake-ups happen at their times.
     pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         loop {
@@ -180,6 +197,7 @@
         self.check_answers();
     }
 
+    /// Carries out all decisions and checks them.
     pub fn pull(&mut self) {
         while let Some(decision) = self.control.next_decision(self.now) {
             self.decisions.push(decision);
@@ -240,13 +258,13 @@
         let cold = deployment().cold;
         let age = (now - entry.started) / cold.warm_after;
         if age < 1.0 {
-            // Load 1: each pool, warm, can just do its part of all arrivals.
+            // Load 1: the full capacity of a pool equals its even share of all arrivals.
             let rate = f64::from(self.arrivals) / (now - self.started).max(1.0);
             let capacity = rate / self.ready.len() as f64;
             let present_capacity = capacity * (cold.start_capacity + (1.0 - cold.start_capacity) * age);
             let recent =
                 sent.iter().filter(|&&s| s > now - OVERLOAD_WINDOW && s >= entry.started).count() as f64;
-            // Room for one set-up saved up and for one begun by chance.
+            // Allows for one saved token and for the random initial level of the token bucket.
             if recent > OVERLOAD_MULTIPLE * present_capacity * OVERLOAD_WINDOW + 2.0 {
                 self.record_violation(
                     4,
--- a/crates/control/tests/liveness.rs
+++ b/crates/control/tests/liveness.rs
@@ -1,12 +1,12 @@
-//! When a silent server is asked and when its calls are over, under a fake clock.
+//! When a silent server is probed and when it counts as dead, on a simulated clock.
 
 use shalespindle_control::liveness::{Liveness, LivenessStatus, ProbeMethod};
 
 const LIMIT: f64 = 8.0;
 const STEP: f64 = 0.1;
 
-/// Judges every tenth of a second until the server is gone or the time is up; asks as it is told to. Returns the times
-/// at which it was asked, and when it was gone.
+/// Evaluates every tenth of a second until the server is dead or the time `until` has passed, and probes when
+/// a probe is due. Returns the times of the probes and the time at which the server was dead.
 fn run_until_dead(liveness: &mut Liveness, from: f64, until: f64) -> (Vec<f64>, Option<f64>) {
     let mut probed = Vec::new();
     for step in 0.. {
@@ -48,7 +48,7 @@
             LivenessStatus::ProbeDue => {
                 probed += 1;
                 liveness.probe_sent(now);
-                // Each answer is late by more than the next question.
+                // Each answer arrives only after further probes.
                 if probed % 3 == 0 {
                     liveness.message_received(now);
                 }
@@ -59,7 +59,7 @@
     assert!(probed > 50, "{probed}");
 }
 
-/// A cut of six seconds that begins just before the next word.
+/// The network fails for six seconds, beginning just before the next message.
 #[test]
 fn a_server_that_returns_after_six_seconds_keeps_its_calls() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Test);
@@ -92,7 +92,7 @@
     assert_eq!(liveness.evaluate(31.1, true), LivenessStatus::Alive);
 }
 
-/// A call that was handed over: it may have ended long before this front knew of it.
+/// A call taken over from another front may have ended long before this front knew of it.
 #[test]
 fn a_server_without_any_message_is_probed_at_once_and_dead_sooner() {
     let mut liveness = Liveness::new(LIMIT, ProbeMethod::Test);
@@ -124,7 +124,7 @@
     assert!(!liveness.is_another_process());
     assert!(!liveness.connection_refused(2.0));
     assert!(liveness.is_another_process());
-    // It speaks on an older connection: it only has no room for another.
+    // A message arrives on an older connection: the server only has no capacity for another connection.
     liveness.message_received(2.5);
     assert!(!liveness.is_another_process());
     assert!(
--- a/crates/control/tests/rules.rs
+++ b/crates/control/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs: the five rules are checked after every step.
+//! Model tests with seeded random histories; `common` checks the five rules after every step.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use shalespindle_control::interface::*;
 
-/// What happens, in order: kind, detail, milliseconds that pass first.
+/// Events in order: kind, detail, and milliseconds that pass before the event.
 type Script = Vec<(u8, u8, u16)>;
 
 fn run(script: Script, seed: u64, probes: bool) -> World {
@@ -53,7 +53,7 @@
             14 if detail > 200 => world.update_list(&[entry(pool, 0.0, true)], true),
             14 => world.update_list(&[entry(0, 0.0, true), entry(1, 0.0, true), entry(2, 0.0, true)], true),
             15 => {
-                // Late news of attaches that ended long ago, and probes.
+                // Late reports on attaches that ended long ago, and answers to probes.
                 let ended = u32::from(detail);
                 if !in_progress.iter().any(|o| o.0 == ended)
                     && world
@@ -101,7 +101,7 @@
     check.quickcheck(same as fn(Script, u64) -> bool);
 }
 
-/// All pools cold at once under a steady stream: the combined budget of equal fronts holds.
+/// All pools are cold at the same time under a steady rate of attaches: the combined budget holds.
 #[test]
 fn cold_pools_are_not_overloaded() {
     for seed in 0..20 {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Rule 4 with hundreds of fronts beside one cold pool, each of which bore a small part of the load before.
+/// Rule 4 with hundreds of fronts and one cold pool: each front sent a small share of the load before.
 #[test]
 fn the_budgets_of_many_fronts_sum_to_less_than_the_overload_of_a_cold_pool() {
     for seed in 0..5 {
@@ -134,7 +134,7 @@
                 if step == 400 {
                     world.update_list(&[entry(0, world.now, true)], false);
                 }
-                // Each front asks 0.2 a second of the pool before it restarts, 2 a second after.
+                // Each front gets 0.2 attaches a second for the pool before its restart, 2 a second after.
                 let one_in = if step < 400 { 100 } else { 10 };
                 if rng.random_range(0..one_in) == 0 {
                     let ue = world.arrive(1, 0, PATIENCE);
@@ -144,11 +144,12 @@
                 }
             }
         }
-        // 40 a second were borne; the multiple of the least that it can do is 24 and rises to 80 in 15 s.
+        // The load before was 40 a second. Twice the capacity is 24 a second after the restart and rises to
+        // 80 in 15 s.
         for from in 400..680 {
             let window = sent_steps.iter().filter(|&&s| s >= from && s < from + 20).count() as f64;
             let limit = 24.0 + 56.0 * f64::from(from - 400) / 300.0;
-            // A quarter for chance: 24 to 80 independent fronts send in a second.
+            // A quarter is allowed for random variation: 24 to 80 independent fronts send within a second.
             assert!(
                 window <= 1.25 * limit,
                 "seed {seed}: {window} set-ups in one second from step {from}, limit {limit}"
