--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -26,8 +26,8 @@
 const MIN_PROBE_INTERVAL: f64 = 1.0;
 /// Smoothed delay, in wait bounds, above which a pool is too busy to be probed at the shortest interval.
 const BUSY_DELAY: f64 = 0.25;
-/// Interval, in seconds, over which the first probe of a new pool is spread at random, and its first probe
-/// interval. The pool may be small, and all fronts may start at the same time.
+/// Time over which the first probe of a new pool is spread at random, and the pool's initial probe interval,
+/// seconds. The pool may be small, and all fronts may start at the same time.
 const FIRST_PROBE_INTERVAL: f64 = 8.0 * MIN_PROBE_INTERVAL;
 /// Longest interval between two probes of a busy pool, seconds; shorter where trials are more frequent.
 const MAX_PROBE_INTERVAL: f64 = 16.0 * MIN_PROBE_INTERVAL;
@@ -46,7 +46,7 @@
 /// Fraction of this front's even share, weighted by the pool's size, that may go to a pool as trials.
 const TRIAL_SHARE: f64 = 1.0 / 3.0;
 /// An attach that is not late is accepted at any utility while the predicted wait is below this many minimum
-/// delays of the pool.
+/// delays of the pool and below the wait bound.
 const ACCEPT_ANY_WAIT: f64 = 3.0;
 /// Capacity of a cold pool's token bucket, in set-ups; below two, so that two are never sent at once.
 const COLD_MAX_TOKENS: f64 = 1.5;
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A simulated environment of one front, which checks the five rules after every step:
 //!
-//! 1. Each attach gets exactly one final answer, by the time its caller gives up, and nothing is sent after that.
+//! 1. Each attach gets exactly one final answer, by the time its caller gives up; nothing is sent later.
 //! 2. An attach has at most one setup try in progress.
 //! 3. Set-ups go only to pools in service.
 //! 4. A cold pool does not get more than the overload multiple of its present capacity.
