--- a/crates/levels/benches/ask.rs
+++ b/crates/levels/benches/ask.rs
@@ -1,4 +1,4 @@
-//! Cost of an attach at the door, outcome included: `cargo bench -p shalespindle-levels`.
+//! Cost of admitting an attach and recording its outcome: `cargo bench -p shalespindle-levels`.
 
 use shalespindle_levels::{Admission, AttachRequest, LevelParams, LevelStep, Levels, Outcome};
 use std::hint::black_box;
@@ -35,7 +35,7 @@
         for n in 0..COUNT {
             let now = f64::from(n) * 1e-4;
             let number = u64::from(n) + 1 + round;
-            let ask = AttachRequest {
+            let request = AttachRequest {
                 called_number: number,
                 relative_utility: 1.0,
                 late_share: 0.2,
@@ -43,11 +43,11 @@
                 tenant: Some(n as usize % 3),
                 procedure: 0,
             };
-            if let Admission::Admit(ticket) = black_box(levels.admit(now, &ask)) {
+            if let Admission::Admit(ticket) = black_box(levels.admit(now, &request)) {
                 levels.record_outcome(now + 1e-5, &ticket, Outcome::Established);
             }
         }
         best = best.min(begin.elapsed().as_nanos() as f64 / f64::from(COUNT));
     }
-    println!("an attach asked for and ended: {best:.0} ns, the best of five rounds");
+    println!("one attach, admission and outcome: {best:.0} ns, the best of five rounds");
 }
--- a/crates/levels/src/machine.rs
+++ b/crates/levels/src/machine.rs
@@ -1,4 +1,4 @@
-//! The levels themselves: entry, exit, stays, pins, and what is said at the door.
+//! The state machine of the levels: entry, exit, stays, pins and the admission of attaches.
 
 use crate::pressure::PressureMeter;
 use crate::rate_limits::RateLimits;
@@ -10,16 +10,18 @@
 use std::collections::VecDeque;
 use std::fmt;
 
-/// A level left and soon entered again is stayed in twice as long each time, up to so many least stays.
+/// Upper bound of a stay in multiples of `min_stay`. The stay doubles each time a level is entered again
+/// shortly after it was left.
 const MAX_STAY_FACTOR: f64 = 8.0;
-/// 'Soon', in present stays.
+/// An entry counts as a re-entry within this multiple of the current stay since a level was last left.
 const REENTRY_STAYS: f64 = 2.0;
-/// An attach taken this much before the present level, in windows, no longer tells of it.
+/// Outcomes of attaches admitted at another level are ignored until the current level has lasted this many
+/// windows.
 const STALE_WINDOWS: f64 = 1.0;
-/// Changes that may wait to be pulled; older ones are dropped, the counters stay.
+/// Maximum number of changes that wait to be pulled; the oldest is dropped, the counters stay.
 const MAX_CHANGES: usize = 64;
 
-/// ChangeReason a level was entered.
+/// Why a level was entered. The variants' names appear in logs in Debug form.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ChangeReason {
     /// Pressure crossed the threshold, upwards or downwards.
@@ -27,12 +29,12 @@
         pressure: f64,
         threshold: f64,
     },
-    /// Too little was heard for two windows to keep a level that costs service.
+    /// For two windows there were too few outcomes to justify a level that reduces service.
     Silence,
     Pinned,
-    /// A pin ended.
+    /// A pin expired or was removed.
     Unpinned,
-    /// Since the start.
+    /// The initial level.
     Start,
 }
 
@@ -45,7 +47,9 @@
             ChangeReason::Pressure { pressure, threshold } => {
                 write!(f, "pressure {pressure:.3} came down to {threshold:.3}")
             }
-            ChangeReason::Silence => f.write_str("too few attaches to judge by for two windows"),
+            ChangeReason::Silence => {
+                f.write_str("too few attaches to determine the pressure for two windows")
+            }
             ChangeReason::Pinned => f.write_str("pinned by an operator"),
             ChangeReason::Unpinned => f.write_str("a pin has ended"),
             ChangeReason::Start => f.write_str("since the start"),
@@ -62,54 +66,68 @@
     pub reason: ChangeReason,
 }
 
-/// A level that an operator holds for a time.
+/// A level that an operator holds until a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pin {
     pub level: usize,
     pub until: f64,
 }
 
-/// What operators see.
+/// The state that is shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LevelsStatus {
     pub level: usize,
+    /// When the level was entered, seconds.
     pub since: f64,
     pub reason: ChangeReason,
+    /// `None` if there are too few outcomes to determine it.
     pub pressure: Option<f64>,
     pub pin: Option<Pin>,
     pub admitted: u64,
+    /// Refused by the level; refusals by the fleet's plan are not counted here.
     pub refused: u64,
     pub changes: u64,
 }
 
-/// The levels of one front.
+#[derive(Clone, Copy, Debug, Default)]
+struct Counts {
+    admitted: u64,
+    /// By the level.
+    refused: u64,
+    changes: u64,
+}
+
+/// The levels of one front. Times are seconds on the host's clock.
 pub struct Levels {
     params: LevelParams,
     rng: ChaCha8Rng,
     level: usize,
+    /// When the level was entered.
     since: f64,
     reason: ChangeReason,
-    gauge: PressureMeter,
+    meter: PressureMeter,
     redials: Redials,
-    shares: TenantShares,
-    parts: RateLimits,
-    /// Callers that asked for the first time, by procedure.
+    tenant_shares: TenantShares,
+    rate_limits: RateLimits,
+    /// Number of callers that asked for the first time, by procedure.
     first_attempts: Vec<u64>,
-    /// This front's own factor on thresholds: guards against hundreds of fronts that step as one.
+    /// Random factor on this front's thresholds: keeps hundreds of fronts from changing level together.
     threshold_factor: f64,
+    /// Minimum time that the current level lasts.
     stay: f64,
-    /// How long a threshold must stay crossed before the next step up.
+    /// Time for which the pressure must stay above the entry threshold before the next level is entered.
     entry_delay: f64,
-    /// Since when it is.
+    /// Since when the pressure has been above the entry threshold.
     above_since: Option<f64>,
+    /// When a level was last left for a lower one.
     left_at: f64,
-    /// When there was last min_evidence enough to judge by.
+    /// When there was last enough evidence to determine the pressure.
     last_evidence_at: f64,
     pin: Option<Pin>,
-    /// Attaches that arrived before this are not judged: their front stood still in their time.
+    /// End of the last stall of the front's process; outcomes of attaches that arrived before it are ignored.
     valid_from: f64,
     changes: VecDeque<Change>,
-    counts: (u64, u64, u64),
+    counts: Counts,
 }
 
 impl Levels {
@@ -122,10 +140,10 @@
             level: 0,
             since: now,
             reason: ChangeReason::Start,
-            gauge: PressureMeter::default(),
+            meter: PressureMeter::default(),
             redials: Redials::default(),
-            shares: TenantShares::new(&params.tenant_shares, now),
-            parts: RateLimits::default(),
+            tenant_shares: TenantShares::new(&params.tenant_shares, now),
+            rate_limits: RateLimits::default(),
             first_attempts: Vec::new(),
             threshold_factor,
             stay: params.min_stay,
@@ -136,124 +154,136 @@
             pin: None,
             valid_from: f64::NEG_INFINITY,
             changes: VecDeque::new(),
-            counts: (0, 0, 0),
+            counts: Counts::default(),
             params,
         }
     }
 
-    /// An attach at the door. What it says follows from the level alone; the level moves in [`Levels::tick`]
-    /// and with outcomes.
-    pub fn admit(&mut self, now: f64, ask: &AttachRequest) -> Admission {
+    /// Decides on the admission of an attach by the current level and the rate limits. The level changes in
+    /// [`Levels::tick`] and with outcomes.
+    pub fn admit(&mut self, now: f64, request: &AttachRequest) -> Admission {
         self.tick(now);
-        let first_asked_at = self.redials.first_asked_at(now, ask.called_number, self.params.redial_memory);
-        // What is left of its target must do for a set-up: else it earns the late share at best.
-        let late = now - first_asked_at > self.params.late_redial_fraction * ask.latency_target;
-        let over = self.shares.ask(now, self.params.window, ask.tenant, self.params.min_evidence);
+        let first_asked_at =
+            self.redials.first_asked_at(now, request.called_number, self.params.redial_memory);
+        // A redial without enough of its latency target left for a set-up earns the late share at best.
+        let late = now - first_asked_at > self.params.late_redial_fraction * request.latency_target;
+        let tenant_exceeds =
+            self.tenant_shares.count(now, self.params.window, request.tenant, self.params.min_evidence);
         let redial = first_asked_at < now;
         if !redial {
-            // Counted once a caller, however often it asks: what is refused and comes back is no more demand.
-            if self.first_attempts.len() <= ask.procedure {
-                self.first_attempts.resize(ask.procedure + 1, 0);
+            // Each caller is counted once: a refused attach that is retried is no additional demand.
+            if self.first_attempts.len() <= request.procedure {
+                self.first_attempts.resize(request.procedure + 1, 0);
             }
-            self.first_attempts[ask.procedure] += 1;
+            self.first_attempts[request.procedure] += 1;
         }
         let relative_utility =
-            if late { ask.relative_utility * ask.late_share } else { ask.relative_utility };
+            if late { request.relative_utility * request.late_share } else { request.relative_utility };
         let ticket = Ticket {
             first_asked_at,
             arrived_at: now,
-            latency_target: ask.latency_target,
+            latency_target: request.latency_target,
             relative_utility,
-            called_number: ask.called_number,
+            called_number: request.called_number,
             level: self.level,
         };
-        let by = if !self.takes(relative_utility, late, redial && over) {
+        let by = if !self.level_admits(relative_utility, late, redial && tenant_exceeds) {
             RefusedBy::Level
-        } else if late && self.parts.is_on() || !self.parts.ask(now, ask.procedure, ask.tenant) {
-            // What comes too late earns least for its processor time: it goes before any procedure's part.
+        } else if late && self.rate_limits.is_on()
+            || !self.rate_limits.try_take(now, request.procedure, request.tenant)
+        {
+            // A late redial earns the least for its processor time, so it is refused first while limits are
+            // set.
             RefusedBy::Plan
         } else {
-            self.counts.0 += 1;
+            self.counts.admitted += 1;
             return Admission::Admit(ticket);
         };
-        self.counts.1 += u64::from(by == RefusedBy::Level);
-        self.redials.unserved(now, ask.called_number, first_asked_at);
-        Admission::Refuse { pause: self.pause(), by }
+        self.counts.refused += u64::from(by == RefusedBy::Level);
+        self.redials.insert(now, request.called_number, first_asked_at);
+        Admission::Refuse { pause: self.draw_pause(), by }
     }
 
-    /// Callers that asked for the first time so far, by the place of their procedure.
+    /// Number of callers that asked for the first time since the start, by procedure.
     pub fn first_attempts(&self) -> &[u64] {
         &self.first_attempts
     }
 
-    /// What a plan for the whole fleet leaves this front, attaches a second by procedure; none: all of it. Empty ends
-    /// the plan. `floor`: part of each tenant's attaches that is taken ahead of the others'.
-    pub fn set_rate_limits(&mut self, now: f64, parts: &[Option<f64>], floor: f64) {
-        self.parts.set(now, parts, floor);
+    /// Sets the limits that the fleet's plan leaves this front: attaches per second by procedure, `None`:
+    /// unlimited. An empty slice ends the plan. `floor`: share of each tenant's attaches that is admitted
+    /// ahead of the others'.
+    pub fn set_rate_limits(&mut self, now: f64, rates: &[Option<f64>], floor: f64) {
+        self.rate_limits.set(now, rates, floor);
     }
 
-    fn takes(&mut self, relative_utility: f64, late: bool, abuse: bool) -> bool {
+    /// Whether the current level admits an attach; `excess_redial`: a redial of a tenant that exceeds its
+    /// share.
+    fn level_admits(&mut self, relative_utility: f64, late: bool, excess_redial: bool) -> bool {
         let Some(step) = self.level.checked_sub(1).and_then(|l| self.params.steps.get(l).copied()) else {
             return true;
         };
-        // A tenant over its share that dials again takes the others' part of what is left.
-        if late || abuse {
+        // Redials of a tenant that exceeds its share would use the capacity that is left for the others.
+        if late || excess_redial {
             return false;
         }
-        // Rounding of ratios must not push the highest utility under a floor of 1.
+        // Tolerates rounding of ratios: the highest utility must not fall below a `min_utility` of 1.
         let share =
             if relative_utility + 1e-9 >= step.min_utility { step.share_above } else { step.share_below };
         share >= 1.0 || share > 0.0 && self.rng.random::<f64>() < share
     }
 
-    /// Grows with the level, and is jitter so that those refused together do not come back together.
-    fn pause(&mut self) -> f64 {
+    /// Returns the retry pause: it grows with the level and is randomized, so that callers refused together
+    /// do not retry together.
+    fn draw_pause(&mut self) -> f64 {
         let doubled =
             self.params.base_pause * f64::from(1u32 << (self.level.min(16) as u32).saturating_sub(1));
         let jitter = 0.5 + self.rng.random::<f64>();
         (doubled * jitter).min(self.params.max_pause)
     }
 
-    /// A taken attach has ended; `stood` is how long after `ticket.first_asked_at`.
+    /// Records how an admitted attach ended. It counts as in time if it was established within the latency
+    /// target, measured from the caller's first attempt.
     pub fn record_outcome(&mut self, now: f64, ticket: &Ticket, outcome: Outcome) {
         let in_time = outcome == Outcome::Established && now - ticket.first_asked_at <= ticket.latency_target;
         if outcome != Outcome::Established {
-            self.redials.unserved(now, ticket.called_number, ticket.first_asked_at);
+            self.redials.insert(now, ticket.called_number, ticket.first_asked_at);
         }
-        // Guards against a pause of this front that would be read as slow servers, against late redials, which
-        // are lost whatever the servers do, and against outcomes of a level long left.
+        // Three kinds of outcomes say nothing about the servers at this level: those of attaches that arrived
+        // before a stall of this front, late redials, which fail whatever the servers do, and attaches of an
+        // earlier level.
         let fresh = ticket.arrived_at - ticket.first_asked_at <= ticket.latency_target;
         let protected = ticket.relative_utility + 1e-9 >= self.params.min_judged_utility;
-        let told = ticket.level == self.level || now - self.since > STALE_WINDOWS * self.params.window;
+        let is_current = ticket.level == self.level || now - self.since > STALE_WINDOWS * self.params.window;
         if outcome == Outcome::Abandoned
             || ticket.arrived_at < self.valid_from
             || !fresh
-            || !told
+            || !is_current
             || !protected
         {
             return self.tick(now);
         }
-        self.gauge.add(now, self.params.window, ticket.relative_utility, in_time);
+        self.meter.add(now, self.params.window, ticket.relative_utility, in_time);
         self.tick(now);
     }
 
-    /// This front stood still until `now`: what arrived before says nothing of the servers.
+    /// Records that this front's process stalled until `now`: outcomes of attaches that arrived before say
+    /// nothing about the servers.
     pub fn record_stall(&mut self, now: f64) {
         self.valid_from = now;
     }
 
-    /// Moves the level as far as time and pressure say.
+    /// Changes the level if the time and the pressure call for it.
     pub fn tick(&mut self, now: f64) {
         if let Some(pin) = self.pin {
             if now < pin.until {
                 return;
             }
             self.pin = None;
-            // It falls back by itself, to where it would find its own way again.
-            self.go(now, 0, ChangeReason::Unpinned);
+            // Full service is the fallback; the pressure then determines the level again.
+            self.enter(now, 0, ChangeReason::Unpinned);
             return;
         }
-        let pressure = self.gauge.pressure(now, self.params.window, self.params.min_evidence);
+        let pressure = self.meter.pressure(now, self.params.window, self.params.min_evidence);
         if pressure.is_some() {
             self.last_evidence_at = now;
         }
@@ -268,9 +298,9 @@
         }
         if let (Some(pressure), Some(above_since)) = (pressure, above_since) {
             if now - above_since >= self.entry_delay {
-                let skip_pressure = pressure >= self.params.skip_pressure && self.level + 1 < steps.len();
-                let to = self.level + if skip_pressure { 2 } else { 1 };
-                return self.go(now, to, ChangeReason::Pressure { pressure, threshold });
+                let skips = pressure >= self.params.skip_pressure && self.level + 1 < steps.len();
+                let to = self.level + if skips { 2 } else { 1 };
+                return self.enter(now, to, ChangeReason::Pressure { pressure, threshold });
             }
             return;
         }
@@ -278,31 +308,31 @@
         let threshold = step.exit_pressure * self.threshold_factor;
         match pressure {
             Some(pressure) if pressure <= threshold => {
-                self.go(now, self.level - 1, ChangeReason::Pressure { pressure, threshold });
+                self.enter(now, self.level - 1, ChangeReason::Pressure { pressure, threshold });
             }
             None if now >= self.silence_deadline() => {
-                self.go(now, self.level - 1, ChangeReason::Silence);
+                self.enter(now, self.level - 1, ChangeReason::Silence);
             }
             _ => {}
         }
     }
 
-    /// When too little has been heard for too long.
+    /// When the evidence has been too little for two windows.
     fn silence_deadline(&self) -> f64 {
         self.last_evidence_at + 2.0 * self.params.window
     }
 
-    fn go(&mut self, now: f64, to: usize, reason: ChangeReason) {
+    fn enter(&mut self, now: f64, to: usize, reason: ChangeReason) {
         let from = self.level;
         let jitter = 1.0 + self.params.jitter * self.rng.random::<f64>();
-        let soon = now - self.left_at < REENTRY_STAYS * self.stay;
+        let is_reentry = now - self.left_at < REENTRY_STAYS * self.stay;
         if to < from {
             self.left_at = now;
             self.stay = self.params.min_stay * jitter;
         } else {
-            // Guards against load that hovers at a threshold: each return makes the stay longer.
-            let longer = if soon { 2.0 * self.stay } else { self.params.min_stay };
-            self.stay = longer.min(MAX_STAY_FACTOR * self.params.min_stay) * jitter;
+            // Each re-entry makes the stay longer, against load that stays around a threshold.
+            let stay = if is_reentry { 2.0 * self.stay } else { self.params.min_stay };
+            self.stay = stay.min(MAX_STAY_FACTOR * self.params.min_stay) * jitter;
         }
         self.stay = self.stay.max(self.params.min_stay);
         self.entry_delay = self.params.max_entry_delay * self.rng.random::<f64>();
@@ -311,27 +341,28 @@
         self.since = now;
         self.reason = reason;
         self.last_evidence_at = now;
-        self.gauge.clear(now);
-        self.counts.2 += 1;
+        self.meter.clear(now);
+        self.counts.changes += 1;
         if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(Change { at: now, from, to, reason });
     }
 
-    /// Holds a level until a time; 0 is full service. Returns false for a level that there is not.
+    /// Holds a level until a time; 0 is full service. Returns false if the level does not exist or the time
+    /// has passed.
     pub fn pin(&mut self, now: f64, level: usize, until: f64) -> bool {
         if level > self.params.steps.len() || until <= now {
             return false;
         }
         self.pin = Some(Pin { level, until });
         if level != self.level {
-            self.go(now, level, ChangeReason::Pinned);
+            self.enter(now, level, ChangeReason::Pinned);
         }
         true
     }
 
-    /// Ends a pin before its time; false where there is none.
+    /// Removes the pin before it expires; returns false if there is none.
     pub fn unpin(&mut self, now: f64) -> bool {
         let Some(pin) = &mut self.pin else { return false };
         pin.until = pin.until.min(now);
@@ -339,20 +370,20 @@
         true
     }
 
-    /// The next change, oldest first.
+    /// Returns the oldest change that was not pulled yet.
     pub fn next_change(&mut self) -> Option<Change> {
         self.changes.pop_front()
     }
 
-    /// When [`Levels::tick`] can matter next; infinite at full service without a pin or trouble.
+    /// When [`Levels::tick`] can next change the level; infinite at full service without a pin or pressure.
     pub fn deadline(&self) -> f64 {
         if let Some(pin) = self.pin {
             return pin.until;
         }
         let stayed = self.since + self.stay;
-        let silent = if self.level > 0 { stayed.max(self.silence_deadline()) } else { f64::INFINITY };
-        let patient = self.above_since.map_or(f64::INFINITY, |since| stayed.max(since + self.entry_delay));
-        silent.min(patient)
+        let silence = if self.level > 0 { stayed.max(self.silence_deadline()) } else { f64::INFINITY };
+        let entry = self.above_since.map_or(f64::INFINITY, |since| stayed.max(since + self.entry_delay));
+        silence.min(entry)
     }
 
     pub fn status(&mut self, now: f64) -> LevelsStatus {
@@ -360,11 +391,11 @@
             level: self.level,
             since: self.since,
             reason: self.reason,
-            pressure: self.gauge.pressure(now, self.params.window, self.params.min_evidence),
+            pressure: self.meter.pressure(now, self.params.window, self.params.min_evidence),
             pin: self.pin,
-            admitted: self.counts.0,
-            refused: self.counts.1,
-            changes: self.counts.2,
+            admitted: self.counts.admitted,
+            refused: self.counts.refused,
+            changes: self.counts.changes,
         }
     }
 
@@ -372,21 +403,22 @@
         self.level
     }
 
-    /// What a level takes, in words.
+    /// Describes what a level admits.
     pub fn describe_level(&self, level: usize) -> String {
         let Some(step) = level.checked_sub(1).and_then(|l| self.params.steps.get(l)) else {
             return "everything".into();
         };
         let percent = |share: f64| format!("{:.0} %", share * 100.0);
-        let first = format!(
-            "{} of what earns {:.2} of the highest utility or more",
+        format!(
+            "{} of attaches that earn {:.2} of the highest utility or more, {} of those that earn less; \
+             no late redials",
             percent(step.share_above),
-            step.min_utility
-        );
-        format!("{first}, {} of what earns less; no late redials", percent(step.share_below))
+            step.min_utility,
+            percent(step.share_below)
+        )
     }
 
-    /// Numbers remembered_callers, for bounds on memory.
+    /// Number of remembered callers, to check the bound on memory.
     pub fn remembered_callers(&self) -> usize {
         self.redials.len()
     }
--- a/crates/levels/src/pressure.rs
+++ b/crates/levels/src/pressure.rs
@@ -1,38 +1,39 @@
-//! Pressure: how much of the utility that was taken did not stand in time, over a sliding window.
+//! Pressure: the share of the admitted utility that was not established in time, over a sliding window.
 
-/// Sums that fade with time.
+/// Exponentially decaying sums of utility. Times are seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PressureMeter {
     earned: f64,
     lost: f64,
     count: f64,
-    at: f64,
+    updated_at: f64,
 }
 
 impl PressureMeter {
-    fn fade(&mut self, now: f64, window: f64) {
-        let kept = (-(now - self.at).max(0.0) / window).exp();
-        self.earned *= kept;
-        self.lost *= kept;
-        self.count *= kept;
-        self.at = self.at.max(now);
+    fn decay(&mut self, now: f64, window: f64) {
+        let factor = (-(now - self.updated_at).max(0.0) / window).exp();
+        self.earned *= factor;
+        self.lost *= factor;
+        self.count *= factor;
+        self.updated_at = self.updated_at.max(now);
     }
 
+    /// Adds the outcome of one attach.
     pub fn add(&mut self, now: f64, window: f64, relative_utility: f64, in_time: bool) {
-        self.fade(now, window);
+        self.decay(now, window);
         *(if in_time { &mut self.earned } else { &mut self.lost }) += relative_utility;
         self.count += 1.0;
     }
 
-    /// The share lost; none where fewer than `min_evidence` attaches tell of it.
+    /// Returns the lost share, or `None` if fewer than `min_evidence` attaches are in the window.
     pub fn pressure(&mut self, now: f64, window: f64, min_evidence: f64) -> Option<f64> {
-        self.fade(now, window);
-        let all = self.earned + self.lost;
-        (self.count >= min_evidence && all > 0.0).then(|| self.lost / all)
+        self.decay(now, window);
+        let total = self.earned + self.lost;
+        (self.count >= min_evidence && total > 0.0).then(|| self.lost / total)
     }
 
     pub fn clear(&mut self, now: f64) {
-        *self = PressureMeter { at: now, ..PressureMeter::default() };
+        *self = PressureMeter { updated_at: now, ..PressureMeter::default() };
     }
 }
 
@@ -41,13 +42,13 @@
     use super::*;
 
     #[test]
-    fn pressure_needs_evidence_and_fades() {
-        let mut gauge = PressureMeter::default();
+    fn pressure_needs_evidence_and_decays() {
+        let mut meter = PressureMeter::default();
         for i in 0..10 {
-            gauge.add(f64::from(i) * 0.01, 2.0, 1.0, i % 2 == 0);
+            meter.add(f64::from(i) * 0.01, 2.0, 1.0, i % 2 == 0);
         }
-        let p = gauge.pressure(0.1, 2.0, 5.0).unwrap();
+        let p = meter.pressure(0.1, 2.0, 5.0).unwrap();
         assert!((p - 0.5).abs() < 0.01, "{p}");
-        assert_eq!(gauge.pressure(3.0, 2.0, 5.0), None, "old news is no min_evidence");
+        assert_eq!(meter.pressure(3.0, 2.0, 5.0), None, "old outcomes are no evidence");
     }
 }
--- a/crates/levels/src/rate_limits.rs
+++ b/crates/levels/src/rate_limits.rs
@@ -1,91 +1,96 @@
-//! What a plan for the whole fleet leaves this front of each procedure, in whole attaches.
+//! This front's rate limit for each procedure, set by the fleet's plan and applied in whole attaches.
 
 use std::collections::BTreeMap;
 
-/// A part may be saved up for so long, seconds: attaches come in no steady row.
+/// Seconds of a rate limit that a bucket may accumulate, because attaches do not arrive evenly.
 const BURST_SECONDS: f64 = 2.0;
-/// And up to so many attaches where that is more: at a front that is asked little they come in no row at all.
+/// Minimum size of a bucket in attaches: a front with few attaches gets them at irregular times.
 const MIN_BURST: f64 = 3.0;
-/// A tenant's floor is kept over about so many of its attaches.
+/// Number of a tenant's attaches over which its floor is averaged.
 const FLOOR_AVERAGING: f64 = 20.0;
 
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
-    /// None: all are taken.
-    a_second: Option<f64>,
+    /// Attaches per second; `None`: unlimited.
+    rate: Option<f64>,
     tokens: f64,
-    at: f64,
+    filled_at: f64,
 }
 
-/// RateLimits by procedure, and a floor for each tenant.
+/// Rate limits by procedure, with a floor for each tenant.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RateLimits {
     buckets: Vec<TokenBucket>,
+    /// Share of each tenant's attaches that is admitted ahead of the others'.
     floor: f64,
-    /// Of each tenant's attaches of late: asked and taken, while parts are on.
+    /// Decaying counts of requested and admitted attaches by tenant, while limits are set.
     tenants: BTreeMap<usize, (f64, f64)>,
 }
 
 impl RateLimits {
-    /// What each procedure gets from now on, attaches a second; empty: all of all. What was saved stays.
-    pub fn set(&mut self, now: f64, parts: &[Option<f64>], floor: f64) {
-        if parts.is_empty() {
+    /// Sets the limit of each procedure in attaches per second; empty: no limits at all. Accumulated tokens
+    /// stay.
+    pub fn set(&mut self, now: f64, rates: &[Option<f64>], floor: f64) {
+        if rates.is_empty() {
             self.tenants.clear();
         }
-        self.buckets.iter_mut().for_each(|b| b.fill(now));
-        self.buckets.resize(parts.len(), TokenBucket { a_second: None, tokens: 0.0, at: now });
-        for (bucket, part) in self.buckets.iter_mut().zip(parts) {
-            if bucket.a_second.is_none() {
-                // Begins empty: over all fronts not one attach more is taken than the sum of the parts.
-                (bucket.tokens, bucket.at) = (0.0, now);
+        self.buckets.iter_mut().for_each(|bucket| bucket.fill(now));
+        self.buckets.resize(rates.len(), TokenBucket { rate: None, tokens: 0.0, filled_at: now });
+        for (bucket, rate) in self.buckets.iter_mut().zip(rates) {
+            if bucket.rate.is_none() {
+                // A new bucket starts empty, so that all fronts together admit no more than the sum of their
+                // limits.
+                (bucket.tokens, bucket.filled_at) = (0.0, now);
             }
-            bucket.a_second = part.map(|p| p.max(0.0));
+            bucket.rate = rate.map(|r| r.max(0.0));
         }
         self.floor = floor;
     }
 
-    /// Some procedure is not taken whole.
+    /// Whether the plan limits any procedure.
     pub fn is_on(&self) -> bool {
         !self.buckets.is_empty()
     }
 
-    /// An attach of that procedure and tenant; false where its part is used up.
-    pub fn ask(&mut self, now: f64, procedure: usize, tenant: Option<usize>) -> bool {
+    /// Takes a token for an attach of a procedure and tenant; returns false if the limit is used up.
+    pub fn try_take(&mut self, now: f64, procedure: usize, tenant: Option<usize>) -> bool {
         if self.buckets.is_empty() {
             return true;
         }
-        let starved = self.starved(tenant);
+        let below_floor = self.is_below_floor(tenant);
         let Some(bucket) = self.buckets.get_mut(procedure) else { return true };
-        let taken = bucket.take(now, starved);
+        let taken = bucket.try_take(now, below_floor);
         if let Some(tenant) = tenant {
-            let (asked, had) = self.tenants.entry(tenant).or_default();
-            let kept = 1.0 - 1.0 / FLOOR_AVERAGING;
-            (*asked, *had) = (*asked * kept + 1.0, *had * kept + f64::from(u8::from(taken)));
+            let (requested, admitted) = self.tenants.entry(tenant).or_default();
+            let decay = 1.0 - 1.0 / FLOOR_AVERAGING;
+            (*requested, *admitted) =
+                (*requested * decay + 1.0, *admitted * decay + f64::from(u8::from(taken)));
         }
         taken
     }
 
-    /// The tenant has had less than its floor of late, so that it goes before the part's turn.
-    fn starved(&self, tenant: Option<usize>) -> bool {
-        let had = tenant.and_then(|t| self.tenants.get(&t));
-        had.is_some_and(|(asked, had)| *had < self.floor * asked)
+    /// Whether the tenant recently got less than its floor, so that it may take tokens in advance.
+    fn is_below_floor(&self, tenant: Option<usize>) -> bool {
+        let counts = tenant.and_then(|t| self.tenants.get(&t));
+        counts.is_some_and(|(requested, admitted)| *admitted < self.floor * requested)
     }
 }
 
 impl TokenBucket {
     fn fill(&mut self, now: f64) {
-        let a_second = self.a_second.unwrap_or(0.0);
-        let most = (BURST_SECONDS * a_second).max(MIN_BURST);
-        self.tokens = (self.tokens + a_second * (now - self.at).max(0.0)).min(most);
-        self.at = self.at.max(now);
+        let rate = self.rate.unwrap_or(0.0);
+        let max_tokens = (BURST_SECONDS * rate).max(MIN_BURST);
+        self.tokens = (self.tokens + rate * (now - self.filled_at).max(0.0)).min(max_tokens);
+        self.filled_at = self.filled_at.max(now);
     }
 
-    fn take(&mut self, now: f64, starved: bool) -> bool {
-        let Some(a_second) = self.a_second else { return true };
+    fn try_take(&mut self, now: f64, below_floor: bool) -> bool {
+        let Some(rate) = self.rate else { return true };
         self.fill(now);
-        // What a starved tenant takes ahead of time is missing to the others after it: the sum stays the same.
-        let least = if starved { 1.0 - (BURST_SECONDS * a_second).max(1.0) } else { 1.0 };
-        let taken = self.tokens >= least;
+        // A tenant below its floor may overdraw the bucket. The tokens are then missing for later attaches,
+        // so that the total stays within the limit.
+        let min_tokens = if below_floor { 1.0 - (BURST_SECONDS * rate).max(1.0) } else { 1.0 };
+        let taken = self.tokens >= min_tokens;
         if taken {
             self.tokens -= 1.0;
         }
@@ -98,31 +103,31 @@
     use super::*;
 
     #[test]
-    fn over_any_time_no_more_than_the_part_is_taken_and_each_tenant_gets_its_floor() {
-        let mut parts = RateLimits::default();
-        parts.set(0.0, &[Some(4.0), None], 0.3);
-        let (mut taken, mut had) = (0, [0, 0]);
-        // Ten a second are asked, nine of them by tenant 0.
+    fn limits_hold_over_any_time_and_each_tenant_gets_its_floor() {
+        let mut limits = RateLimits::default();
+        limits.set(0.0, &[Some(4.0), None], 0.3);
+        let (mut total, mut by_tenant) = (0, [0, 0]);
+        // Ten attaches a second, nine of them from tenant 0.
         for n in 0..1000 {
             let (now, tenant) = (f64::from(n) * 0.1, usize::from(n % 10 == 0));
-            if parts.ask(now, 0, Some(tenant)) {
-                taken += 1;
-                had[tenant] += 1;
-                assert!(f64::from(taken) <= 4.0 * now + 8.0, "{taken} by {now}");
+            if limits.try_take(now, 0, Some(tenant)) {
+                total += 1;
+                by_tenant[tenant] += 1;
+                assert!(f64::from(total) <= 4.0 * now + 8.0, "{total} by {now}");
             }
-            assert!(parts.ask(now, 1, Some(tenant)), "no part is set on the other procedure");
+            assert!(limits.try_take(now, 1, Some(tenant)), "the other procedure has no limit");
         }
-        assert!((390..=400).contains(&taken), "{taken}");
-        assert!(had[1] >= 28, "{had:?} of 100");
-        parts.set(100.0, &[], 0.3);
-        assert!((0..50).all(|_| parts.ask(100.0, 0, None)));
+        assert!((390..=400).contains(&total), "{total}");
+        assert!(by_tenant[1] >= 28, "{by_tenant:?} of 100");
+        limits.set(100.0, &[], 0.3);
+        assert!((0..50).all(|_| limits.try_take(100.0, 0, None)));
     }
 
     #[test]
-    fn a_part_of_less_than_one_attach_a_second_is_saved_up_to_whole_ones() {
-        let mut parts = RateLimits::default();
-        parts.set(0.0, &[Some(0.25)], 0.5);
-        let taken = (0..400).filter(|n| parts.ask(f64::from(*n) * 0.1, 0, None)).count();
-        assert_eq!(taken, 9, "40 s of a quarter, the first after 4 s");
+    fn a_limit_below_one_attach_a_second_accumulates_to_whole_attaches() {
+        let mut limits = RateLimits::default();
+        limits.set(0.0, &[Some(0.25)], 0.5);
+        let taken = (0..400).filter(|n| limits.try_take(f64::from(*n) * 0.1, 0, None)).count();
+        assert_eq!(taken, 9, "40 s at a quarter a second, the first after 4 s");
     }
 }
