--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -219,7 +219,7 @@
             Letter::Ask(to) => drop(to.send(self.standing(now))),
             Letter::Order { site, order, lasts, to } => {
                 let done = match &mut self.sites {
-                    Some(sites) => sites.core.order(now, &site, order, lasts),
+                    Some(sites) => sites.core.apply_order(now, &site, order, lasts),
                     None => Err(SitesError::Disabled),
                 };
                 // Whoever asked may have gone.
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -1,17 +1,20 @@
-//! Loss and return of whole sites, decided without I/O from what many fronts see.
+//! Loss and return of whole sites, decided without I/O from the observations of many fronts.
 //!
-//! A *site* is a named group of fronts and servers. Each front tells what it sees of all servers and how much is
-//! requested of it ([`Observation`], a hint with an age); nobody is believed alone that a site is lost: more than half of the
-//! fronts outside it must miss it. What has been found is a [`SiteRecord`] with an epoch; records of two fronts meet in one
-//! rule, the same everywhere. From records and observations each front works out what it may no longer use and how much of
-//! each procedure it may still take ([`Restrictions`]): never a route, and never more than it would do alone.
+//! A *site* is a named group of fronts and servers. Each front sends the others its [`Observation`]: which
+//! servers it reaches and how many attaches are requested of it. No single front can declare a site lost:
+//! more than half of the fronts outside the site must miss it. The finding is a [`SiteRecord`] with an epoch;
+//! two records of a site merge by the same rule on all fronts. From records and observations each front works
+//! out its [`Restrictions`]: servers that it must not use, and limits on the attaches that it admits. They
+//! never choose a route, and never allow anything that the front would not do on its own.
 //!
-//! Inputs only update what is known; the host then calls [`Sites::turn`] and pulls [`Sites::next_output`]. Times are
-//! f64 seconds on the host's clock; between fronts only ages are told. docs/design-notes/sites.md has the ways weighed.
+//! Inputs only update state; the host then calls [`Sites::tick`] and pulls [`Sites::next_output`]. Times are
+//! f64 seconds on the host's clock; only ages are sent between fronts. docs/design-notes/sites.md compares
+//! the alternatives.
 
 mod error;
 mod message;
 mod observation;
+mod output;
 mod params;
 mod plan;
 mod rates;
@@ -24,10 +27,11 @@
 pub use error::SitesError;
 pub use message::{RelayedObservation, SitesMessage};
 pub use observation::{Observation, SiteObservation};
+pub use output::{Order, Output, Restrictions};
 pub use params::{ProcedureClass, SiteSpec, SitesParams};
-pub use plan::{plan, AdmissionPlan, Demand, SiteCapacity};
+pub use plan::{plan_admission, AdmissionPlan, Demand, SiteCapacity};
 pub use rates::{Sample, ServerSample};
 pub use record::{SiteRecord, Stage};
-pub use sites::{Order, Output, Restrictions, Sites};
+pub use sites::Sites;
 pub use status::{SiteState, SiteStatus, SitesStatus};
 pub use table::SiteTable;
--- a/crates/sites/src/message.rs
+++ b/crates/sites/src/message.rs
@@ -1,36 +1,39 @@
-//! What crosses between fronts, before the codec.
+//! Messages about sites between fronts, before they are encoded. postcard writes them: the order of fields
+//! and variants is the wire format.
 
 use crate::observation::Observation;
 use crate::record::{SiteRecord, Stage};
 use serde::{Deserialize, Serialize};
 
-/// A observation on its way.
+/// An observation, as it is sent by its front or relayed by another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedObservation {
+    /// The front that made it.
     pub front: u64,
-    /// Number of its life.
+    /// Number of the incarnation of that front.
     pub incarnation: u64,
     /// Seconds since it was made, as far as the sender knows.
     pub age: f32,
     pub observation: Observation,
 }
 
-/// A record on its way: the place of its site, and ages in place of times.
+/// A [`SiteRecord`] as it is sent: with the index of its site, and ages in place of times.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordMessage {
     pub site: u8,
     pub epoch: u64,
     pub stage: Stage,
     pub losses: u8,
+    /// Seconds since the record was written.
     pub age: f32,
-    /// Seconds for which an operator still holds it; 0: none does.
+    /// Seconds for which an operator's order still holds the record; 0: no order does.
     pub hold_left: f32,
 }
 
-/// What one front tells another at a beat.
+/// What one front sends another in a tick.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SitesMessage {
-    /// Of the sender's table: places mean the same only where it is the receiver's too.
+    /// Digest of the sender's table of sites: indexes have the same meaning only if the receiver's is equal.
     pub table_digest: u64,
     pub records: Vec<RecordMessage>,
     pub observations: Vec<RelayedObservation>,
@@ -48,10 +51,11 @@
         }
     }
 
-    /// None where a figure is out of range.
-    pub fn record(&self, now: f64, longest: f64) -> Option<SiteRecord> {
-        let good = |x: f32| x.is_finite() && x >= 0.0;
-        if !good(self.age) || !good(self.hold_left) || f64::from(self.hold_left) > longest {
+    /// Returns the record, or `None` if a number is out of range. `max_hold` is the longest valid hold in
+    /// seconds.
+    pub fn record(&self, now: f64, max_hold: f64) -> Option<SiteRecord> {
+        let is_valid = |x: f32| x.is_finite() && x >= 0.0;
+        if !is_valid(self.age) || !is_valid(self.hold_left) || f64::from(self.hold_left) > max_hold {
             return None;
         }
         let held_until = (self.hold_left > 0.0).then(|| now + f64::from(self.hold_left));
--- a/crates/sites/src/observation.rs
+++ b/crates/sites/src/observation.rs
@@ -1,18 +1,19 @@
-//! What each front sees: hints, by their age.
+//! Observations of the fronts, and the latest one of each.
 
 use serde::{Deserialize, Serialize};
 use shalespindle_peers::FrontId;
 use std::collections::BTreeMap;
 
-/// The servers of one site as a front sees them.
+/// The servers of one site as a front observes them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteObservation {
-    /// Servers that are in service by its list and that it has tried, and those of them that answer.
+    /// Number of servers that are in service according to the front's list and that it has tried to reach.
     pub tried: u16,
+    /// Number of these that answer.
     pub reached: u16,
-    /// Set-ups that established there, hundredths a second.
+    /// Set-ups established there, in hundredths per second.
     pub established: u32,
-    /// The mean of the waits that they told, milliseconds and one; 0: none told.
+    /// The mean wait that the servers reported, in milliseconds plus one; 0: none reported a wait.
     pub wait_code: u16,
 }
 
@@ -26,58 +27,59 @@
     }
 }
 
-/// What one front sees, and what is requested of it.
+/// What one front observes of all sites, and what is requested of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Counts the observations of its life.
+    /// Counts the observations of the front's incarnation.
     pub sequence: u32,
-    /// By the places of the sites.
+    /// By index of the site.
     pub sites: Vec<SiteObservation>,
-    /// Attaches requested, hundredths a second, by the places of the procedures.
+    /// Attaches requested, in hundredths per second, by index of the procedure.
     pub requested: Vec<u32>,
 }
 
-/// The youngest observation of one front.
+/// The latest observation of one front.
 #[derive(Clone, Debug)]
 pub(crate) struct StoredObservation {
-    /// Number of its life.
+    /// Number of the front's incarnation.
     pub incarnation: u64,
     /// On this front's clock.
     pub made_at: f64,
     pub observation: Observation,
-    /// Beats in which it is still passed on.
+    /// Number of ticks in which it is still relayed.
     pub relays_left: u8,
 }
 
-/// The youngest observation of each front.
+/// The latest observation of each front.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Observations {
     pub all: BTreeMap<FrontId, StoredObservation>,
 }
 
 impl Observations {
-    /// Takes a observation that is younger than what there is; true where it was.
-    pub fn take(&mut self, front: FrontId, kept: StoredObservation) -> bool {
-        let older = |k: &StoredObservation| {
-            (k.incarnation, k.observation.sequence) < (kept.incarnation, kept.observation.sequence)
+    /// Stores an observation if it is newer than the stored one.
+    pub fn insert(&mut self, front: FrontId, new: StoredObservation) {
+        let is_older = |stored: &StoredObservation| {
+            (stored.incarnation, stored.observation.sequence) < (new.incarnation, new.observation.sequence)
         };
-        let new = self.all.get(&front).is_none_or(older);
-        if new {
-            self.all.insert(front, kept);
+        if self.all.get(&front).is_none_or(is_older) {
+            self.all.insert(front, new);
         }
-        new
     }
 
-    /// Those that still count.
-    pub fn young(&self, now: f64, counts_for: f64) -> impl Iterator<Item = (FrontId, &Observation)> {
-        let young = move |k: &StoredObservation| now - k.made_at <= counts_for;
-        self.all.iter().filter(move |(_, k)| young(k)).map(|(f, k)| (*f, &k.observation))
+    /// Returns the observations that are no older than `lifetime` seconds.
+    pub fn fresh(&self, now: f64, lifetime: f64) -> impl Iterator<Item = (FrontId, &Observation)> {
+        let is_fresh = move |stored: &StoredObservation| now - stored.made_at <= lifetime;
+        self.all
+            .iter()
+            .filter(move |(_, stored)| is_fresh(stored))
+            .map(|(f, stored)| (*f, &stored.observation))
     }
 }
 
 impl Observation {
-    /// As many sites and procedures as there are, and no more reached than there are.
-    pub fn is_sound(&self, table: &crate::SiteTable, params: &crate::SitesParams) -> bool {
+    /// Whether it fits the table and the procedures and reaches no more servers than it tried.
+    pub fn is_valid(&self, table: &crate::SiteTable, params: &crate::SitesParams) -> bool {
         self.sites.len() == table.len()
             && self.requested.len() <= params.classes.len()
             && self.sites.iter().all(|s| s.reached <= s.tried)
--- a/crates/sites/src/rates.rs
+++ b/crates/sites/src/rates.rs
@@ -1,80 +1,85 @@
-//! From what the host counts to rates.
+//! Derives rates from the host's counters.
 
 use crate::observation::{Observation, SiteObservation};
 use crate::table::SiteTable;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// Counts are smoothed over so many observations.
+/// Number of samples over which rates are smoothed.
 const SMOOTHING_SAMPLES: f64 = 4.0;
 
-/// One server as the host sees it; counts run since the front's start.
+/// One server as the host observes it; counters start with the front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSample {
     pub pool: u16,
     pub address: IpAddr,
-    /// It answers; none: not tried yet, or its list took it out.
+    /// Whether it answers; `None`: not tried yet, or not in service according to the list.
     pub reached: Option<bool>,
+    /// Number of set-ups established.
     pub established: u64,
-    /// Connections that it ended.
+    /// Number of connections that the server ended.
     pub disconnects: u64,
-    /// Wait that it told last, seconds.
+    /// The last wait that it reported, seconds.
     pub wait: Option<f64>,
 }
 
-/// What the host sees, and what is requested of it.
+/// What the host observes, and what is requested of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sample {
     pub servers: Vec<ServerSample>,
-    /// Attaches requested so far, by the place of their procedure.
+    /// Number of attaches requested since the start, by index of the procedure.
     pub requested: Vec<u64>,
 }
 
+/// The smoothed rate of a counter.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
-    last: u64,
-    a_second: f64,
+    last_count: u64,
+    per_second: f64,
 }
 
 impl Rate {
     fn add(&mut self, count: u64, seconds: f64, weight: f64) {
-        let now = count.saturating_sub(self.last) as f64 / seconds;
-        self.a_second += weight * (now - self.a_second);
-        self.last = count;
+        let current = count.saturating_sub(self.last_count) as f64 / seconds;
+        self.per_second += weight * (current - self.per_second);
+        self.last_count = count;
     }
 }
 
 /// Turns counts into rates.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RateEstimator {
-    at: Option<f64>,
-    observations: u32,
+    sampled_at: Option<f64>,
+    samples: u32,
     established: Vec<Rate>,
     requested: Vec<Rate>,
+    /// By pool and address of the server.
     disconnects: BTreeMap<(u16, IpAddr), u64>,
 }
 
 impl RateEstimator {
-    /// The next observation, and the sites of which a server fell since the last one.
-    pub fn observation(&mut self, now: f64, seen: &Sample, table: &SiteTable) -> (Observation, Vec<usize>) {
-        let seconds = self.at.map_or(1.0, |at| (now - at).max(1e-3));
-        self.at = Some(now);
-        self.observations += 1;
-        // The first one only learns where counts begin; the next ones count in full until there are enough to smooth.
-        let weight = match self.observations {
+    /// Returns the next observation, and the site of each server that has ended connections since the last
+    /// sample.
+    pub fn observation(&mut self, now: f64, sample: &Sample, table: &SiteTable) -> (Observation, Vec<usize>) {
+        let seconds = self.sampled_at.map_or(1.0, |at| (now - at).max(1e-3));
+        self.sampled_at = Some(now);
+        self.samples += 1;
+        // The first sample only sets the start of the counters. The next ones are averaged with equal weight
+        // until there are enough for exponential smoothing.
+        let weight = match self.samples {
             1 => 0.0,
             n => (1.0 / f64::from(n - 1)).max(2.0 / (SMOOTHING_SAMPLES + 1.0)),
         };
-        let mut fell = Vec::new();
+        let mut failed_sites = Vec::new();
         let mut sites = vec![SiteObservation::default(); table.len()];
         let mut established = vec![0; table.len()];
         let mut waits = vec![(0.0, 0.0); table.len()];
-        for server in &seen.servers {
+        for server in &sample.servers {
             let Some(site) = table.site_of_server(server.pool, Some(server.address)) else { continue };
             let disconnects =
                 self.disconnects.entry((server.pool, server.address)).or_insert(server.disconnects);
             if std::mem::replace(disconnects, server.disconnects) < server.disconnects {
-                fell.push(site);
+                failed_sites.push(site);
             }
             established[site] += server.established;
             let Some(reached) = server.reached else { continue };
@@ -84,25 +89,27 @@
                 waits[site] = (waits[site].0 + wait, waits[site].1 + 1.0);
             }
         }
-        self.disconnects
-            .retain(|(pool, at), _| seen.servers.iter().any(|s| (s.pool, s.address) == (*pool, *at)));
+        self.disconnects.retain(|(pool, address), _| {
+            sample.servers.iter().any(|s| (s.pool, s.address) == (*pool, *address))
+        });
         self.established.resize(table.len(), Rate::default());
-        for (place, observation) in sites.iter_mut().enumerate() {
-            self.established[place].add(established[place], seconds, weight);
-            observation.established = hundredths(self.established[place].a_second);
-            let (sum, told) = waits[place];
+        for (index, observation) in sites.iter_mut().enumerate() {
+            self.established[index].add(established[index], seconds, weight);
+            observation.established = hundredths(self.established[index].per_second);
+            let (sum, count) = waits[index];
             observation.wait_code =
-                if told > 0.0 { (sum / told * 1000.0).clamp(0.0, 65_000.0) as u16 + 1 } else { 0 };
+                if count > 0.0 { (sum / count * 1000.0).clamp(0.0, 65_000.0) as u16 + 1 } else { 0 };
         }
-        self.requested.resize(seen.requested.len(), Rate::default());
-        for (rate, count) in self.requested.iter_mut().zip(&seen.requested) {
+        self.requested.resize(sample.requested.len(), Rate::default());
+        for (rate, count) in self.requested.iter_mut().zip(&sample.requested) {
             rate.add(*count, seconds, weight);
         }
-        let requested = self.requested.iter().map(|r| hundredths(r.a_second)).collect();
-        (Observation { sequence: self.observations, sites, requested }, fell)
+        let requested = self.requested.iter().map(|r| hundredths(r.per_second)).collect();
+        (Observation { sequence: self.samples, sites, requested }, failed_sites)
     }
 }
 
-fn hundredths(a_second: f64) -> u32 {
-    (a_second * 100.0).round().clamp(0.0, f64::from(u32::MAX)) as u32
+/// Converts a rate to hundredths per second.
+fn hundredths(per_second: f64) -> u32 {
+    (per_second * 100.0).round().clamp(0.0, f64::from(u32::MAX)) as u32
 }
--- a/crates/sites/src/sites.rs
+++ b/crates/sites/src/sites.rs
@@ -1,144 +1,103 @@
-//! The whole: records, observations, their judging at each beat, and what follows for this front.
+//! The state machine: the records of all sites, their evaluation at each tick and the restrictions of this
+//! front.
 
 use crate::error::SitesError;
 use crate::message::{RecordMessage, RelayedObservation, SitesMessage};
 use crate::observation::{Observation, Observations, StoredObservation};
+use crate::output::{Order, Output, Restrictions};
 use crate::params::SitesParams;
-use crate::plan::{plan, AdmissionPlan, Demand, SiteCapacity};
+use crate::plan::{plan_admission, AdmissionPlan, Demand, SiteCapacity};
 use crate::rates::{RateEstimator, Sample};
-use crate::record::{SiteRecord, Stage};
+use crate::record::{return_rank, SiteRecord, Stage};
 use crate::table::SiteTable;
-use crate::votes::Votes;
-use serde::{Deserialize, Serialize};
+use crate::votes::{VoteTimes, Votes};
 use shalespindle_peers::{FrontId, Peers, Round, State};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Beats in which a observation is passed on, each time to `fanout` fronts.
+/// Number of ticks in which an observation is relayed, each time to `fanout` fronts.
 const RELAY_ROUNDS: u8 = 2;
-/// Observations of one front come rarer in fleets of more than this: what all fronts take in grows with the fleet.
+/// In larger fleets than this, each front makes observations less often, so that the traffic that a front
+/// receives does not grow with the fleet.
 const FULL_RATE_FLEET_SIZE: f64 = 128.0;
-/// Bytes that a message takes at most beside records and observations, a record, and each observation beside its sites and procedures.
+/// Maximum encoded size of a message without its records and observations.
 const MESSAGE_OVERHEAD_BYTES: usize = 96;
+/// Maximum encoded size of a record.
 const RECORD_BYTES: usize = 32;
+/// Maximum encoded size of an observation without its sites and procedures.
 const OBSERVATION_OVERHEAD_BYTES: usize = 40;
-/// Messages to one front in one beat at most; what does not fit into them waits for the next.
+/// Maximum number of messages to one front in one tick; what does not fit waits for the next tick.
 const MAX_MESSAGES_PER_FRONT: usize = 4;
+/// Maximum encoded size of one site within an observation.
 const SITE_BYTES: usize = 14;
-/// AdmissionPlan stay on for so many observations after a site was last full.
-const FULL_HOLD_INTERVALS: f64 = 10.0;
-/// In one of so many beats those are requested that have not been heard to speak of sites.
-const DISCOVERY_INTERVAL: u64 = 4;
-/// Changes kept for the host at most.
+/// Rate limits stay in force for this many observation intervals after a site was last busy.
+const BUSY_HOLD_INTERVALS: f64 = 10.0;
+/// In one of this many ticks, fronts that have not sent a message about sites yet get an empty one.
+const DISCOVERY_TICKS: u64 = 4;
+/// Maximum number of outputs that wait for the host.
 const MAX_OUTPUTS: usize = 4096;
 
-/// An operator's record on a site.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Order {
-    /// It is lost, whatever fronts see.
-    Lost,
-    /// Nothing new goes there, from nobody.
-    KeepOut,
-    /// It may return, step by step.
-    Return,
-}
-
-/// What this front may no longer do by what the fleet found; nothing is ever let in by it.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Restrictions {
-    /// Places of sites whose servers this front leaves alone, and whether an operator wants that even where nothing else
-    /// is left.
-    pub excluded: Vec<(usize, bool)>,
-    /// Attaches a second that are taken at this front, by procedure; none: all. Empty: no plan is on.
-    pub rate_limits: Vec<Option<f64>>,
-    /// Part of each tenant's attaches that is taken whatever the parts say.
-    pub floor: f64,
-}
-
-/// What the host is to do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    Send {
-        to: FrontId,
-        message: SitesMessage,
-    },
-    Restrict(Restrictions),
-    /// For the log: a site's record changed.
-    RecordChanged {
-        site: usize,
-        from: SiteRecord,
-        to: SiteRecord,
-        missed: usize,
-        outside: usize,
-    },
-    /// For the log: this front hears too few others, or enough again.
-    CutOff(bool),
-}
-
-/// VoteTimes when most fronts miss a site, or reach it.
-#[derive(Clone, Copy, Debug, Default)]
-struct VoteTimes {
-    missed: Option<f64>,
-    reached: Option<f64>,
-}
-
+/// Decides on the loss and return of sites and on this front's restrictions. Times are seconds on the host's
+/// clock; sites are identified by their index in the table.
 pub struct Sites {
     pub(crate) params: SitesParams,
     pub(crate) table: SiteTable,
     pub(crate) own: FrontId,
     pub(crate) records: Vec<SiteRecord>,
-    since: Vec<VoteTimes>,
-    /// The last order given at this front on each site, while it is what this front says.
+    vote_times: Vec<VoteTimes>,
+    /// The last order given at this front on each site, as long as its record is the current one.
     own_orders: Vec<Option<SiteRecord>>,
-    /// When a site last went a step back, as this front knows it.
-    back_at: Vec<f64>,
-    pub(crate) held: Vec<SiteCapacity>,
-    /// When a site in service was last full.
-    full_at: f64,
+    /// When each returning site last went back a step, as far as this front knows.
+    stepped_back_at: Vec<f64>,
+    pub(crate) capacities: Vec<SiteCapacity>,
+    /// When a site in service was last busy.
+    busy_at: f64,
     pub(crate) observations: Observations,
     rates: RateEstimator,
-    beat: u64,
+    ticks: u64,
     next_tick_at: f64,
-    sample_at: f64,
+    next_sample_at: f64,
+    /// Since when this front does not receive heartbeats from a majority of the fleet.
     pub(crate) cut_off: Option<f64>,
     pub(crate) admission_plan: AdmissionPlan,
     restrictions: Restrictions,
     outputs: VecDeque<Output>,
-    /// Where the telling of observations goes on.
-    told_to: FrontId,
+    /// The front with whose observation the next tick continues to relay.
+    relay_cursor: FrontId,
+    /// Selects the fronts that get messages.
     round: Round,
-    /// Fronts that were heard to speak of sites, and the number of the life in which they were.
-    speak: BTreeMap<FrontId, u64>,
+    /// Fronts that have sent messages about sites, with the number of the incarnation that sent them.
+    site_aware: BTreeMap<FrontId, u64>,
+    /// Number of messages from fronts with another table of sites.
     pub(crate) other_tables: u64,
     pub(crate) invalid_messages: u64,
 }
 
 impl Sites {
     pub fn new(params: SitesParams, table: SiteTable, own: FrontId, seed: u64, now: f64) -> Sites {
-        let held = table
+        let capacities = table
             .sites()
             .iter()
             .map(|s| SiteCapacity { capacity: s.capacity, ..SiteCapacity::default() })
             .collect();
         Sites {
             records: vec![SiteRecord::initial(now); table.len()],
-            since: vec![VoteTimes::default(); table.len()],
+            vote_times: vec![VoteTimes::default(); table.len()],
             own_orders: vec![None; table.len()],
-            back_at: vec![f64::NEG_INFINITY; table.len()],
-            held,
-            full_at: f64::NEG_INFINITY,
+            stepped_back_at: vec![f64::NEG_INFINITY; table.len()],
+            capacities,
+            busy_at: f64::NEG_INFINITY,
             observations: Observations::default(),
             rates: RateEstimator::default(),
-            beat: 0,
+            ticks: 0,
             next_tick_at: now,
-            sample_at: now,
+            next_sample_at: now,
             cut_off: None,
             admission_plan: AdmissionPlan::default(),
             restrictions: Restrictions::default(),
             outputs: VecDeque::new(),
-            told_to: FrontId(0),
+            relay_cursor: FrontId(0),
             round: Round::new(seed),
-            speak: BTreeMap::new(),
+            site_aware: BTreeMap::new(),
             other_tables: 0,
             invalid_messages: 0,
             own,
@@ -147,70 +106,70 @@
         }
     }
 
-    // ---- what is heard ----
+    // ---- inputs ----
 
-    /// What this front sees; the host brings it when [`Sites::next_sample_at`] has come.
-    pub fn record_sample(&mut self, now: f64, peers: &Peers, seen: &Sample) {
-        self.sample_at = now + self.scaled_observation_interval(peers);
-        let (observation, fell) = self.rates.observation(now, seen, &self.table);
+    /// Takes a sample of the host's counters; the host calls it at [`Sites::next_sample_at`].
+    pub fn record_sample(&mut self, now: f64, peers: &Peers, sample: &Sample) {
+        self.next_sample_at = now + self.observation_interval(peers);
+        let (observation, failed_sites) = self.rates.observation(now, sample, &self.table);
         let incarnation = peers.life().number;
-        self.observations.take(
+        self.observations.insert(
             self.own,
             StoredObservation { incarnation, made_at: now, observation, relays_left: RELAY_ROUNDS },
         );
-        for site in fell {
-            self.fell(now, site);
+        for site in failed_sites {
+            self.step_back(now, site);
         }
     }
 
-    /// A server of a returning site fell: one step back, at once, whoever saw it. What is seen within half a step's stay
-    /// of that is the same fall: fronts see it one after the other.
-    fn fell(&mut self, now: f64, site: usize) {
+    /// Moves a returning site back one step because one of its servers failed. Failures within half a step's
+    /// duration count as one, because the fronts observe the same failure one after the other.
+    fn step_back(&mut self, now: f64, site: usize) {
         let record = self.records[site];
         let Stage::Returning { step } = record.stage else { return };
-        if record.is_held(now) || now - self.back_at[site] < self.params.min_step_duration / 2.0 {
+        if record.is_held(now) || now - self.stepped_back_at[site] < self.params.min_step_duration / 2.0 {
             return;
         }
-        let back = step.saturating_sub(1);
-        self.write(now, site, record.successor(now, Stage::Returning { step: back }), Votes::default());
+        let next = record.successor(now, Stage::Returning { step: step.saturating_sub(1) });
+        self.set_record(now, site, next, Votes::default());
     }
 
-    /// A message of a front that has been told apart from a stranger by the codec.
+    /// Receives a message that the codec has authenticated.
     pub fn receive(&mut self, now: f64, peers: &Peers, from: FrontId, message: SitesMessage) {
         let Some(incarnation) = peers.life_of(from) else {
             self.invalid_messages += 1;
             return;
         };
-        self.speak.insert(from, incarnation.number);
+        self.site_aware.insert(from, incarnation.number);
         if message.table_digest != self.table.digest() {
             self.other_tables += 1;
             return;
         }
-        for told in message.records {
-            let site = usize::from(told.site);
+        for received in message.records {
+            let site = usize::from(received.site);
             let record =
-                told.record(now, self.params.max_order_duration).filter(|_| site < self.records.len());
+                received.record(now, self.params.max_order_duration).filter(|_| site < self.records.len());
             let Some(record) = record else {
                 self.invalid_messages += 1;
                 continue;
             };
             let before = self.records[site];
             if self.records[site].merge(&record) {
-                self.changed(now, site, before, Votes::default());
-                self.say_order_again(now, site, &record);
+                self.record_changed(now, site, before, Votes::default());
+                self.reassert_order(now, site, &record);
             }
         }
         for relayed in message.observations {
-            self.relayed(now, peers, relayed);
+            self.receive_observation(now, peers, relayed);
         }
     }
 
-    fn relayed(&mut self, now: f64, peers: &Peers, relayed: RelayedObservation) {
+    fn receive_observation(&mut self, now: f64, peers: &Peers, relayed: RelayedObservation) {
         let front = FrontId(relayed.front);
-        let sound = relayed.age.is_finite()
+        let is_valid = relayed.age.is_finite()
             && relayed.age >= 0.0
-            && relayed.observation.is_sound(&self.table, &self.params);
-        if !sound {
+            && relayed.observation.is_valid(&self.table, &self.params);
+        if !is_valid {
             self.invalid_messages += 1;
             return;
         }
@@ -218,7 +177,7 @@
             return;
         }
         let made_at = now - f64::from(relayed.age);
-        self.observations.take(
+        self.observations.insert(
             front,
             StoredObservation {
                 incarnation: relayed.incarnation,
@@ -229,131 +188,143 @@
         );
     }
 
-    /// An operator's record, for the whole fleet.
-    pub fn order(&mut self, now: f64, name: &str, order: Order, lasts: f64) -> Result<(), SitesError> {
+    /// Applies an operator's order to the site of that name, for the whole fleet.
+    pub fn apply_order(
+        &mut self,
+        now: f64,
+        name: &str,
+        order: Order,
+        seconds: f64,
+    ) -> Result<(), SitesError> {
         let site = self.table.index_of(name)?;
-        if !(lasts > 0.0 && lasts <= self.params.max_order_duration) {
-            return Err(SitesError::InvalidDuration { most: self.params.max_order_duration });
+        if !(seconds > 0.0 && seconds <= self.params.max_order_duration) {
+            return Err(SitesError::InvalidDuration { max: self.params.max_order_duration });
         }
         if self.cut_off.is_some() {
             return Err(SitesError::CutOff);
         }
         let record = self.records[site];
         let (stage, held_until) = match order {
-            Order::Lost => (Stage::Lost, Some(now + lasts)),
-            Order::KeepOut => (Stage::KeptOut, Some(now + lasts)),
+            Order::Lost => (Stage::Lost, Some(now + seconds)),
+            Order::KeepOut => (Stage::KeptOut, Some(now + seconds)),
             Order::Return => (Stage::Returning { step: 0 }, None),
         };
         let next = SiteRecord { held_until, ..record.successor(now, stage) };
-        self.write(now, site, next, Votes::default());
+        self.set_record(now, site, next, Votes::default());
         self.own_orders[site] = Some(next);
         Ok(())
     }
 
-    /// Guards an order given at a front that had not heard all records yet, as after its start: a record of before the order
-    /// with an epoch as high would undo what the operator was told is done.
-    fn say_order_again(&mut self, now: f64, site: usize, heard: &SiteRecord) {
+    /// Repeats an order with a higher epoch if an older record has replaced it. A front that has not received
+    /// all records yet, as after its start, may give an order an epoch that an older record has too; that
+    /// record would then undo an order that was already confirmed to the operator.
+    fn reassert_order(&mut self, now: f64, site: usize, received: &SiteRecord) {
         let Some(order) = self.own_orders[site].take() else { return };
-        if heard.since < order.since {
-            let again = SiteRecord { held_until: order.held_until, ..heard.successor(now, order.stage) };
-            self.write(now, site, again, Votes::default());
+        if received.since < order.since {
+            let again = SiteRecord { held_until: order.held_until, ..received.successor(now, order.stage) };
+            self.set_record(now, site, again, Votes::default());
             self.own_orders[site] = Some(again);
         }
     }
 
-    fn write(&mut self, now: f64, site: usize, next: SiteRecord, votes: Votes) {
+    /// Replaces the record of a site by a newer one that this front has written.
+    fn set_record(&mut self, now: f64, site: usize, next: SiteRecord, votes: Votes) {
         debug_assert!(next.epoch > self.records[site].epoch);
         self.own_orders[site] = None;
         let from = std::mem::replace(&mut self.records[site], next);
-        self.changed(now, site, from, votes);
+        self.record_changed(now, site, from, votes);
     }
 
-    fn changed(&mut self, now: f64, site: usize, from: SiteRecord, votes: Votes) {
+    fn record_changed(&mut self, now: f64, site: usize, from: SiteRecord, votes: Votes) {
         let to = self.records[site];
         if let (Stage::Returning { step: before }, Stage::Returning { step }) = (from.stage, to.stage) {
             if step <= before {
-                self.back_at[site] = now;
+                self.stepped_back_at[site] = now;
             }
         }
-        self.since[site] = VoteTimes::default();
+        self.vote_times[site] = VoteTimes::default();
         let (missed, outside) = (votes.missed, votes.outside);
-        self.tell(Output::RecordChanged { site, from, to, missed, outside });
-        // Told and heeded at once, not at the next beat.
+        self.push(Output::RecordChanged { site, from, to, missed, outside });
+        // Sent and applied at once rather than at the next regular tick.
         self.next_tick_at = self.next_tick_at.min(now);
     }
 
-    fn tell(&mut self, out: Output) {
+    /// Queues an output; drops it if the host has not pulled the earlier ones.
+    fn push(&mut self, output: Output) {
         if self.outputs.len() < MAX_OUTPUTS {
-            self.outputs.push_back(out);
+            self.outputs.push_back(output);
         }
     }
 
-    // ---- time ----
+    // ---- timers ----
 
-    /// When [`Sites::observed`] is wanted.
+    /// When [`Sites::record_sample`] must be called next.
     pub fn next_sample_at(&self) -> f64 {
-        self.sample_at
+        self.next_sample_at
     }
 
-    /// When [`Sites::tick`] is due.
+    /// When [`Sites::tick`] must be called next.
     pub fn next_tick_at(&self) -> f64 {
         self.next_tick_at
     }
 
-    fn scaled_observation_interval(&self, peers: &Peers) -> f64 {
+    /// The observation interval, longer in large fleets.
+    fn observation_interval(&self, peers: &Peers) -> f64 {
         let fleet = peers.listed() as f64 + 1.0;
         self.params.observation_interval * (fleet / FULL_RATE_FLEET_SIZE).max(1.0)
     }
 
-    fn scaled_observation_lifetime(&self, peers: &Peers) -> f64 {
-        self.params.observation_lifetime * self.scaled_observation_interval(peers)
-            / self.params.observation_interval
+    /// The observation lifetime, scaled like the interval.
+    fn observation_lifetime(&self, peers: &Peers) -> f64 {
+        self.params.observation_lifetime * self.observation_interval(peers) / self.params.observation_interval
     }
 
-    /// Judges, plans and tells when it is time to. `bytes` is what one message may fill.
-    pub fn tick(&mut self, now: f64, peers: &Peers, fanout: usize, bytes: usize) {
+    /// Once the deadline has passed: evaluates all sites, updates the restrictions and sends messages of at
+    /// most `max_bytes` each to `fanout` fronts.
+    pub fn tick(&mut self, now: f64, peers: &Peers, fanout: usize, max_bytes: usize) {
         if now < self.next_tick_at {
             return;
         }
-        self.beat += 1;
+        self.ticks += 1;
         self.next_tick_at = now + peers.every();
         let fleet: Vec<FrontId> = peers.fleet().collect();
         self.observations.all.retain(|front, _| fleet.binary_search(front).is_ok());
-        self.speak.retain(|front, _| fleet.binary_search(front).is_ok());
-        self.hears(now, peers, fleet.len());
+        self.site_aware.retain(|front, _| fleet.binary_search(front).is_ok());
+        self.update_cut_off(now, peers, fleet.len());
         for site in 0..self.table.len() {
             let record = self.records[site];
-            if let Some((next, votes)) = self.judged(now, site, &record, peers, &fleet) {
-                self.write(now, site, next, votes);
+            if let Some((next, votes)) = self.evaluate(now, site, &record, peers, &fleet) {
+                self.set_record(now, site, next, votes);
                 self.next_tick_at = now + peers.every();
             }
         }
-        self.look(now, peers, &fleet);
-        self.narrow(now, peers, &fleet);
-        self.send(now, peers, &fleet, fanout, bytes);
+        self.update_capacities(now, peers, &fleet);
+        self.update_restrictions(now, peers, &fleet);
+        self.send(now, peers, &fleet, fanout, max_bytes);
     }
 
-    /// Whether this front hears more than half of all fronts, itself among them.
-    fn hears(&mut self, now: f64, peers: &Peers, fleet: usize) {
-        let heard = 1 + peers.all(now).filter(|p| p.1 == State::Alive).count();
-        let cut_off = 2 * heard <= fleet;
+    /// Checks whether this front receives heartbeats from more than half of all fronts, itself included.
+    fn update_cut_off(&mut self, now: f64, peers: &Peers, fleet: usize) {
+        let alive = 1 + peers.all(now).filter(|p| p.1 == State::Alive).count();
+        let cut_off = 2 * alive <= fleet;
         if cut_off != self.cut_off.is_some() {
             self.cut_off = cut_off.then_some(now);
-            self.tell(Output::CutOff(cut_off));
+            self.push(Output::CutOff(cut_off));
         }
     }
 
+    /// Counts the votes of the fronts on a site.
     pub(crate) fn votes(&self, now: f64, site: usize, peers: &Peers, fleet: &[FrontId]) -> Votes {
-        // What a front that is gone saw last says nothing of now.
-        let heard =
+        // The last observation of a front that has left or failed says nothing about the present.
+        let counts =
             |f: FrontId| f == self.own || !matches!(peers.state(f), Some(State::Gone | State::Left) | None);
-        let young =
-            self.observations.young(now, self.scaled_observation_lifetime(peers)).filter(|(f, _)| heard(*f));
-        Votes::of(&self.table, site, fleet, young)
+        let fresh =
+            self.observations.fresh(now, self.observation_lifetime(peers)).filter(|(f, _)| counts(*f));
+        Votes::of(&self.table, site, fleet, fresh)
     }
 
-    /// The next record on a site, where it is time for one.
-    fn judged(
+    /// Returns the next record of a site if its stage must change.
+    fn evaluate(
         &mut self,
         now: f64,
         site: usize,
@@ -363,14 +334,14 @@
     ) -> Option<(SiteRecord, Votes)> {
         let votes = self.votes(now, site, peers, fleet);
         let has_majority = self.cut_off.is_none();
-        let since = &mut self.since[site];
-        let hold = |on: bool, since: &mut Option<f64>| {
+        let times = &mut self.vote_times[site];
+        let duration = |on: bool, since: &mut Option<f64>| {
             *since = on.then(|| since.unwrap_or(now));
             since.map_or(0.0, |since| now - since)
         };
-        let missed_for = hold(votes.majority_misses(has_majority), &mut since.missed);
-        let reached_for = hold(votes.majority_reaches(has_majority), &mut since.reached);
-        let (is_missed, is_reached) = (since.missed.is_some(), since.reached.is_some());
+        let missed_for = duration(votes.majority_misses(has_majority), &mut times.missed);
+        let reached_for = duration(votes.majority_reaches(has_majority), &mut times.reached);
+        let (is_missed, is_reached) = (times.missed.is_some(), times.reached.is_some());
         if record.is_held(now) {
             return None;
         }
@@ -385,13 +356,13 @@
             Stage::Returning { step } => {
                 let last = usize::from(step) + 1 >= p.return_steps.len();
                 let stayed = now - record.since >= p.min_step_duration;
-                if !stayed || !is_reached || !self.bears_its_step(now, site, peers) {
+                if !stayed || !is_reached || !self.step_has_capacity(now, site, peers) {
                     return None;
                 }
                 record.successor(now, if last { Stage::Up } else { Stage::Returning { step: step + 1 } })
             }
-            // An operator's hold has ended: it returns as any lost site does.
-            Stage::Lost | Stage::KeptOut if is_reached && reached_for >= self.pause(record.losses) => {
+            // For `KeptOut` the operator's hold has expired; the site then returns like a lost one.
+            Stage::Lost | Stage::KeptOut if is_reached && reached_for >= self.return_delay(record.losses) => {
                 record.successor(now, Stage::Returning { step: 0 })
             }
             Stage::KeptOut if record.held_until.is_some_and(|until| now >= until) => {
@@ -402,18 +373,19 @@
         Some((next, votes))
     }
 
-    /// How long a lost site must be reached before it returns: longer for one that comes and goes.
-    pub(crate) fn pause(&self, losses: u8) -> f64 {
-        let doubled = f64::from(losses.saturating_sub(1).min(30));
-        (self.params.return_after * doubled.exp2()).min(self.params.max_return_after)
+    /// How long a lost site must be reached before it returns; doubled with each repeated loss.
+    fn return_delay(&self, losses: u8) -> f64 {
+        let doublings = f64::from(losses.saturating_sub(1).min(30));
+        (self.params.return_after * doublings.exp2()).min(self.params.max_return_after)
     }
 
-    /// What was let in at this step stands there: none of those who may use the site finds it full.
-    fn bears_its_step(&self, now: f64, site: usize, peers: &Peers) -> bool {
+    /// Whether the site copes with the load of its current step: none of the fronts that may use it fails to
+    /// reach it or observes busy servers.
+    fn step_has_capacity(&self, now: f64, site: usize, peers: &Peers) -> bool {
         let record = self.records[site];
         let mut users = self
             .observations
-            .young(now, self.scaled_observation_lifetime(peers))
+            .fresh(now, self.observation_lifetime(peers))
             .filter(|(front, _)| self.may_use(site, &record, *front))
             .filter_map(|(_, observation)| observation.sites.get(site).copied());
         !users.any(|s| {
@@ -421,181 +393,190 @@
         })
     }
 
-    /// Whether a front may use a site's servers by the record on it.
+    /// Whether a front may use a site's servers according to the site's record.
     pub(crate) fn may_use(&self, site: usize, record: &SiteRecord, front: FrontId) -> bool {
         let home = self.table.site_of_front(front) == Some(site);
         match record.stage {
             Stage::Up => true,
             Stage::KeptOut => false,
-            // Its own fronts go by what they see themselves: nobody else can tell whether they reach it. But where an
-            // operator said it, the site is lost for them too.
+            // The site's own fronts go by their own observations, since no other front knows whether they
+            // reach it. An operator's order applies to them too.
             Stage::Lost => home && record.held_until.is_none(),
             Stage::Returning { step } => {
-                home || part_of(front, site)
+                home || return_rank(front, site)
                     < self.params.return_steps.get(usize::from(step)).copied().unwrap_or(1.0)
             }
         }
     }
 
-    // ---- the plan ----
+    // ---- plan ----
 
-    /// What all observations together say of what sites bear.
-    fn look(&mut self, now: f64, peers: &Peers, fleet: &[FrontId]) {
-        let young: Vec<(FrontId, &Observation)> =
-            self.observations.young(now, self.scaled_observation_lifetime(peers)).collect();
-        if young.is_empty() {
+    /// Updates the estimated capacity of each site from all fresh observations.
+    fn update_capacities(&mut self, now: f64, peers: &Peers, fleet: &[FrontId]) {
+        let fresh: Vec<(FrontId, &Observation)> =
+            self.observations.fresh(now, self.observation_lifetime(peers)).collect();
+        if fresh.is_empty() {
             return;
         }
-        let live = self.in_service(peers, fleet).max(young.len());
-        // Those that are missing are taken to send as much as the others.
-        let scale = live as f64 / young.len() as f64;
+        let in_service = self.fronts_in_service(peers, fleet).max(fresh.len());
+        // Fronts without a fresh observation are assumed to send as much as the others.
+        let scale = in_service as f64 / fresh.len() as f64;
         let refusing = self.admission_plan.refuses();
-        for (site, held) in self.held.iter_mut().enumerate() {
-            let of = || young.iter().filter_map(|(_, s)| s.sites.get(site));
-            let established = scale * of().map(|s| s.established_per_second()).sum::<f64>();
-            let mut waits: Vec<f64> = of().filter_map(|s| s.wait_seconds()).collect();
+        for (site, capacity) in self.capacities.iter_mut().enumerate() {
+            let site_observations = || fresh.iter().filter_map(|(_, s)| s.sites.get(site));
+            let established = scale * site_observations().map(|s| s.established_per_second()).sum::<f64>();
+            let mut waits: Vec<f64> = site_observations().filter_map(|s| s.wait_seconds()).collect();
             waits.sort_by(f64::total_cmp);
             let wait = waits.get(waits.len() / 2).copied();
             let usable = self.records[site].stage == Stage::Up;
-            held.update(established, wait.filter(|_| usable), self.params.busy_wait, refusing && usable);
-            if held.busy {
-                self.full_at = now;
+            capacity.update(established, wait.filter(|_| usable), self.params.busy_wait, refusing && usable);
+            if capacity.busy {
+                self.busy_at = now;
             }
         }
     }
 
-    fn in_service(&self, peers: &Peers, fleet: &[FrontId]) -> usize {
+    /// Number of fronts in service, this one included.
+    fn fronts_in_service(&self, peers: &Peers, fleet: &[FrontId]) -> usize {
         let counts =
             |f: &&FrontId| **f == self.own || matches!(peers.state(**f), Some(State::Alive | State::Suspect));
         fleet.iter().filter(counts).count()
     }
 
+    /// The attaches that are requested of the fleet.
     pub(crate) fn demand(&self, now: f64, peers: &Peers, fleet: &[FrontId]) -> Demand {
-        let a_second = |s: &Observation| s.requested.iter().map(|h| f64::from(*h) / 100.0).collect();
+        let per_second = |s: &Observation| s.requested.iter().map(|h| f64::from(*h) / 100.0).collect();
         let known: Vec<(FrontId, Vec<f64>)> = self
             .observations
-            .young(now, self.scaled_observation_lifetime(peers))
-            .map(|(f, s)| (f, a_second(s)))
+            .fresh(now, self.observation_lifetime(peers))
+            .map(|(f, s)| (f, per_second(s)))
             .collect();
-        let missing = self.in_service(peers, fleet).saturating_sub(known.len());
+        let missing = self.fronts_in_service(peers, fleet).saturating_sub(known.len());
         Demand { known, missing }
     }
 
-    /// Set-ups a second that the sites bear which `without` leaves; none where that is not known of one of them.
+    /// Set-ups per second that all sites but those of `without` can take, less the safety margin; `None` if
+    /// the capacity of one of them is unknown.
     pub(crate) fn capacity(&self, fleet: &[FrontId], without: impl Fn(usize) -> bool) -> Option<f64> {
-        let mut all = 0.0;
+        let mut total = 0.0;
         for site in (0..self.table.len()).filter(|s| !without(*s)) {
-            let capacity = self.held[site].capacity?;
-            all += match self.records[site].stage {
+            let capacity = self.capacities[site].capacity?;
+            total += match self.records[site].stage {
                 Stage::Up => capacity,
                 Stage::Lost | Stage::KeptOut => 0.0,
                 Stage::Returning { .. } => {
-                    let may = fleet.iter().filter(|f| self.may_use(site, &self.records[site], **f)).count();
-                    capacity * may as f64 / fleet.len().max(1) as f64
+                    let users = fleet.iter().filter(|f| self.may_use(site, &self.records[site], **f)).count();
+                    capacity * users as f64 / fleet.len().max(1) as f64
                 }
             };
         }
-        Some(self.params.capacity_margin * all)
+        Some(self.params.capacity_margin * total)
     }
 
-    fn narrow(&mut self, now: f64, peers: &Peers, fleet: &[FrontId]) {
-        // A front alone keeps its own unaided part: what it was told before it was cut off is old, but for what an
-        // operator wants.
-        let alone = self.cut_off.is_some_and(|since| now - since >= self.params.lost_after);
+    /// Works out what this front must not do, and the plan for the load while a site is out of service.
+    fn update_restrictions(&mut self, now: f64, peers: &Peers, fleet: &[FrontId]) {
+        // A front that has been cut off for a while ignores the fleet's findings, which are out of date;
+        // operators' orders still apply.
+        let isolated = self.cut_off.is_some_and(|since| now - since >= self.params.lost_after);
         let mut restrictions = Restrictions { floor: self.params.floor, ..Restrictions::default() };
         for (site, record) in self.records.iter().enumerate() {
-            let firm = record.is_held(now);
-            if (!alone || firm) && !self.may_use(site, record, self.own) {
-                restrictions.excluded.push((site, firm));
+            let ordered = record.is_held(now);
+            if (!isolated || ordered) && !self.may_use(site, record, self.own) {
+                restrictions.excluded.push((site, ordered));
             }
         }
-        let on = !alone && self.records.iter().any(|w| w.stage != Stage::Up);
-        // Only while a site that is left is full by what its servers tell: refusing ahead of that, by what is believed of
-        // them, cost more than it saved (docs/design-notes/sites.md); short of it the module's own bound refuses.
-        let full = now - self.full_at <= FULL_HOLD_INTERVALS * self.scaled_observation_interval(peers);
-        let capacity = self.capacity(fleet, |_| false).filter(|_| on && full && self.params.enforce_plan);
+        let site_out = !isolated && self.records.iter().any(|record| record.stage != Stage::Up);
+        // The plan refuses only while the servers of a remaining site report that they are busy. Refusing
+        // earlier, by estimated capacity, cost more than it saved (docs/design-notes/sites.md); until then
+        // the router's own limits refuse.
+        let busy = now - self.busy_at <= BUSY_HOLD_INTERVALS * self.observation_interval(peers);
+        let capacity =
+            self.capacity(fleet, |_| false).filter(|_| site_out && busy && self.params.enforce_plan);
         self.admission_plan = match capacity {
             Some(capacity) => {
                 let demand = self.demand(now, peers, fleet).total_by_class(self.params.classes.len());
-                plan(&self.params.classes, self.params.floor, capacity, &demand)
+                plan_admission(&self.params.classes, self.params.floor, capacity, &demand)
             }
             None => AdmissionPlan::default(),
         };
         if self.admission_plan.refuses() {
-            let own = self.observations.all.get(&self.own).map(|k| &k.observation);
+            let own = self.observations.all.get(&self.own).map(|stored| &stored.observation);
             let requested =
                 |c: usize| own.and_then(|s| s.requested.get(c)).map_or(0.0, |h| f64::from(*h) / 100.0);
-            let part = |(c, share): (usize, &f64)| (*share < 1.0).then(|| share * requested(c));
-            restrictions.rate_limits = self.admission_plan.shares.iter().enumerate().map(part).collect();
+            let limit = |(c, share): (usize, &f64)| (*share < 1.0).then(|| share * requested(c));
+            restrictions.rate_limits = self.admission_plan.shares.iter().enumerate().map(limit).collect();
         }
         if restrictions != self.restrictions {
             self.restrictions = restrictions.clone();
-            self.tell(Output::Restrict(restrictions));
+            self.push(Output::Restrict(restrictions));
         }
     }
 
-    // ---- what it tells ----
+    // ---- messages ----
 
-    fn send(&mut self, now: f64, peers: &Peers, fleet: &[FrontId], fanout: usize, bytes: usize) {
+    fn send(&mut self, now: f64, peers: &Peers, fleet: &[FrontId], fanout: usize, max_bytes: usize) {
         let table = self.table.digest();
-        let told = |(site, record): (usize, &SiteRecord)| {
+        let message = |(site, record): (usize, &SiteRecord)| {
             (record.epoch > 0).then(|| RecordMessage::of(site, now, record))
         };
-        let records: Vec<RecordMessage> = self.records.iter().enumerate().filter_map(told).collect();
-        let room = OBSERVATION_OVERHEAD_BYTES + SITE_BYTES * self.table.len() + 5 * self.params.classes.len();
-        let left = bytes.saturating_sub(MESSAGE_OVERHEAD_BYTES + RECORD_BYTES * records.len());
-        let most = (left / room).max(1);
+        let records: Vec<RecordMessage> = self.records.iter().enumerate().filter_map(message).collect();
+        let observation_bytes =
+            OBSERVATION_OVERHEAD_BYTES + SITE_BYTES * self.table.len() + 5 * self.params.classes.len();
+        let available = max_bytes.saturating_sub(MESSAGE_OVERHEAD_BYTES + RECORD_BYTES * records.len());
+        let per_message = (available / observation_bytes).max(1);
         let mut observations = Vec::new();
-        // From where the last beat stopped on, so that none waits for ever.
-        let after = std::mem::replace(&mut self.told_to, FrontId(0));
-        let (first, then) = (self.observations.all.range(after..), self.observations.all.range(..after));
-        let order: Vec<FrontId> =
-            first.chain(then).filter(|(_, k)| k.relays_left > 0).map(|(f, _)| *f).collect();
-        for front in order {
-            if observations.len() == most * MAX_MESSAGES_PER_FRONT {
-                self.told_to = front;
+        // Continues where the last tick stopped, so that every observation gets its turn.
+        let cursor = std::mem::replace(&mut self.relay_cursor, FrontId(0));
+        let (rest, start) = (self.observations.all.range(cursor..), self.observations.all.range(..cursor));
+        let relay_order: Vec<FrontId> =
+            rest.chain(start).filter(|(_, stored)| stored.relays_left > 0).map(|(f, _)| *f).collect();
+        for front in relay_order {
+            if observations.len() == per_message * MAX_MESSAGES_PER_FRONT {
+                self.relay_cursor = front;
                 break;
             }
-            let Some(kept) = self.observations.all.get_mut(&front) else { continue };
-            kept.relays_left -= 1;
-            let age = (now - kept.made_at).max(0.0) as f32;
+            let Some(stored) = self.observations.all.get_mut(&front) else { continue };
+            stored.relays_left -= 1;
+            let age = (now - stored.made_at).max(0.0) as f32;
             observations.push(RelayedObservation {
                 front: front.0,
-                incarnation: kept.incarnation,
+                incarnation: stored.incarnation,
                 age,
-                observation: kept.observation.clone(),
+                observation: stored.observation.clone(),
             });
         }
         let mut messages: Vec<SitesMessage> = observations
-            .chunks(most)
-            .map(|some| SitesMessage {
+            .chunks(per_message)
+            .map(|chunk| SitesMessage {
                 table_digest: table,
                 records: records.clone(),
-                observations: some.to_vec(),
+                observations: chunk.to_vec(),
             })
             .collect();
         if messages.is_empty() {
             messages.push(SitesMessage { table_digest: table, records, observations: Vec::new() });
         }
-        // A front of an earlier version would drop it: it is requested with an empty one now and then whether it speaks.
+        // A front of an earlier version drops messages about sites. An empty one now and then finds out
+        // whether a front supports them: it then sends messages back.
         let empty = SitesMessage { table_digest: table, ..SitesMessage::default() };
-        let asks = self.beat % DISCOVERY_INTERVAL == 1;
+        let discovers = self.ticks % DISCOVERY_TICKS == 1;
         let others: Vec<FrontId> = fleet.iter().copied().filter(|f| *f != self.own).collect();
         for to in self.round.next(fanout, &others) {
-            let of = |life: &u64| peers.life_of(to).is_none_or(|l| l.number == *life);
-            if self.speak.get(&to).is_some_and(of) {
-                messages.iter().for_each(|message| self.tell(Output::Send { to, message: message.clone() }));
-            } else if asks {
-                self.tell(Output::Send { to, message: empty.clone() });
+            let is_current = |number: &u64| peers.life_of(to).is_none_or(|l| l.number == *number);
+            if self.site_aware.get(&to).is_some_and(is_current) {
+                messages.iter().for_each(|message| self.push(Output::Send { to, message: message.clone() }));
+            } else if discovers {
+                self.push(Output::Send { to, message: empty.clone() });
             }
         }
     }
 
+    /// Returns the next output for the host.
     pub fn next_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    // ---- what is requested of it ----
+    // ---- state ----
 
     pub fn table(&self) -> &SiteTable {
         &self.table
@@ -613,12 +594,3 @@
         &self.restrictions
     }
 }
-
-/// Where a front stands in the order in which fronts are let back to a site: 0 to 1, the same on all fronts.
-fn part_of(front: FrontId, site: usize) -> f64 {
-    // SplitMix64's last step: mixes two numbers well and has no state.
-    let mut x = front.0 ^ (site as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64
-}
--- a/crates/sites/src/status.rs
+++ b/crates/sites/src/status.rs
@@ -1,18 +1,18 @@
-//! How the sites stand, for operators.
+//! The status of all sites for operators. It is sent to them as JSON; serde attributes keep its keys.
 
 use crate::record::Stage;
 use crate::sites::Sites;
 use serde::{Deserialize, Serialize};
 use shalespindle_peers::{FrontId, Peers, State};
 
-/// A site's state as this front judges it.
+/// The state of a site as evaluated by this front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SiteState {
     Up,
-    /// Some fronts outside it miss it, not most.
+    /// Some fronts outside the site miss it, but not a majority.
     Doubtful,
-    /// This front hears too few others to judge by.
+    /// This front receives heartbeats from too few others to evaluate the site.
     CutOff,
     Lost,
     KeptOut,
@@ -20,6 +20,7 @@
 }
 
 impl SiteState {
+    /// Returns the state as it is shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             SiteState::Up => "up",
@@ -32,7 +33,7 @@
     }
 }
 
-/// One site.
+/// The status of one site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteStatus {
     pub name: String,
@@ -40,49 +41,59 @@
     pub state: SiteState,
     pub epoch: u64,
     pub stage: Stage,
-    /// Seconds since that record was written.
+    /// Seconds since the site's record was written.
     #[serde(rename = "since")]
     pub stage_age: f64,
-    /// Seconds for which an operator holds it.
+    /// Seconds for which an operator's order still holds the record.
     pub held_for: Option<f64>,
+    /// Number of recent losses.
     pub losses: u8,
-    /// Its fronts on the list, and those that are heard.
+    /// Number of the site's fronts.
     pub fronts: usize,
+    /// Number of these whose heartbeats this front receives.
     #[serde(rename = "fronts_heard")]
     pub fronts_alive: usize,
-    /// Fronts outside it, those that miss its servers, those that reach some.
+    /// Number of fronts outside the site.
     pub outside: usize,
+    /// Number of these that reach none of its servers.
     pub missed: usize,
+    /// Number of these that reach some of its servers.
     pub reached: usize,
-    /// Set-ups a second that stand there, and that it is believed to bear.
+    /// Set-ups established there per second.
     #[serde(rename = "stood")]
     pub established: f64,
+    /// Estimated capacity in set-ups per second; `None`: unknown.
     #[serde(rename = "bears")]
     pub capacity: Option<f64>,
+    /// Its servers report waits that count as busy.
     pub busy: bool,
-    /// Its servers are not used by this front now.
+    /// This front does not use the site's servers now.
     #[serde(rename = "out_here")]
     pub excluded_here: bool,
-    /// Were it lost now: set-ups a second that would be needed and borne by the others.
+    /// Set-ups per second that the other sites would have to take if this one were lost now.
     #[serde(rename = "if_lost_needs")]
     pub required_if_lost: f64,
+    /// Set-ups per second that the other sites could take then; `None`: unknown.
     #[serde(rename = "if_lost_bears")]
     pub capacity_if_lost: Option<f64>,
 }
 
-/// All sites.
+/// The status of all sites.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SitesStatus {
     pub sites: Vec<SiteStatus>,
+    /// This front does not receive heartbeats from a majority of the fleet.
     pub cut_off: bool,
-    /// Fronts whose observations count, of all on the list.
+    /// Number of fronts with a fresh observation.
     #[serde(rename = "sights")]
     pub observations: usize,
+    /// Number of all listed fronts.
     pub fleet: usize,
-    /// Shares of what is requested that are taken now, by procedure; empty: all.
+    /// Admitted shares of the demand, by procedure; empty: everything is admitted.
     pub shares: Vec<f64>,
-    /// Messages of another table of sites, and those of bad form.
+    /// Number of messages from fronts with another table of sites.
     pub other_tables: u64,
+    /// Number of invalid messages.
     #[serde(rename = "bad")]
     pub invalid_messages: u64,
 }
@@ -97,10 +108,10 @@
             .zip(&self.params.classes)
             .map(|(d, c)| d * c.work)
             .sum();
-        let one = |site: usize| {
-            let (spec, record, held) = (self.table.site(site), self.records[site], self.held[site]);
+        let status_of = |site: usize| {
+            let (spec, record, capacity) = (self.table.site(site), self.records[site], self.capacities[site]);
             let votes = self.votes(now, site, peers, &fleet);
-            let alive = |f: &&FrontId| **f == self.own || peers.state(**f) == Some(State::Alive);
+            let is_alive = |f: &&FrontId| **f == self.own || peers.state(**f) == Some(State::Alive);
             let state = match record.stage {
                 Stage::KeptOut => SiteState::KeptOut,
                 _ if self.cut_off.is_some() => SiteState::CutOff,
@@ -118,20 +129,20 @@
                 held_for: record.held_until.map(|until| until - now).filter(|left| *left > 0.0),
                 losses: record.losses,
                 fronts: spec.fronts.len(),
-                fronts_alive: spec.fronts.iter().filter(alive).count(),
+                fronts_alive: spec.fronts.iter().filter(is_alive).count(),
                 outside: votes.outside,
                 missed: votes.missed,
                 reached: votes.reached,
-                established: held.established,
-                capacity: held.capacity,
-                busy: held.busy,
+                established: capacity.established,
+                capacity: capacity.capacity,
+                busy: capacity.busy,
                 excluded_here: self.restrictions().excluded.iter().any(|(s, _)| *s == site),
                 required_if_lost: required,
                 capacity_if_lost: self.capacity(&fleet, |s| s == site),
             }
         };
         SitesStatus {
-            sites: (0..self.table.len()).map(one).collect(),
+            sites: (0..self.table.len()).map(status_of).collect(),
             cut_off: self.cut_off.is_some(),
             observations: demand.known.len(),
             fleet: fleet.len(),
--- a/crates/sites/src/table.rs
+++ b/crates/sites/src/table.rs
@@ -1,4 +1,4 @@
-//! Which front and which server is of which site.
+//! The assignment of fronts and servers to sites.
 
 use crate::error::SitesError;
 use crate::params::SiteSpec;
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// Sites at most: records on all of them fit into every message.
+/// Maximum number of sites: the records of all of them fit into every message.
 pub const MAX_SITES: usize = 64;
 
-/// The table of sites, checked.
+/// The validated table of sites. A site is identified by its index.
 #[derive(Clone, Debug)]
 pub struct SiteTable {
     sites: Vec<SiteSpec>,
@@ -19,14 +19,14 @@
 }
 
 impl SiteTable {
-    /// `name` gives a front its name in faults.
+    /// Validates the sites. `name` returns the name of a front for error messages.
     pub fn new(sites: Vec<SiteSpec>, name: impl Fn(FrontId) -> String) -> Result<SiteTable, SitesError> {
         if sites.len() > MAX_SITES {
-            return Err(SitesError::TooManySites { count: sites.len(), most: MAX_SITES });
+            return Err(SitesError::TooManySites { count: sites.len(), max: MAX_SITES });
         }
         let (mut by_front, mut by_pool) = (BTreeMap::new(), BTreeMap::new());
-        for (place, site) in sites.iter().enumerate() {
-            if sites[..place].iter().any(|other| other.name == site.name) {
+        for (index, site) in sites.iter().enumerate() {
+            if sites[..index].iter().any(|other| other.name == site.name) {
                 return Err(SitesError::DuplicateName { name: site.name.clone() });
             }
             if site.pools.is_empty() && site.networks.is_empty() {
@@ -34,26 +34,27 @@
             }
             let names = |first: usize| (sites[first].name.clone(), site.name.clone());
             for front in &site.fronts {
-                if let Some(first) = by_front.insert(*front, place) {
+                if let Some(first) = by_front.insert(*front, index) {
                     let (first, second) = names(first);
                     return Err(SitesError::DuplicateFront { front: name(*front), first, second });
                 }
             }
             for pool in &site.pools {
-                if let Some(first) = by_pool.insert(*pool, place) {
+                if let Some(first) = by_pool.insert(*pool, index) {
                     let (first, second) = names(first);
                     return Err(SitesError::DuplicatePool { pool: *pool, first, second });
                 }
             }
-            for (first, other) in sites[..place].iter().enumerate() {
+            for (first, other) in sites[..index].iter().enumerate() {
                 let overlaps = |a: &&ipnet::IpNet| {
                     other.networks.iter().any(|b| a.contains(&b.network()) || b.contains(&a.network()))
                 };
                 if let Some(one) = site.networks.iter().find(overlaps) {
-                    let both = |b: &&ipnet::IpNet| one.contains(&b.network()) || b.contains(&one.network());
-                    let met = other.networks.iter().find(both).map(ToString::to_string);
+                    let overlaps_one =
+                        |b: &&ipnet::IpNet| one.contains(&b.network()) || b.contains(&one.network());
+                    let overlapping = other.networks.iter().find(overlaps_one).map(ToString::to_string);
                     let (first, second) = names(first);
-                    let (one, other) = (met.unwrap_or_default(), one.to_string());
+                    let (one, other) = (overlapping.unwrap_or_default(), one.to_string());
                     return Err(SitesError::OverlappingNetworks { one, first, other, second });
                 }
             }
@@ -70,26 +71,28 @@
         self.sites.is_empty()
     }
 
-    pub fn site(&self, place: usize) -> &SiteSpec {
-        &self.sites[place]
+    pub fn site(&self, index: usize) -> &SiteSpec {
+        &self.sites[index]
     }
 
     pub fn sites(&self) -> &[SiteSpec] {
         &self.sites
     }
 
+    /// Returns the index of the site of that name.
     pub fn index_of(&self, name: &str) -> Result<usize, SitesError> {
         let known = || self.sites.iter().map(|s| s.name.as_str()).collect::<Vec<_>>().join(", ");
-        let place = self.sites.iter().position(|s| s.name == name);
-        place.ok_or_else(|| SitesError::UnknownSite { name: name.into(), known: known() })
+        let index = self.sites.iter().position(|s| s.name == name);
+        index.ok_or_else(|| SitesError::UnknownSite { name: name.into(), known: known() })
     }
 
-    /// Where a front stands; none: in no site.
+    /// Returns the site of a front, if it belongs to one.
     pub fn site_of_front(&self, front: FrontId) -> Option<usize> {
         self.by_front.get(&front).copied()
     }
 
-    /// Where a server stands; none: in no site, so that it is never narrowed.
+    /// Returns the site of a server, by its pool or else by its address. A server without a site is never
+    /// restricted.
     pub fn site_of_server(&self, pool: u16, address: Option<IpAddr>) -> Option<usize> {
         let by_network = || {
             let address = address?;
@@ -98,14 +101,15 @@
         self.by_pool.get(&pool).copied().or_else(by_network)
     }
 
-    /// Equal on fronts whose settings name the same sites: what others say by place means the same here.
+    /// Returns a digest that is equal on fronts with equal tables. It tells whether the indexes in another
+    /// front's messages have the same meaning here.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 }
 
 fn digest(sites: &[SiteSpec]) -> u64 {
-    // FNV-1a: stable over builds, which the standard library's hasher is not.
+    // FNV-1a, because the standard library's hasher is not stable across builds.
     let mut digest = 0xcbf2_9ce4_8422_2325u64;
     let mut add = |bytes: &[u8]| {
         for byte in bytes.iter().chain(&[0xff]) {
--- a/crates/sites/tests/common/mod.rs
+++ b/crates/sites/tests/common/mod.rs
@@ -268,7 +268,7 @@
 
     pub fn order(&mut self, front: usize, site: &str, order: Order, lasts: f64) {
         let now = self.now;
-        self.fronts[front].as_mut().unwrap().sites.order(now, site, order, lasts).unwrap();
+        self.fronts[front].as_mut().unwrap().sites.apply_order(now, site, order, lasts).unwrap();
     }
 }
 
--- a/crates/sites/tests/faults.rs
+++ b/crates/sites/tests/faults.rs
@@ -46,7 +46,7 @@
         fault(&[spec("south", &[3], &[], &[])]),
         SitesError::UnknownFront { front: "f9".into(), site: "north".into() },
         fault(&many),
-        SitesError::InvalidDuration { most: 86_400.0 },
+        SitesError::InvalidDuration { max: 86_400.0 },
         SitesError::CutOff,
         SitesError::Disabled,
     ];
--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_peers::FrontId;
-use shalespindle_sites::{plan, Demand, ProcedureClass, SiteCapacity, SiteRecord, Stage};
+use shalespindle_sites::{plan_admission, Demand, ProcedureClass, SiteCapacity, SiteRecord, Stage};
 
 fn classes() -> Vec<ProcedureClass> {
     vec![
@@ -22,15 +22,15 @@
     let classes = classes();
     // Losses of a refusal a unit of time: 0.1, 0.125, 0.5.
     let demand = [10.0, 10.0, 10.0];
-    let all = plan(&classes, 0.3, 70.0, &demand);
+    let all = plan_admission(&classes, 0.3, 70.0, &demand);
     assert_eq!((all.shares.as_slice(), all.refuses()), ([1.0, 1.0, 1.0].as_slice(), false));
-    let parts = plan(&classes, 0.3, 42.0, &demand);
+    let parts = plan_admission(&classes, 0.3, 42.0, &demand);
     assert!((parts.shares[2] - 1.0).abs() < 1e-9 && (parts.shares[0] - 0.3).abs() < 1e-9, "{parts:?}");
     assert!(parts.shares[1] > 0.3 && parts.shares[1] < 1.0, "{parts:?}");
     // Where not even the floors fit, all get the same.
-    let parts = plan(&classes, 0.3, 7.0, &demand);
+    let parts = plan_admission(&classes, 0.3, 7.0, &demand);
     assert!(parts.shares.iter().all(|s| (s - 0.1).abs() < 1e-9), "{parts:?}");
-    assert!(plan(&classes, 0.3, 0.0, &demand).shares.iter().all(|s| *s == 0.0));
+    assert!(plan_admission(&classes, 0.3, 0.0, &demand).shares.iter().all(|s| *s == 0.0));
 }
 
 #[test]
@@ -47,7 +47,7 @@
         let classes: Vec<ProcedureClass> = (0..count).map(|_| class(&mut rng)).collect();
         let demand: Vec<f64> = (0..count).map(|_| rng.random_range(0.0..50.0)).collect();
         let (floor, capacity) = (rng.random(), rng.random_range(0.0..300.0));
-        let parts = plan(&classes, floor, capacity, &demand);
+        let parts = plan_admission(&classes, floor, capacity, &demand);
         let promised: f64 = (0..count).map(|c| parts.shares[c] * demand[c] * classes[c].work).sum();
         assert!(promised <= capacity * (1.0 + 1e-9), "{promised} of {capacity}");
         let least = floor.min(if parts.required > 0.0 { capacity / parts.required } else { 1.0 });
@@ -71,7 +71,7 @@
         let known = others[missing..].iter().chain([&own]);
         let demand =
             Demand { known: known.map(|f| (FrontId(*f as u64), vec![requested[*f]])).collect(), missing };
-        let parts = plan(&classes, 0.0, 0.95 * capacity, &demand.total_by_class(1));
+        let parts = plan_admission(&classes, 0.0, 0.95 * capacity, &demand.total_by_class(1));
         sum += parts.shares[0] * requested[own];
     }
     sum / capacity
