--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -1,4 +1,5 @@
-//! What is taken when a site is out: sums, floors, order, and what missing facts cost.
+//! The admission plan: totals, floors, the order of refusals, missing observations, and the merging of
+//! records.
 
 #[allow(dead_code)]
 mod common;
@@ -18,23 +19,23 @@
 }
 
 #[test]
-fn what_is_dearest_to_refuse_for_its_processor_time_goes_last_and_none_is_starved() {
+fn the_most_costly_procedure_is_refused_last_and_each_gets_its_floor() {
     let classes = classes();
-    // Losses of a refusal a unit of time: 0.1, 0.125, 0.5.
+    // Refusal costs: 0.1, 0.125, 0.5.
     let demand = [10.0, 10.0, 10.0];
-    let all = plan_admission(&classes, 0.3, 70.0, &demand);
-    assert_eq!((all.shares.as_slice(), all.refuses()), ([1.0, 1.0, 1.0].as_slice(), false));
-    let parts = plan_admission(&classes, 0.3, 42.0, &demand);
-    assert!((parts.shares[2] - 1.0).abs() < 1e-9 && (parts.shares[0] - 0.3).abs() < 1e-9, "{parts:?}");
-    assert!(parts.shares[1] > 0.3 && parts.shares[1] < 1.0, "{parts:?}");
-    // Where not even the floors fit, all get the same.
-    let parts = plan_admission(&classes, 0.3, 7.0, &demand);
-    assert!(parts.shares.iter().all(|s| (s - 0.1).abs() < 1e-9), "{parts:?}");
+    let whole = plan_admission(&classes, 0.3, 70.0, &demand);
+    assert_eq!((whole.shares.as_slice(), whole.refuses()), ([1.0, 1.0, 1.0].as_slice(), false));
+    let plan = plan_admission(&classes, 0.3, 42.0, &demand);
+    assert!((plan.shares[2] - 1.0).abs() < 1e-9 && (plan.shares[0] - 0.3).abs() < 1e-9, "{plan:?}");
+    assert!(plan.shares[1] > 0.3 && plan.shares[1] < 1.0, "{plan:?}");
+    // If not even the floors fit, all procedures get the same share.
+    let plan = plan_admission(&classes, 0.3, 7.0, &demand);
+    assert!(plan.shares.iter().all(|s| (s - 0.1).abs() < 1e-9), "{plan:?}");
     assert!(plan_admission(&classes, 0.3, 0.0, &demand).shares.iter().all(|s| *s == 0.0));
 }
 
 #[test]
-fn promised_work_never_passes_what_is_borne_and_no_class_falls_under_its_floor() {
+fn admitted_work_never_exceeds_the_capacity_and_each_class_gets_its_floor() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
         let count = rng.random_range(1..6);
@@ -47,19 +48,20 @@
         let classes: Vec<ProcedureClass> = (0..count).map(|_| class(&mut rng)).collect();
         let demand: Vec<f64> = (0..count).map(|_| rng.random_range(0.0..50.0)).collect();
         let (floor, capacity) = (rng.random(), rng.random_range(0.0..300.0));
-        let parts = plan_admission(&classes, floor, capacity, &demand);
-        let promised: f64 = (0..count).map(|c| parts.shares[c] * demand[c] * classes[c].work).sum();
-        assert!(promised <= capacity * (1.0 + 1e-9), "{promised} of {capacity}");
-        let least = floor.min(if parts.required > 0.0 { capacity / parts.required } else { 1.0 });
-        assert!(parts.shares.iter().all(|s| *s >= least - 1e-9 && *s <= 1.0 + 1e-9), "{parts:?}");
-        if parts.refuses() {
-            assert!(promised >= capacity * (1.0 - 1e-9), "nothing is left over: {promised} of {capacity}");
+        let plan = plan_admission(&classes, floor, capacity, &demand);
+        let admitted: f64 = (0..count).map(|c| plan.shares[c] * demand[c] * classes[c].work).sum();
+        assert!(admitted <= capacity * (1.0 + 1e-9), "{admitted} of {capacity}");
+        let min_share = floor.min(if plan.required > 0.0 { capacity / plan.required } else { 1.0 });
+        assert!(plan.shares.iter().all(|s| *s >= min_share - 1e-9 && *s <= 1.0 + 1e-9), "{plan:?}");
+        if plan.refuses() {
+            assert!(admitted >= capacity * (1.0 - 1e-9), "capacity is left unused: {admitted} of {capacity}");
         }
     }
 }
 
-/// Each front knows its own demand and four fifths of the others': what all of them take together, beside what is borne.
-fn promised(fronts: usize, spread: f64, rng: &mut ChaCha8Rng) -> f64 {
+/// Each front knows its own demand and four fifths of the others'. Returns what all fronts together admit,
+/// relative to the capacity.
+fn admitted_fraction(fronts: usize, spread: f64, rng: &mut ChaCha8Rng) -> f64 {
     let classes = [ProcedureClass { utility: 1.0, late_share: 0.0, work: 1.0, repeatable: true }];
     let requested: Vec<f64> = (0..fronts).map(|_| spread.powf(rng.random_range(-1.0..1.0))).collect();
     let capacity = 0.7 * requested.iter().sum::<f64>();
@@ -71,42 +73,42 @@
         let known = others[missing..].iter().chain([&own]);
         let demand =
             Demand { known: known.map(|f| (FrontId(*f as u64), vec![requested[*f]])).collect(), missing };
-        let parts = plan_admission(&classes, 0.0, 0.95 * capacity, &demand.total_by_class(1));
-        sum += parts.shares[0] * requested[own];
+        let plan = plan_admission(&classes, 0.0, 0.95 * capacity, &demand.total_by_class(1));
+        sum += plan.shares[0] * requested[own];
     }
     sum / capacity
 }
 
 #[test]
-fn with_a_fifth_of_the_facts_missing_helpers_are_not_promised_more_than_they_bear() {
+fn with_a_fifth_of_the_observations_missing_no_more_than_the_capacity_is_admitted() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     for fronts in [6, 8, 12, 30, 64, 281] {
-        let worst = (0..200).map(|_| promised(fronts, 4.0, &mut rng)).fold(0.0, f64::max);
+        let worst = (0..200).map(|_| admitted_fraction(fronts, 4.0, &mut rng)).fold(0.0, f64::max);
         assert!(worst <= 1.0, "{fronts} fronts: {worst:.3}");
-        // The price of that caution, as a part of what is borne.
-        let mean = (0..50).map(|_| promised(fronts, 4.0, &mut rng)).sum::<f64>() / 50.0;
+        // The cost of that caution: the mean use of the capacity stays above this fraction.
+        let mean = (0..50).map(|_| admitted_fraction(fronts, 4.0, &mut rng)).sum::<f64>() / 50.0;
         assert!(mean > 0.6, "{fronts} fronts: {mean:.3}");
     }
 }
 
 #[test]
-fn what_a_site_bears_is_learned_when_it_is_full_and_grows_while_it_is_not() {
-    let mut held = SiteCapacity::default();
-    held.update(50.0, Some(0.0), 0.3, true);
-    assert_eq!(held.capacity, None, "a site that was never full is of unknown size");
-    held.update(80.0, Some(0.4), 0.3, false);
-    assert_eq!(held.capacity, Some(80.0));
-    (0..20).for_each(|_| held.update(60.0, Some(0.5), 0.3, false));
-    assert!((held.capacity.unwrap() - 60.0).abs() < 1.0, "slower now: {held:?}");
-    let before = held.capacity.unwrap();
-    held.update(55.0, Some(0.1), 0.3, false);
-    assert_eq!(held.capacity, Some(before), "nobody is refused: nothing is tried");
-    (0..5).for_each(|_| held.update(55.0, Some(0.1), 0.3, true));
-    assert!(held.capacity.unwrap() > 1.2 * before);
+fn capacity_is_learned_from_a_busy_site_and_grows_while_it_is_not_busy() {
+    let mut site = SiteCapacity::default();
+    site.update(50.0, Some(0.0), 0.3, true);
+    assert_eq!(site.capacity, None, "the capacity of a site that was never busy is unknown");
+    site.update(80.0, Some(0.4), 0.3, false);
+    assert_eq!(site.capacity, Some(80.0));
+    (0..20).for_each(|_| site.update(60.0, Some(0.5), 0.3, false));
+    assert!((site.capacity.unwrap() - 60.0).abs() < 1.0, "the site is slower now: {site:?}");
+    let before = site.capacity.unwrap();
+    site.update(55.0, Some(0.1), 0.3, false);
+    assert_eq!(site.capacity, Some(before), "the estimate grows only while attaches are refused");
+    (0..5).for_each(|_| site.update(55.0, Some(0.1), 0.3, true));
+    assert!(site.capacity.unwrap() > 1.2 * before);
 }
 
 #[test]
-fn words_of_one_site_meet_in_one_word_whatever_their_order() {
+fn merging_records_is_commutative_associative_and_idempotent() {
     let stages =
         [Stage::Up, Stage::Returning { step: 0 }, Stage::Returning { step: 3 }, Stage::Lost, Stage::KeptOut];
     let mut records = Vec::new();
@@ -131,11 +133,12 @@
             }
         }
     }
-    // The more careful of equals: an operator's over the fleet's, the loss over the return, the earlier step.
-    let of = |stage| SiteRecord { epoch: 4, stage, losses: 0, since: 5.0, held_until: None };
-    assert_eq!(merge(&of(Stage::Lost), &of(Stage::KeptOut)).stage, Stage::KeptOut);
+    // In one epoch an order to keep a site out precedes a loss, a loss a return, and an earlier step a later
+    // one.
+    let at_stage = |stage| SiteRecord { epoch: 4, stage, losses: 0, since: 5.0, held_until: None };
+    assert_eq!(merge(&at_stage(Stage::Lost), &at_stage(Stage::KeptOut)).stage, Stage::KeptOut);
     assert_eq!(
-        merge(&of(Stage::Returning { step: 0 }), &of(Stage::Returning { step: 1 })).stage,
+        merge(&at_stage(Stage::Returning { step: 0 }), &at_stage(Stage::Returning { step: 1 })).stage,
         Stage::Returning { step: 0 }
     );
 }
