--- a/crates/levels/tests/histories.rs
+++ b/crates/levels/tests/histories.rs
@@ -250,7 +250,10 @@
     /// same history yields the same changes, and once all attaches are established it returns to full
     /// service.
     #[test]
-    fn any_history_keeps_the_invariants(seed: u64, script in proptest::collection::vec((0u8..5, 1u8..60, 0u8..=100), 1..60)) {
+    fn any_history_keeps_the_invariants(
+        seed: u64,
+        script in proptest::collection::vec((0u8..5, 1u8..60, 0u8..=100), 1..60),
+    ) {
         let run = || {
             let (mut levels, mut now) = (Levels::new(seed, params(), 0.0), 0.0);
             let mut changes = Vec::new();
@@ -271,7 +274,8 @@
         let (level, changes) = run();
         prop_assert_eq!(level, 0);
         prop_assert!(apart(&changes, 2.0));
-        prop_assert!(changes.iter().all(|c| c.to < c.from && c.to + 1 == c.from || c.to > c.from && c.to <= c.from + 2));
+        let is_valid = |c: &Change| c.to < c.from && c.to + 1 == c.from || c.to > c.from && c.to <= c.from + 2;
+        prop_assert!(changes.iter().all(is_valid));
         prop_assert_eq!(run().1, changes);
     }
 }
