--- a/crates/sites/src/error.rs
+++ b/crates/sites/src/error.rs
@@ -10,10 +10,10 @@
     #[diagnostic(help("name one of the [[sites]] of the settings: {known}"))]
     UnknownSite { name: String, known: String },
     #[error("front {front:?} belongs to two sites, {first:?} and {second:?}")]
-    #[diagnostic(help("keep it in the `fronts` of the one site where it is located"))]
+    #[diagnostic(help("leave it in the `fronts` of the one site where it is located"))]
     DuplicateFront { front: String, first: String, second: String },
     #[error("pool {pool} belongs to two sites, {first:?} and {second:?}")]
-    #[diagnostic(help("keep it in the `pools` of the one site where its server is located"))]
+    #[diagnostic(help("leave it in the `pools` of the one site where its server is located"))]
     DuplicatePool { pool: u16, first: String, second: String },
     #[error("the networks {one} of {first:?} and {other} of {second:?} overlap")]
     #[diagnostic(help(
