--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -30,11 +30,11 @@
 
     /// The link to a member, made when it is first heard of.
     pub(crate) fn link_of(&mut self, change: &Change) -> usize {
-        if let Some(&place) = self.by_pool.get(&change.name) {
+        if let Some(&place) = self.by_pool.get(&change.id) {
             return place;
         }
-        self.links.push(Link::new(change.name, change.pool, change.address));
-        self.by_pool.insert(change.name, self.links.len() - 1);
+        self.links.push(Link::new(change.id, change.pool, change.address));
+        self.by_pool.insert(change.id, self.links.len() - 1);
         self.links.len() - 1
     }
 
--- a/crates/front/src/sites.rs
+++ b/crates/front/src/sites.rs
@@ -87,7 +87,7 @@
             .members
             .members()
             .map(|m| {
-                (m.name(), m.pool(), of(m.pool(), m.address()), m.status() == ServiceStatus::In, m.started())
+                (m.id(), m.pool(), of(m.pool(), m.address()), m.status() == ServiceStatus::In, m.started())
             })
             .collect();
         // A procedure keeps some server where a site is out by the fleet's finding alone.
--- a/crates/front/src/sources.rs
+++ b/crates/front/src/sources.rs
@@ -198,10 +198,10 @@
         let mut changes = Vec::new();
         while let Some(change) = self.sources.members.next_change() {
             entries.push(PoolEntry {
-                id: change.name,
+                id: change.id,
                 number: change.pool,
                 started: change.started,
-                ready: change.status == ServiceStatus::In && !self.narrowed.leaves_alone(change.name),
+                ready: change.status == ServiceStatus::In && !self.narrowed.leaves_alone(change.id),
             });
             changes.push(change);
         }
@@ -276,7 +276,7 @@
         let place = self.link_of(change);
         let link = &mut self.links[place];
         link.number = change.pool;
-        link.ready = change.status == ServiceStatus::In && !self.narrowed.leaves_alone(change.name);
+        link.ready = change.status == ServiceStatus::In && !self.narrowed.leaves_alone(change.id);
         link.listed = change.status != ServiceStatus::Out;
         let is_in = change.status == ServiceStatus::In;
         self.event(Event::Pool { change: *change, age: age(now, change.started) });
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,13 @@
-//! Which servers a front may use, decided without I/O from what two sources say: the pool list and DNS.
+//! Decides, without I/O, which servers a front may use, from two sources: the pool list and DNS.
 //!
-//! The module keeps what each source last said of each server, since when and until when, rules by the table
-//! in [`table`], and yields the changes that the router is told. It never picks a route. Inputs only update
-//! what is known; [`Membership::evaluate`] rules, [`Membership::next_change`] is pulled until there is none.
-//! Times are f64 seconds on the host's clock. docs/design-notes/membership.md has the ways weighed.
+//! [`Membership`] stores what each source last reported about each server, since when and until when. It combines
+//! the two reports by the table in [`table`] and yields the changes for the router; it never picks a route.
+//! Inputs only update the stored reports: [`Membership::evaluate`] decides, and [`Membership::next_change`] is
+//! called until it returns none.
+//! Times are f64 seconds on the host's clock. docs/design-notes/membership.md compares the alternatives.
 
 mod first_choices;
-mod flaps;
+mod flap_damping;
 mod members;
 mod pool_numbers;
 mod sources;
@@ -22,32 +23,33 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What the module is started with. Times are seconds.
+/// Parameters of a [`Membership`]. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipParams {
-    /// The feed may be away so long before its last words are those of a silent list.
+    /// How long the feed of the pool list may be disconnected before the list counts as silent.
     pub list_timeout: f64,
-    /// What one source drained or took out is not brought back by the other within this.
+    /// How long a server that one source drained or removed can't be brought back by the other source.
     pub withdrawal_hold: f64,
-    /// So long past its lifetime a record is used without a warning while look-ups fail,
+    /// How long past its lifetime a DNS record is used without a warning while look-ups fail.
     pub stale_without_warning: f64,
-    /// and so long with one (RFC 8767 section 5). An empty answer is not believed before this either.
+    /// How long past its lifetime a DNS record is used at all while look-ups fail (RFC 8767 section 5). Also how
+    /// long answers must stay empty before they count.
     pub max_stale: f64,
-    /// Comings and goings are forgotten over this time.
+    /// Time constant of the exponential decay of a server's flap count.
     pub flap_window: f64,
-    /// From the second return within the window on, a server waits so long; doubled with each further one,
+    /// Wait before the second return to service within the window; doubled with each further return.
     pub base_flap_hold: f64,
-    /// and never longer than this.
+    /// Longest wait before a return to service.
     pub max_flap_hold: f64,
-    /// So long a server of the last run is used while no source has spoken.
+    /// How long a server known from the previous run is used before any source has reported it.
     pub stored_max_age: f64,
-    /// Servers kept at most: guards memory against a source that names new ones for ever.
+    /// Maximum number of known servers: bounds memory against a source that names new ones without end.
     pub max_members: usize,
 }
 
 impl MembershipParams {
-    /// Short times: for the walk and for tests, which pass hours by hand.
-    pub fn short(most: usize) -> MembershipParams {
+    /// Short times, for model checks and tests that advance a fake clock by hours.
+    pub fn short(max_members: usize) -> MembershipParams {
         MembershipParams {
             list_timeout: 5.0,
             withdrawal_hold: 10.0,
@@ -57,12 +59,13 @@
             base_flap_hold: 3.0,
             max_flap_hold: 60.0,
             stored_max_age: 300.0,
-            max_members: most,
+            max_members,
         }
     }
 }
 
-/// State of a processor as the pool list tells it, in the order of care.
+/// State of a processor as the pool list reports it. The order is that of caution: of two reports about the same
+/// start the greater one counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ReportedState {
     Ready,
@@ -74,86 +77,87 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListEntry {
     pub address: SocketAddr,
-    /// The pool's number, as procedures and trunk groups name it.
+    /// Number of the pool, as procedures and trunk groups refer to it.
     pub pool: u16,
     pub state: ReportedState,
-    /// Counts the starts of its processor; an earlier one than known is old news.
+    /// Counts the starts of the processor; an entry with a lower one than known is outdated.
     pub incarnation: u64,
-    /// When it started; 0 when long ago.
+    /// When the processor started; 0 when long ago.
     pub started: f64,
 }
 
-/// What other fronts' lists come to for a server: heeded as a warning, never to let one in.
+/// Combined report of other fronts' lists about one server. It can take a server out of service or mark it as
+/// cold, but never puts one in service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerWarning {
     pub address: SocketAddr,
     pub pool: u16,
     pub incarnation: u64,
-    /// The most careful word on that incarnation.
+    /// Most cautious state reported for that incarnation.
     pub state: ReportedState,
-    /// The youngest start that anybody tells; none when long ago.
+    /// Latest start time that any front reports; none when long ago.
     pub started: Option<f64>,
-    /// Until when it counts.
+    /// When the warning expires.
     pub until: f64,
 }
 
-/// One server in an answer of DNS.
+/// One server in a DNS answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DnsRecord {
     pub address: SocketAddr,
     pub pool: u16,
-    /// RFC 2782: lower is better.
+    /// RFC 2782: lower is preferred.
     pub priority: u16,
-    /// RFC 2782: share among those of one priority.
+    /// RFC 2782: relative share among the records of one priority.
     pub weight: u16,
 }
 
-/// What a look-up of one name came to.
+/// Result of the look-up of one name.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LookupResult {
-    /// Servers, good for so many seconds.
+    /// Records, with their lifetime in seconds.
     Servers { records: Vec<DnsRecord>, lifetime: f64 },
     /// The name has no such records, or does not exist (RFC 2308).
     Empty,
-    /// No resolver gave an answer that can be used.
+    /// No resolver returned a usable answer.
     Failed,
 }
 
-/// How a server stands with this front.
+/// Whether this front may use a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ServiceStatus {
     /// In service: the router may choose it.
     In,
-    /// Nothing new goes to it; what stands goes on.
+    /// It gets no new work; established work goes on.
     Draining,
     /// It is not used.
     Out,
 }
 
-/// What a status follows from.
+/// Why a server has its [`ServiceStatus`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StatusReason {
-    /// The table's row for the two sources' words.
+    /// The table's row for the statuses of the two sources.
     Row,
-    /// The row lets it in, but it came and went too often of late.
+    /// The row puts it in service, but it went out of service too often recently.
     Flapping,
-    /// The row keeps it out softly, but no server would be left.
+    /// The row keeps it out of service only for lack of reports, and no other server is left.
     LastResort,
 }
 
 /// One change of what the router may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
-    /// The member's name for the router; one address keeps its name.
-    pub name: u64,
+    /// Identifies the member for the router; it stays the same for one address.
+    pub id: u64,
     pub address: SocketAddr,
     pub pool: u16,
     pub status: ServiceStatus,
-    /// Last start of its processor; 0 when long ago. What is not known is taken for now: cold.
+    /// Last start of its processor; 0 when long ago. An unknown start counts as now: the processor is cold.
     pub started: f64,
     pub list: ListStatus,
     pub dns: DnsStatus,
     pub reason: StatusReason,
-    /// Used on old news: an operator should look.
+    /// It is in service on outdated reports: an operator should check.
     pub needs_attention: bool,
 }
--- a/crates/membership/src/pool_numbers.rs
+++ b/crates/membership/src/pool_numbers.rs
@@ -1,46 +1,46 @@
-//! Pool numbers for servers that DNS alone names.
+//! Pool numbers for servers that only DNS names.
 //!
-//! Procedures and trunk groups name pools by number, and a record carries none. A target that the settings
-//! list has the number given there; any other gets the next free number from `first` on, in the order in
+//! Procedures and trunk groups refer to pools by number, but a DNS record carries none. A target that the settings
+//! list has the number given there. Any other target gets the next free number, from `first` on, in the order in
 //! which targets are first seen (within one answer by priority, weight and name), and keeps it.
 
 use std::collections::BTreeMap;
 
-/// Numbers by target.
+/// Pool numbers by DNS target.
 #[derive(Clone, Debug)]
 pub struct PoolNumbers {
-    given: BTreeMap<String, u16>,
+    by_target: BTreeMap<String, u16>,
     next: u16,
-    most: usize,
+    max_targets: usize,
 }
 
 impl PoolNumbers {
-    /// `listed` are the settings' targets; at most `most` others get a number.
-    pub fn new(listed: BTreeMap<String, u16>, first: u16, most: usize) -> PoolNumbers {
-        let most = listed.len() + most;
+    /// `listed` holds the targets in the settings; at most `max_unlisted` others get a number.
+    pub fn new(listed: BTreeMap<String, u16>, first: u16, max_unlisted: usize) -> PoolNumbers {
+        let max_targets = listed.len() + max_unlisted;
         PoolNumbers {
-            given: listed.into_iter().map(|(k, v)| (k.to_ascii_lowercase(), v)).collect(),
+            by_target: listed.into_iter().map(|(k, v)| (k.to_ascii_lowercase(), v)).collect(),
             next: first,
-            most,
+            max_targets,
         }
     }
 
-    /// The number of a target; none when there is none left.
+    /// The number of a target, assigned on first use; none when no number is left.
     pub fn number_for(&mut self, target: &str) -> Option<u16> {
         let target = target.to_ascii_lowercase();
-        if let Some(number) = self.given.get(&target) {
+        if let Some(number) = self.by_target.get(&target) {
             return Some(*number);
         }
-        // Guards memory, and numbers that others use, against a zone that names ever new targets.
-        if self.given.len() >= self.most {
+        // Bounds memory, and the use of free numbers, against a zone that names new targets without end.
+        if self.by_target.len() >= self.max_targets {
             return None;
         }
-        while self.given.values().any(|n| *n == self.next) {
+        while self.by_target.values().any(|n| *n == self.next) {
             self.next = self.next.checked_add(1)?;
         }
         let number = self.next;
         self.next = self.next.checked_add(1)?;
-        self.given.insert(target, number);
+        self.by_target.insert(target, number);
         Some(number)
     }
 }
--- a/crates/membership/src/sources.rs
+++ b/crates/membership/src/sources.rs
@@ -1,33 +1,33 @@
-//! What each source last said of one server, and what that comes to now.
+//! What each source last reported about one server, and the source's current status derived from it.
 
 use crate::{MembershipParams, ReportedState};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What the pool list says of a server.
+/// Status of a server according to the pool list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ListStatus {
     Ready,
     Draining,
     Gone,
-    /// It said ready, and the feed has been away for longer than its patience.
+    /// It was reported as ready, and the feed has been disconnected for longer than its timeout.
     Silent,
-    /// It never named this server, or what it said is no longer held to.
+    /// The list never named this server, or its last report no longer counts.
     NeverReported,
 }
 
-/// What DNS says of a server.
+/// Status of a server according to DNS.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DnsStatus {
     /// The last answer names it and is within its lifetime.
     Present,
-    /// The last answer names others and no longer this one.
+    /// The last answer names others but not this one.
     Absent,
-    /// The last answer that named it is too long past its lifetime.
+    /// The last answer that named it is too far past its lifetime.
     Expired,
-    /// It is past its lifetime, look-ups fail, and it still may be used.
+    /// The record is past its lifetime and look-ups fail, but it may still be used.
     Failing,
-    /// The last answer was empty, not long ago.
+    /// Answers are empty, but not yet for long enough to count.
     Empty,
     NeverReported,
 }
@@ -41,6 +41,7 @@
         ListStatus::NeverReported,
     ];
 
+    /// Name in logs, in the console's output and in the operators' documentation.
     pub fn name(self) -> &'static str {
         match self {
             ListStatus::Ready => "ready",
@@ -62,6 +63,7 @@
         DnsStatus::NeverReported,
     ];
 
+    /// Name in logs, in the console's output and in the operators' documentation.
     pub fn name(self) -> &'static str {
         match self {
             DnsStatus::Present => "present",
@@ -86,88 +88,97 @@
     }
 }
 
-/// The list's part of one server.
+/// The pool list's last report about one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct ListSays {
+pub(crate) struct ListReport {
     pub state: ReportedState,
+    /// When this state was first reported for this incarnation.
     pub since: f64,
     pub incarnation: u64,
 }
 
-/// The feed itself.
+/// Connection state of the pool list's feed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FeedState {
-    /// Since when it is away; none while it is there.
-    pub away_since: Option<f64>,
+    /// Since when it is disconnected; none while connected.
+    pub lost_since: Option<f64>,
 }
 
 impl FeedState {
-    pub fn silent(&self, now: f64, params: &MembershipParams) -> bool {
+    pub fn is_silent(&self, now: f64, params: &MembershipParams) -> bool {
         self.silent_at(params).is_some_and(|at| now >= at)
     }
 
+    /// When the list starts to count as silent, unless the feed reconnects before.
     pub fn silent_at(&self, params: &MembershipParams) -> Option<f64> {
-        self.away_since.map(|since| since + params.list_timeout)
+        self.lost_since.map(|since| since + params.list_timeout)
     }
 }
 
-/// One name's last answers, whatever server they named.
+/// State of the look-ups of one name, independent of the servers that it resolved to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct NameState {
     /// Since when answers have been empty.
     pub empty_since: Option<f64>,
 }
 
-/// What one name's answers say of one server.
+/// What the answers for one name report about one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct NamedBy {
-    /// The last answer that named it: when, and until when it was good.
-    pub at: f64,
-    pub until: f64,
-    /// When an answer with others first left it out.
-    pub left_out_at: Option<f64>,
+pub(crate) struct DnsReport {
+    /// When the last answer that named the server came.
+    pub answered_at: f64,
+    /// When the lifetime of that answer ends.
+    pub valid_until: f64,
+    /// When an answer with other servers first omitted this one.
+    pub omitted_at: Option<f64>,
     pub priority: u16,
     pub weight: u16,
 }
 
-impl NamedBy {
-    pub fn word(&self, now: f64, name: &NameState, params: &MembershipParams) -> DnsStatus {
-        if self.left_out_at.is_some() {
+impl DnsReport {
+    pub fn status(&self, now: f64, name: &NameState, params: &MembershipParams) -> DnsStatus {
+        if self.omitted_at.is_some() {
             return DnsStatus::Absent;
         }
         if let Some(since) = name.empty_since {
-            // Believed in the end: a name that stays empty names nobody.
+            // A name that stays empty for this long no longer names any server.
             return if now < since + params.max_stale { DnsStatus::Empty } else { DnsStatus::Expired };
         }
-        if now < self.until {
+        if now < self.valid_until {
             DnsStatus::Present
-        } else if now < self.until + params.max_stale {
+        } else if now < self.valid_until + params.max_stale {
             DnsStatus::Failing
         } else {
             DnsStatus::Expired
         }
     }
 
-    /// When its word can next change by time alone.
-    pub fn due(&self, now: f64, name: &NameState, params: &MembershipParams) -> f64 {
-        let moments = match name.empty_since {
+    /// When the status, or whether it needs a warning, can next change by time alone.
+    pub fn next_deadline(&self, now: f64, name: &NameState, params: &MembershipParams) -> f64 {
+        let deadlines = match name.empty_since {
             Some(since) => [since + params.max_stale, f64::INFINITY, f64::INFINITY],
-            None => [self.until, self.until + params.stale_without_warning, self.until + params.max_stale],
+            None => [
+                self.valid_until,
+                self.valid_until + params.stale_without_warning,
+                self.valid_until + params.max_stale,
+            ],
         };
-        moments.into_iter().filter(|at| *at > now).fold(f64::INFINITY, f64::min)
+        deadlines.into_iter().filter(|at| *at > now).fold(f64::INFINITY, f64::min)
     }
 }
 
-/// The best word of all names: a server under two names is named while one of them names it.
-pub(crate) fn dns_word(
+/// The best status over all names: a server under two names counts as named while one of them names it.
+pub(crate) fn combined_dns_status(
     now: f64,
-    named: &BTreeMap<usize, NamedBy>,
+    reports: &BTreeMap<usize, DnsReport>,
     names: &BTreeMap<usize, NameState>,
     params: &MembershipParams,
 ) -> DnsStatus {
-    const BEST: [DnsStatus; 5] =
+    const BEST_FIRST: [DnsStatus; 5] =
         [DnsStatus::Present, DnsStatus::Failing, DnsStatus::Empty, DnsStatus::Absent, DnsStatus::Expired];
-    let word = |(name, by): (&usize, &NamedBy)| names.get(name).map(|state| by.word(now, state, params));
-    let words: Vec<DnsStatus> = named.iter().filter_map(word).collect();
-    BEST.into_iter().find(|best| words.contains(best)).unwrap_or(DnsStatus::NeverReported)
+    let status = |(name, report): (&usize, &DnsReport)| {
+        names.get(name).map(|name_state| report.status(now, name_state, params))
+    };
+    let statuses: Vec<DnsStatus> = reports.iter().filter_map(status).collect();
+    BEST_FIRST.into_iter().find(|best| statuses.contains(best)).unwrap_or(DnsStatus::NeverReported)
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,33 +1,38 @@
-//! The table for disagreement: one row for each pair of what the list and DNS say of a server.
+//! The decision table: one row for each pair of a server's status in the pool list and its status in DNS.
 //!
-//! Two principles give every row. Whoever takes a server out goes before whoever lets it in. And silence,
-//! failure and emptiness are not words: what was last known stands, for a time, with a warning.
+//! Every row follows from two principles. A source that takes a server out of service prevails over one that puts
+//! it in. And silence, failed look-ups and empty answers are not reports: the last known state stays in force for a
+//! limited time, with a warning.
 
 use crate::{DnsStatus, ListStatus};
 
-/// What a row rules.
+/// Decision of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
+    /// In service.
     In,
-    /// In, and taken for cold until the list tells when its processor started.
+    /// In service, and treated as cold until the list reports when its processor started.
     InCold,
-    /// In on old news, with a warning.
+    /// In service on outdated reports, with a warning.
     InWithWarning,
-    /// Nothing new.
+    /// It gets no new work.
     Drain,
+    /// Out of service.
     Out,
-    /// Out for want of words, not because a source took it out: in again when nothing else is left.
-    OutSoft,
+    /// Out of service for lack of reports, not because a source took it out: used again as the last resort, when
+    /// no other server is left.
+    OutUnlessLastResort,
 }
 
-/// One row.
+/// One row of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Row {
     pub decision: Decision,
+    /// Shown to operators; docs/operators/membership.md has the same text for each row.
     pub reason: &'static str,
 }
 
-/// The row for what the sources say of one server.
+/// The row for a server's statuses in the two sources.
 pub fn row(list: ListStatus, dns: DnsStatus) -> Row {
     use Decision::*;
     use DnsStatus as D;
@@ -59,15 +64,19 @@
         (L::Silent, D::NeverReported) => (InWithWarning, "the list's last word stands"),
         (L::NeverReported, D::Present) => (InCold, "found by DNS alone: cold until known better"),
         (L::NeverReported, D::Absent) => (Drain, "DNS withdrew what it alone had named"),
-        (L::NeverReported, D::Expired) => (OutSoft, "nobody has named it for too long"),
+        (L::NeverReported, D::Expired) => (OutUnlessLastResort, "nobody has named it for too long"),
         (L::NeverReported, D::Failing) => (InWithWarning, "what DNS last named stands while it fails"),
         (L::NeverReported, D::Empty) => (InWithWarning, "an empty answer does not empty the fleet at once"),
-        (L::NeverReported, D::NeverReported) => (OutSoft, "only the last run knew it, and too long ago"),
+        (L::NeverReported, D::NeverReported) => {
+            (OutUnlessLastResort, "only the last run knew it, and too long ago")
+        }
     };
     Row { decision, reason }
 }
 
-/// All rows, for the operators' page and for tests.
+/// All rows, for the operators' documentation and for tests.
 pub fn rows() -> impl Iterator<Item = (ListStatus, DnsStatus, Row)> {
-    ListStatus::ALL.into_iter().flat_map(|l| DnsStatus::ALL.into_iter().map(move |d| (l, d, row(l, d))))
+    ListStatus::ALL
+        .into_iter()
+        .flat_map(|list| DnsStatus::ALL.into_iter().map(move |dns| (list, dns, row(list, dns))))
 }
--- a/crates/membership/tests/table.rs
+++ b/crates/membership/tests/table.rs
@@ -1,4 +1,4 @@
-//! Every row of the table, reached by a history, with what it must rule.
+//! Every row of the decision table: a history of reports leads to it, and its decision is checked.
 
 use shalespindle_membership::table::rows;
 use shalespindle_membership::*;
@@ -14,24 +14,24 @@
     SocketAddr::from(([127, 0, 0, 1], n))
 }
 
-fn listed(n: u16, told: ReportedState) -> ListEntry {
-    ListEntry { address: address(n), pool: n, state: told, incarnation: 1, started: 0.0 }
+fn entry(n: u16, state: ReportedState) -> ListEntry {
+    ListEntry { address: address(n), pool: n, state, incarnation: 1, started: 0.0 }
 }
 
-fn found(n: u16) -> DnsRecord {
+fn record(n: u16) -> DnsRecord {
     DnsRecord { address: address(n), pool: n, priority: 10, weight: 10 }
 }
 
-/// What a source reports at one moment.
+/// One report of a source.
 enum Report {
     List(Vec<ListEntry>),
-    Lost,
+    FeedLost,
     Dns(LookupResult),
 }
 
-fn list_history(word: ListStatus) -> Vec<(f64, Report)> {
-    let both = |told| Report::List(vec![listed(1, told), listed(2, ReportedState::Ready)]);
-    match word {
+fn list_history(status: ListStatus) -> Vec<(f64, Report)> {
+    let both = |state| Report::List(vec![entry(1, state), entry(2, ReportedState::Ready)]);
+    match status {
         ListStatus::Ready => vec![(NOW - 40.0, both(ReportedState::Ready))],
         ListStatus::Draining => {
             vec![(NOW - 40.0, both(ReportedState::Ready)), (NOW - 2.0, both(ReportedState::Draining))]
@@ -39,30 +39,30 @@
         ListStatus::Gone => {
             vec![(NOW - 40.0, both(ReportedState::Ready)), (NOW - 2.0, both(ReportedState::Gone))]
         }
-        ListStatus::Silent => vec![(NOW - 40.0, both(ReportedState::Ready)), (NOW - 10.0, Report::Lost)],
-        ListStatus::NeverReported => vec![(NOW - 40.0, Report::List(vec![listed(2, ReportedState::Ready)]))],
+        ListStatus::Silent => vec![(NOW - 40.0, both(ReportedState::Ready)), (NOW - 10.0, Report::FeedLost)],
+        ListStatus::NeverReported => vec![(NOW - 40.0, Report::List(vec![entry(2, ReportedState::Ready)]))],
     }
 }
 
-fn dns_history(word: DnsStatus) -> Vec<(f64, Report)> {
-    let servers = |of: &[u16], lifetime| {
-        Report::Dns(LookupResult::Servers { records: of.iter().map(|n| found(*n)).collect(), lifetime })
+fn dns_history(status: DnsStatus) -> Vec<(f64, Report)> {
+    let answer = |servers: &[u16], lifetime| {
+        Report::Dns(LookupResult::Servers { records: servers.iter().map(|n| record(*n)).collect(), lifetime })
     };
-    match word {
-        DnsStatus::Present => vec![(NOW - 20.0, servers(&[1, 2], 3600.0))],
-        DnsStatus::Absent => vec![(NOW - 20.0, servers(&[1, 2], 3600.0)), (NOW - 1.0, servers(&[2], 3600.0))],
-        DnsStatus::Expired => vec![(NOW - 200.0, servers(&[1], 10.0))],
+    match status {
+        DnsStatus::Present => vec![(NOW - 20.0, answer(&[1, 2], 3600.0))],
+        DnsStatus::Absent => vec![(NOW - 20.0, answer(&[1, 2], 3600.0)), (NOW - 1.0, answer(&[2], 3600.0))],
+        DnsStatus::Expired => vec![(NOW - 200.0, answer(&[1], 10.0))],
         DnsStatus::Failing => {
-            vec![(NOW - 90.0, servers(&[1], 10.0)), (NOW - 75.0, Report::Dns(LookupResult::Failed))]
+            vec![(NOW - 90.0, answer(&[1], 10.0)), (NOW - 75.0, Report::Dns(LookupResult::Failed))]
         }
         DnsStatus::Empty => {
-            vec![(NOW - 20.0, servers(&[1, 2], 3600.0)), (NOW - 1.0, Report::Dns(LookupResult::Empty))]
+            vec![(NOW - 20.0, answer(&[1, 2], 3600.0)), (NOW - 1.0, Report::Dns(LookupResult::Empty))]
         }
         DnsStatus::NeverReported => Vec::new(),
     }
 }
 
-fn after(list: ListStatus, dns: DnsStatus) -> Membership {
+fn membership_after(list: ListStatus, dns: DnsStatus) -> Membership {
     let mut reports = list_history(list);
     reports.extend(dns_history(dns));
     reports.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -70,7 +70,7 @@
     for (at, report) in reports {
         match report {
             Report::List(servers) => members.apply_list(at, false, &servers),
-            Report::Lost => members.feed_lost(at),
+            Report::FeedLost => members.feed_lost(at),
             Report::Dns(answer) => members.apply_lookup(at, 0, &answer),
         }
         members.evaluate(at);
@@ -80,9 +80,9 @@
     members
 }
 
-/// Written out once more by hand, so that a slip in the table is seen.
+/// The expected values repeat the table by hand, so that an accidental change of a row is detected.
 #[test]
-fn every_pair_of_words_gives_its_row() {
+fn every_pair_of_source_statuses_gives_its_row() {
     use DnsStatus as D;
     use ListStatus as L;
     use ServiceStatus::*;
@@ -117,20 +117,20 @@
         (L::NeverReported, D::Failing, In, true),
         (L::NeverReported, D::Empty, In, true),
     ];
-    let mut seen = Vec::new();
+    let mut covered = Vec::new();
     for (list, dns, status, warned) in expected {
-        let members = after(list, dns);
-        let member = members.members().find(|m| m.address() == address(1)).expect("it is known");
+        let members = membership_after(list, dns);
+        let member = members.members().find(|m| m.address() == address(1)).expect("the server is a member");
         assert_eq!(member.source_statuses(), (list, dns), "the history leads to the row");
         assert_eq!((member.status(), member.needs_attention()), (status, warned), "{list}, {dns}");
         assert_eq!(member.reason(), StatusReason::Row);
-        seen.push((list, dns));
+        covered.push((list, dns));
     }
-    // The last row has no history of sources: only the last run can know such a server.
+    // The last row has no history of reports: such a server is known only from the previous run.
     let mut members = Membership::new(params(), 0.0);
-    members.apply_list(0.0, true, &[listed(2, ReportedState::Ready)]);
-    let old = StoredMember { address: address(1), pool: 1, taken_out: false };
-    members.restore(0.0, 100.0, &[old]);
+    members.apply_list(0.0, true, &[entry(2, ReportedState::Ready)]);
+    let stored = StoredMember { address: address(1), pool: 1, taken_out: false };
+    members.restore(0.0, 100.0, &[stored]);
     for (at, status, warned) in [(1.0, In, true), (199.0, In, true), (201.0, Out, false)] {
         members.evaluate(at);
         let member = members.members().find(|m| m.address() == address(1)).unwrap();
@@ -139,17 +139,17 @@
             ((L::NeverReported, D::NeverReported), status, warned)
         );
     }
-    seen.push((L::NeverReported, D::NeverReported));
-    assert!(rows().all(|(l, d, row)| seen.contains(&(l, d)) && !row.reason.is_empty()));
-    assert_eq!(rows().count(), seen.len());
+    covered.push((L::NeverReported, D::NeverReported));
+    assert!(rows().all(|(l, d, row)| covered.contains(&(l, d)) && !row.reason.is_empty()));
+    assert_eq!(rows().count(), covered.len());
 }
 
 #[test]
-fn the_operators_page_has_every_row() {
+fn the_operators_documentation_has_every_row() {
     let page = include_str!("../../../docs/operators/membership.md");
     for (list, dns, row) in rows() {
-        let begin = format!("| {list} | {dns} | ");
-        let line = page.lines().find(|l| l.starts_with(&begin)).unwrap_or_else(|| panic!("{begin}"));
+        let row_start = format!("| {list} | {dns} | ");
+        let line = page.lines().find(|l| l.starts_with(&row_start)).unwrap_or_else(|| panic!("{row_start}"));
         assert!(line.ends_with(&format!(" | {} |", row.reason)), "{line}");
     }
 }
