--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -19,9 +19,9 @@
     pub heartbeat_every: f64,
     /// An answer that has not come after this is asked for again,
     pub answer_timeout: f64,
-    /// and after this another coordinator is tried.
+    /// and after this another coordinator is failed_attempts.
     pub failover_after: f64,
-    /// Once all have been tried the next round begins after at most this, drawn from the seed.
+    /// Once all have been failed_attempts the next round begins after at most this, drawn from the seed.
     pub max_pause: f64,
     /// Own statements at most.
     pub max_published: usize,
@@ -94,28 +94,28 @@
 /// See the crate's documentation.
 pub struct Client {
     params: ClientParams,
-    own: NodeId,
+    own_id: NodeId,
     incarnation: Incarnation,
-    /// The coordinators in the order in which they are tried, and which is followed now.
+    /// The coordinators in the order in which they are failed_attempts, and which is followed now.
     coordinators: Vec<NodeId>,
     current: usize,
     follower: Follower,
     servers: BTreeSet<SocketAddr>,
     subscription_number: u64,
-    subscribed: u64,
+    acknowledged_subscription: u64,
     held: BTreeMap<Slot, Statement>,
     /// What a snapshot that is under way has not named yet, and where that snapshot ends.
-    unconfirmed: Option<(BTreeSet<Slot>, u64)>,
+    pending_snapshot: Option<(BTreeSet<Slot>, u64)>,
     /// Operators' words that a snapshot did not name: the coordinator lost them, and is given them back.
-    to_return: Vec<Statement>,
+    to_republish: Vec<Statement>,
     published: BTreeMap<Key, Statement>,
     sequence: u64,
-    stored: u64,
-    heartbeat: u64,
+    acknowledged_sequence: u64,
+    heartbeat_number: u64,
     next_heartbeat_at: f64,
     /// Since when an answer is awaited.
-    asked_at: Option<f64>,
-    tried: usize,
+    awaiting_answer_since: Option<f64>,
+    failed_attempts: usize,
     is_connected: bool,
     in_force: Option<ConfigurationVersion>,
     acts_on: VersionId,
@@ -129,7 +129,7 @@
     /// A client that holds nothing yet. `coordinators` are those of its region; which it begins with comes from the seed.
     pub fn new(
         params: ClientParams,
-        own: NodeId,
+        own_id: NodeId,
         incarnation: Incarnation,
         coordinators: &[NodeId],
         seed: u64,
@@ -141,24 +141,24 @@
         let next_heartbeat_at = now + params.heartbeat_every * rng.random::<f64>();
         Client {
             params,
-            own,
+            own_id,
             incarnation,
             coordinators,
             current: 0,
             follower: Follower::default(),
             servers: BTreeSet::new(),
             subscription_number: 1,
-            subscribed: 0,
+            acknowledged_subscription: 0,
             held: BTreeMap::new(),
-            unconfirmed: None,
-            to_return: Vec::new(),
+            pending_snapshot: None,
+            to_republish: Vec::new(),
             published: BTreeMap::new(),
             sequence: 0,
-            stored: 0,
-            heartbeat: 0,
+            acknowledged_sequence: 0,
+            heartbeat_number: 0,
             next_heartbeat_at,
-            asked_at: None,
-            tried: 0,
+            awaiting_answer_since: None,
+            failed_attempts: 0,
             is_connected: false,
             in_force: None,
             acts_on: VersionId::default(),
@@ -180,7 +180,7 @@
         self.held.retain(|slot, _| !matches!(slot, Slot::Server(address) if !servers.contains(address)));
         self.servers = servers;
         self.subscription_number += 1;
-        self.follower.begin_anew();
+        self.follower.reset();
         self.next_heartbeat_at = now;
     }
 
@@ -193,10 +193,10 @@
     pub fn announce(&mut self, now: f64, number: u64, digest: u64) -> Result<VersionId, OutdatedVersion> {
         let replaces = self.in_force.map(|version| version.id).unwrap_or_default();
         OutdatedVersion::check(number, replaces)?;
-        let id = VersionId { number, publisher: Some(self.own) };
+        let id = VersionId { number, publisher: Some(self.own_id) };
         let version = ConfigurationVersion { id, digest, replaces };
         self.publish(now, Key::Configuration, Some(Value::Configuration(version)));
-        self.heed_configuration(version);
+        self.update_in_force(version);
         Ok(id)
     }
 
@@ -229,15 +229,15 @@
         }
         self.sequence += 1;
         let version = Version { incarnation: self.incarnation, sequence: self.sequence };
-        self.published.insert(key, Statement { owner: self.own, key, version, value });
+        self.published.insert(key, Statement { owner: self.own_id, key, version, value });
         // At once where a coordinator answers and nothing is awaited; else with the next heartbeat.
-        if self.is_connected && self.asked_at.is_none() {
+        if self.is_connected && self.awaiting_answer_since.is_none() {
             self.next_heartbeat_at = now;
         }
     }
 
     fn unpublished(&self) -> impl Iterator<Item = &Statement> {
-        self.published.values().filter(|statement| statement.version.sequence > self.stored)
+        self.published.values().filter(|statement| statement.version.sequence > self.acknowledged_sequence)
     }
 
     // ---- what is heard ----
@@ -248,88 +248,88 @@
             return;
         }
         match message {
-            Message::Update(update) if update.client == self.incarnation => self.update_heard(now, update),
+            Message::Update(update) if update.client == self.incarnation => self.handle_update(now, update),
             Message::Update(_) => {}
-            Message::Busy { retry_after } => self.busy_heard(now, retry_after),
+            Message::Busy { retry_after } => self.handle_busy(now, retry_after),
             // Nobody is a client of a front.
             Message::Heartbeat(_) => {}
         }
     }
 
-    fn busy_heard(&mut self, now: f64, retry_after: f64) {
+    fn handle_busy(&mut self, now: f64, retry_after: f64) {
         let wait = if retry_after.is_finite() { retry_after } else { self.params.max_pause };
-        self.asked_at = None;
+        self.awaiting_answer_since = None;
         self.next_heartbeat_at = now + wait.clamp(0.0, self.params.max_pause);
     }
 
-    fn update_heard(&mut self, now: f64, update: Update) {
-        self.asked_at = None;
-        self.tried = 0;
+    fn handle_update(&mut self, now: f64, update: Update) {
+        self.awaiting_answer_since = None;
+        self.failed_attempts = 0;
         if !std::mem::replace(&mut self.is_connected, true) {
             self.events.push_back(ClientEvent::Connected(true));
         }
-        self.stored = self.stored.max(update.published);
-        self.subscribed = update.subscription_number;
-        self.to_return.clear();
+        self.acknowledged_sequence = self.acknowledged_sequence.max(update.published);
+        self.acknowledged_subscription = update.subscription_number;
+        self.to_republish.clear();
         let carries_news = !update.statements.is_empty() || update.continuity != Continuity::Delta;
         if self.follower.cursor().is_some_and(|cursor| cursor.coordinator != update.coordinator) {
             // Another process under that name: it is told what is held here, and says what differs.
-            self.follower.begin_anew();
-            self.unconfirmed = None;
-            self.stored = 0;
+            self.follower.reset();
+            self.pending_snapshot = None;
+            self.acknowledged_sequence = 0;
             self.next_heartbeat_at = now;
         }
         let in_order = self.follower.take(now, update);
         let advances = !in_order.is_empty();
-        in_order.into_iter().for_each(|update| self.take_up(update));
+        in_order.into_iter().for_each(|update| self.apply_update(update));
         if carries_news && advances {
             // Acknowledges it.
             self.send_heartbeat(false, false);
         }
-        let is_unsubscribed = self.subscribed != self.subscription_number;
-        if is_unsubscribed || self.unpublished().next().is_some() || !self.to_return.is_empty() {
+        let needs_subscription = self.acknowledged_subscription != self.subscription_number;
+        if needs_subscription || self.unpublished().next().is_some() || !self.to_republish.is_empty() {
             self.next_heartbeat_at = now;
         }
     }
 
-    fn take_up(&mut self, update: Update) {
+    fn apply_update(&mut self, update: Update) {
         if update.continuity == Continuity::SnapshotBegins {
-            self.unconfirmed = Some((self.held.keys().copied().collect(), update.revision));
+            self.pending_snapshot = Some((self.held.keys().copied().collect(), update.revision));
         }
         for statement in update.statements {
-            self.hold(statement);
+            self.apply_statement(statement);
         }
         let ends = |until: u64| update.to >= until;
-        if let Some((left, _)) = self.unconfirmed.take_if(|(_, until)| ends(*until)) {
-            left.into_iter().for_each(|slot| self.settle_unnamed(slot));
+        if let Some((left, _)) = self.pending_snapshot.take_if(|(_, until)| ends(*until)) {
+            left.into_iter().for_each(|slot| self.handle_unlisted(slot));
         }
         if update.continuity == Continuity::Confirmed {
-            self.unconfirmed = None;
+            self.pending_snapshot = None;
         }
     }
 
     /// A snapshot did not name what is held: an operator's word is kept and given back, all else is gone.
-    fn settle_unnamed(&mut self, slot: Slot) {
+    fn handle_unlisted(&mut self, slot: Slot) {
         match self.held.get(&slot) {
-            Some(word) if word.key.is_operators() => self.to_return.push(word.clone()),
-            _ => self.drop_slot(slot),
+            Some(word) if word.key.is_from_operator() => self.to_republish.push(word.clone()),
+            _ => self.remove_slot(slot),
         }
     }
 
-    fn hold(&mut self, statement: Statement) {
+    fn apply_statement(&mut self, statement: Statement) {
         let Some(slot) = Slot::of(statement.key) else { return };
-        if let Some((left, _)) = &mut self.unconfirmed {
+        if let Some((left, _)) = &mut self.pending_snapshot {
             left.remove(&slot);
         }
-        if !statement.is_sound() || !self.is_subscribed(slot) {
+        if !statement.is_valid() || !self.is_subscribed(slot) {
             return;
         }
-        let Some(value) = statement.value.clone() else { return self.drop_slot(slot) };
-        let rank = |statement: &Statement| statement.value.as_ref()?.word_rank(statement.owner);
+        let Some(value) = statement.value.clone() else { return self.remove_slot(slot) };
+        let rank = |statement: &Statement| statement.value.as_ref()?.operator_rank(statement.owner);
         if let Some(before) = self.held.get(&slot) {
             if rank(before) > rank(&statement) {
                 // The coordinator lags behind what this client knows.
-                self.to_return.push(before.clone());
+                self.to_republish.push(before.clone());
                 return;
             }
             if *before == statement {
@@ -342,7 +342,7 @@
                 self.events.push_back(ClientEvent::Server(address, Some(state)));
             }
             (_, Value::Level(pin)) => self.events.push_back(ClientEvent::Level(pin.level)),
-            (_, Value::Configuration(version)) => self.heed_configuration(version),
+            (_, Value::Configuration(version)) => self.update_in_force(version),
             _ => {}
         }
     }
@@ -354,7 +354,7 @@
         }
     }
 
-    fn drop_slot(&mut self, slot: Slot) {
+    fn remove_slot(&mut self, slot: Slot) {
         if self.held.remove(&slot).is_none() {
             return;
         }
@@ -366,7 +366,7 @@
         }
     }
 
-    fn heed_configuration(&mut self, version: ConfigurationVersion) {
+    fn update_in_force(&mut self, version: ConfigurationVersion) {
         if self.in_force.is_none_or(|in_force| version.id > in_force.id) {
             self.in_force = Some(version);
             self.events.push_back(ClientEvent::InForce(version));
@@ -377,41 +377,41 @@
 
     /// When [`Client::poll`] is due.
     pub fn wake_at(&self) -> f64 {
-        let awaited = self.asked_at.map_or(f64::INFINITY, |at| at + self.params.failover_after);
+        let awaited = self.awaiting_answer_since.map_or(f64::INFINITY, |at| at + self.params.failover_after);
         self.next_heartbeat_at.min(awaited)
     }
 
     /// Deals with what is due.
     pub fn poll(&mut self, now: f64) {
-        if self.asked_at.is_some_and(|at| now - at >= self.params.failover_after) {
-            self.try_next(now);
+        if self.awaiting_answer_since.is_some_and(|at| now - at >= self.params.failover_after) {
+            self.fail_over(now);
         }
         if now < self.next_heartbeat_at {
             return;
         }
-        self.heartbeat += 1;
+        self.heartbeat_number += 1;
         // An answer that does not come is asked for again sooner than the next heartbeat would.
-        let asks_again = self.asked_at.is_some() || self.unpublished().next().is_some();
+        let asks_again = self.awaiting_answer_since.is_some() || self.unpublished().next().is_some();
         let after = if asks_again { self.params.answer_timeout } else { self.params.heartbeat_every };
         self.next_heartbeat_at = now + after;
-        self.asked_at.get_or_insert(now);
+        self.awaiting_answer_since.get_or_insert(now);
         self.send_heartbeat(true, false);
     }
 
     /// The coordinator that is followed does not answer.
-    fn try_next(&mut self, now: f64) {
+    fn fail_over(&mut self, now: f64) {
         if std::mem::replace(&mut self.is_connected, false) {
             self.events.push_back(ClientEvent::Connected(false));
         }
-        self.asked_at = None;
-        self.follower.begin_anew();
-        self.unconfirmed = None;
-        self.subscribed = 0;
+        self.awaiting_answer_since = None;
+        self.follower.reset();
+        self.pending_snapshot = None;
+        self.acknowledged_subscription = 0;
         // Another one may not hold what this one did.
-        self.stored = 0;
+        self.acknowledged_sequence = 0;
         self.current = (self.current + 1) % self.coordinators.len().max(1);
-        self.tried += 1;
-        let pause = match self.tried >= self.coordinators.len() {
+        self.failed_attempts += 1;
+        let pause = match self.failed_attempts >= self.coordinators.len() {
             true => self.params.max_pause,
             // Those of one coordinator come to the others spread over a moment.
             false => self.params.answer_timeout,
@@ -424,21 +424,22 @@
         let cursor = self.follower.cursor();
         let mut publish: Vec<Statement> = self.unpublished().cloned().collect();
         publish.sort_by_key(|statement| statement.version.sequence);
-        publish.extend(self.to_return.iter().cloned());
+        publish.extend(self.to_republish.iter().cloned());
         publish.truncate(MAX_PUBLISHED);
         // Whether anybody is there is asked in few bytes: all else follows the first answer.
         if !self.is_connected {
             publish.clear();
         }
-        let is_unknown = self.is_connected && self.subscribed != self.subscription_number;
+        let needs_subscription =
+            self.is_connected && self.acknowledged_subscription != self.subscription_number;
         let servers = || Subscription { servers: self.servers.iter().copied().collect() };
         let heartbeat = Heartbeat {
             incarnation: self.incarnation,
-            number: self.heartbeat,
+            number: self.heartbeat_number,
             cursor,
             digest: cursor.is_none().then(|| self.digest()),
             subscription_number: self.subscription_number,
-            subscription: is_unknown.then(servers),
+            subscription: needs_subscription.then(servers),
             publish: if wants_answer { publish } else { Vec::new() },
             wants_answer,
             is_leaving,
@@ -471,7 +472,7 @@
     pub fn status(&self, now: f64) -> ClientStatus {
         ClientStatus {
             coordinator: self.coordinators.get(self.current).copied().filter(|_| self.is_connected),
-            age: self.follower.level_at.map(|at| now - at),
+            age: self.follower.synced_at.map(|at| now - at),
             in_force: self.in_force,
             acts_on: self.acts_on,
             held: self.held.len(),
--- a/crates/coordinator/src/configuration.rs
+++ b/crates/coordinator/src/configuration.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest reason of a refusal that is passed on, bytes.
-const LONGEST_REASON: usize = 200;
+const MAX_REASON_BYTES: usize = 200;
 
 /// Names one version. Of two the higher number counts, then the higher publisher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
 impl Acknowledgement {
     /// A refusal, its reason cut to what is passed on.
     pub fn refused(refused: VersionId, acts_on: VersionId, reason: &str) -> Acknowledgement {
-        let mut end = reason.len().min(LONGEST_REASON);
+        let mut end = reason.len().min(MAX_REASON_BYTES);
         while !reason.is_char_boundary(end) {
             end -= 1;
         }
@@ -66,8 +66,8 @@
         }
     }
 
-    pub(crate) fn is_sound(&self) -> bool {
-        self.reason_length() <= LONGEST_REASON
+    pub(crate) fn is_valid(&self) -> bool {
+        self.reason_length() <= MAX_REASON_BYTES
     }
 }
 
@@ -94,6 +94,6 @@
 
 /// Whether `word` lost against the version in force without its publisher having known of it: both were announced
 /// while their publishers did not hear each other.
-pub(crate) fn is_lost(word: &ConfigurationVersion, in_force: &ConfigurationVersion) -> bool {
+pub(crate) fn is_conflicting(word: &ConfigurationVersion, in_force: &ConfigurationVersion) -> bool {
     word.id < in_force.id && word.id > in_force.replaces
 }
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -102,22 +102,22 @@
 /// See the crate's documentation.
 pub struct Coordinator {
     pub(crate) params: CoordinatorParams,
-    own: NodeId,
+    own_id: NodeId,
     pub(crate) incarnation: Incarnation,
     pub(crate) store: Store,
     pub(crate) sessions: BTreeMap<NodeId, Session>,
     pub(crate) followed: BTreeMap<NodeId, Follower>,
     sequence: u64,
-    heartbeat: u64,
-    heartbeat_at: f64,
+    heartbeat_number: u64,
+    next_heartbeat_at: f64,
     pub(crate) poll_at: f64,
     /// Bytes that may be sent now, and when that was counted.
-    pub(crate) allowance: f64,
-    pub(crate) allowance_at: f64,
+    pub(crate) send_budget: f64,
+    pub(crate) budget_at: f64,
     /// The client served last: the next poll goes on behind it.
-    pub(crate) served_last: Option<NodeId>,
+    pub(crate) last_served: Option<NodeId>,
     pub(crate) is_isolated: bool,
-    told_in_force: Option<ConfigurationVersion>,
+    reported_in_force: Option<ConfigurationVersion>,
     rng: ChaCha8Rng,
     pub(crate) outgoing: VecDeque<Outgoing>,
     events: VecDeque<CoordinatorEvent>,
@@ -128,37 +128,37 @@
     /// A coordinator that holds nothing yet; `peers` are the other ones.
     pub fn new(
         params: CoordinatorParams,
-        own: NodeId,
+        own_id: NodeId,
         incarnation: Incarnation,
         peers: &[NodeId],
         seed: u64,
         now: f64,
     ) -> Coordinator {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let heartbeat_at = now + params.heartbeat_every * rng.random::<f64>();
-        let followed = peers.iter().filter(|peer| **peer != own).map(|peer| (*peer, Follower::default()));
+        let next_heartbeat_at = now + params.heartbeat_every * rng.random::<f64>();
+        let followed = peers.iter().filter(|peer| **peer != own_id).map(|peer| (*peer, Follower::default()));
         let mut coordinator = Coordinator {
-            own,
+            own_id,
             incarnation,
             store: Store::new(params.max_statements),
             sessions: BTreeMap::new(),
             followed: followed.collect(),
             sequence: 0,
-            heartbeat: 0,
-            heartbeat_at,
-            poll_at: heartbeat_at,
-            allowance: params.max_bytes_per_second,
-            allowance_at: now,
-            served_last: None,
+            heartbeat_number: 0,
+            next_heartbeat_at,
+            poll_at: next_heartbeat_at,
+            send_budget: params.max_bytes_per_second,
+            budget_at: now,
+            last_served: None,
             is_isolated: false,
-            told_in_force: None,
+            reported_in_force: None,
             rng,
             outgoing: VecDeque::new(),
             events: VecDeque::new(),
             counts: Counts::default(),
             params,
         };
-        coordinator.state_member(now, own, incarnation, 0, MemberState::Alive);
+        coordinator.publish_member_state(now, own_id, incarnation, 0, MemberState::Alive);
         coordinator
     }
 
@@ -168,7 +168,7 @@
     pub fn announce(&mut self, now: f64, number: u64, digest: u64) -> Result<VersionId, OutdatedVersion> {
         let replaces = self.store.in_force().map(|version| version.id).unwrap_or_default();
         OutdatedVersion::check(number, replaces)?;
-        let id = VersionId { number, publisher: Some(self.own) };
+        let id = VersionId { number, publisher: Some(self.own_id) };
         self.publish(
             now,
             Key::Configuration,
@@ -190,7 +190,7 @@
     fn publish(&mut self, now: f64, key: Key, value: Value) {
         self.sequence += 1;
         let version = Version { incarnation: self.incarnation, sequence: self.sequence };
-        self.apply(now, Statement { owner: self.own, key, version, value: Some(value) }, Source::Direct);
+        self.apply(now, Statement { owner: self.own_id, key, version, value: Some(value) }, Source::Direct);
     }
 
     // ---- what is heard ----
@@ -198,9 +198,9 @@
     /// A message of another node, told apart from a stranger by the codec.
     pub fn receive(&mut self, now: f64, from: NodeId, message: Message) {
         match message {
-            Message::Heartbeat(heartbeat) => self.heartbeat_heard(now, from, heartbeat),
+            Message::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, heartbeat),
             Message::Update(update) if update.client == self.incarnation => {
-                self.update_heard(now, from, update);
+                self.handle_update(now, from, update);
             }
             Message::Update(_) => {}
             // A coordinator asks its peers again with its next heartbeat.
@@ -208,11 +208,11 @@
         }
     }
 
-    fn update_heard(&mut self, now: f64, from: NodeId, update: Update) {
+    fn handle_update(&mut self, now: f64, from: NodeId, update: Update) {
         let Some(follower) = self.followed.get_mut(&from) else { return };
         let replica_digest = update.replica_digest;
         if follower.cursor().is_some_and(|cursor| cursor.coordinator != update.coordinator) {
-            follower.begin_anew();
+            follower.reset();
             return self.send_heartbeat(from, true);
         }
         let in_order = follower.take(now, update);
@@ -222,44 +222,44 @@
         }
         let is_equal = replica_digest.is_none_or(|theirs| theirs == self.store.replica_digest());
         let Some(follower) = self.followed.get_mut(&from) else { return };
-        if follower.has_missed(now, is_equal, self.params.repair_after) {
+        if follower.has_missed_changes(now, is_equal, self.params.repair_after) {
             self.counts.repairs += 1;
-            follower.begin_anew();
+            follower.reset();
         } else if has_news {
             self.send_heartbeat(from, false);
         }
     }
 
-    fn heartbeat_heard(&mut self, now: f64, from: NodeId, heartbeat: Heartbeat) {
-        if !self.admit(now, from, &heartbeat) {
+    fn handle_heartbeat(&mut self, now: f64, from: NodeId, heartbeat: Heartbeat) {
+        if !self.ensure_session(now, from, &heartbeat) {
             return;
         }
         let Some(session) = self.sessions.get_mut(&from) else { return };
-        if heartbeat.incarnation < session.incarnation || heartbeat.number < session.heartbeat {
+        if heartbeat.incarnation < session.incarnation || heartbeat.number < session.heartbeat_number {
             return;
         }
-        session.heartbeat = heartbeat.number;
-        session.heard_at = now;
+        session.heartbeat_number = heartbeat.number;
+        session.last_heartbeat_at = now;
         session.wants_answer |= heartbeat.wants_answer;
         session.digest = heartbeat.digest;
         subscribe(session, &heartbeat);
-        self.follow_cursor(from, &heartbeat);
-        self.take_published(now, from, &heartbeat);
+        self.update_cursor(from, &heartbeat);
+        self.apply_published(now, from, &heartbeat);
         if heartbeat.is_leaving {
             self.end_session(now, from, MemberState::Left);
         }
-        self.poll_soon(now);
+        self.schedule_poll(now);
     }
 
     /// Sees to it that a client has a session, if there is room.
-    fn admit(&mut self, now: f64, from: NodeId, heartbeat: &Heartbeat) -> bool {
+    fn ensure_session(&mut self, now: f64, from: NodeId, heartbeat: &Heartbeat) -> bool {
         let held = self.sessions.get(&from).map(|session| session.incarnation);
         if held.is_some_and(|held| held >= heartbeat.incarnation) {
             return true;
         }
         let is_peer = self.followed.contains_key(&from);
         if held.is_none() && !is_peer && self.sessions.len() >= self.params.max_sessions {
-            self.turn_away(from);
+            self.reject_as_busy(from);
             return false;
         }
         // A message of a process that has ended, come late, opens no session.
@@ -272,17 +272,17 @@
             (session.filter, session.subscription_number) = (Filter::Everything, REPLICA_SUBSCRIPTION);
         }
         self.sessions.insert(from, session);
-        self.state_member(now, from, heartbeat.incarnation, heartbeat.number, MemberState::Alive);
+        self.publish_member_state(now, from, heartbeat.incarnation, heartbeat.number, MemberState::Alive);
         true
     }
 
-    pub(crate) fn turn_away(&mut self, from: NodeId) {
+    pub(crate) fn reject_as_busy(&mut self, from: NodeId) {
         self.counts.turned_away += 1;
         let retry_after = self.params.retry_after * (1.0 + self.rng.random::<f64>());
         self.outgoing.push_back(Outgoing { to: from, message: Message::Busy { retry_after } });
     }
 
-    fn follow_cursor(&mut self, from: NodeId, heartbeat: &Heartbeat) {
+    fn update_cursor(&mut self, from: NodeId, heartbeat: &Heartbeat) {
         let (floor, revision) = (self.store.floor(), self.store.revision());
         let Some(session) = self.sessions.get_mut(&from) else { return };
         let cursor = heartbeat.cursor.filter(|cursor| {
@@ -290,18 +290,18 @@
         });
         match cursor {
             Some(cursor) => session.acknowledge(cursor.revision),
-            // It lost its place, or never had one; a snapshot that is under way goes on.
-            None if session.acknowledged.is_some() => session.begin_anew(),
+            // It lost its entry_key, or never had one; a snapshot that is under way goes on.
+            None if session.acknowledged.is_some() => session.reset(),
             None => {}
         }
     }
 
-    fn take_published(&mut self, now: f64, from: NodeId, heartbeat: &Heartbeat) {
+    fn apply_published(&mut self, now: f64, from: NodeId, heartbeat: &Heartbeat) {
         for statement in heartbeat.publish.iter().take(MAX_PUBLISHED) {
             let is_own = statement.owner == from
                 && statement.key != Key::Member
                 && statement.version.incarnation == heartbeat.incarnation;
-            if is_own || statement.key.is_operators() {
+            if is_own || statement.key.is_from_operator() {
                 self.apply(now, statement.clone(), Source::Direct);
             } else {
                 self.counts.refused += 1;
@@ -320,12 +320,12 @@
         match self.store.apply(now, statement, source) {
             Applied::Newer => {
                 if key == Key::Member {
-                    self.heed_member(now, owner, version);
+                    self.handle_member_change(now, owner, version);
                 }
                 if key == Key::Configuration {
-                    self.tell_in_force();
+                    self.report_in_force();
                 }
-                self.poll_soon(now);
+                self.schedule_poll(now);
             }
             Applied::Known => {}
             Applied::Full | Applied::Invalid => self.counts.refused += 1,
@@ -334,29 +334,29 @@
 
     /// What another coordinator says of a client of this one: it heard a later heartbeat, and the session here is over;
     /// or it suspects a client that is heard here, and is put right.
-    fn heed_member(&mut self, now: f64, member: NodeId, version: Version) {
+    fn handle_member_change(&mut self, now: f64, member: NodeId, version: Version) {
         let Some(session) = self.sessions.get(&member) else { return };
-        let (incarnation, heartbeat) = (session.incarnation, session.heartbeat);
+        let (incarnation, heartbeat) = (session.incarnation, session.heartbeat_number);
         let here = Version { incarnation, sequence: MemberState::Left.sequence(heartbeat) };
-        let is_heard_here = now - session.heard_at < self.params.suspect_after;
+        let is_alive_here = now - session.last_heartbeat_at < self.params.suspect_after;
         if version > here {
             if !self.followed.contains_key(&member) {
                 self.sessions.remove(&member);
             }
-        } else if is_heard_here && self.store.member(member) != Some(MemberState::Alive) {
-            self.state_member(now, member, incarnation, heartbeat, MemberState::Alive);
+        } else if is_alive_here && self.store.member(member) != Some(MemberState::Alive) {
+            self.publish_member_state(now, member, incarnation, heartbeat, MemberState::Alive);
         }
     }
 
-    fn tell_in_force(&mut self) {
+    fn report_in_force(&mut self) {
         let in_force = self.store.in_force();
-        if let Some(version) = in_force.filter(|_| in_force != self.told_in_force) {
-            self.told_in_force = in_force;
+        if let Some(version) = in_force.filter(|_| in_force != self.reported_in_force) {
+            self.reported_in_force = in_force;
             self.events.push_back(CoordinatorEvent::InForce(version));
         }
     }
 
-    fn state_member(
+    fn publish_member_state(
         &mut self,
         now: f64,
         member: NodeId,
@@ -371,7 +371,7 @@
 
     fn end_session(&mut self, now: f64, client: NodeId, state: MemberState) {
         let Some(session) = self.sessions.remove(&client) else { return };
-        self.state_member(now, client, session.incarnation, session.heartbeat, state);
+        self.publish_member_state(now, client, session.incarnation, session.heartbeat_number, state);
     }
 
     // ---- time ----
@@ -381,30 +381,30 @@
         self.poll_at
     }
 
-    pub(crate) fn poll_soon(&mut self, now: f64) {
+    pub(crate) fn schedule_poll(&mut self, now: f64) {
         self.poll_at = self.poll_at.min(now + self.params.batch_delay);
     }
 
     /// Deals with what is due.
     pub fn poll(&mut self, now: f64) {
-        self.poll_at = self.heartbeat_at.max(now);
-        if now >= self.heartbeat_at {
-            self.heartbeat_at = now + self.params.heartbeat_every;
-            self.poll_at = self.heartbeat_at;
+        self.poll_at = self.next_heartbeat_at.max(now);
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + self.params.heartbeat_every;
+            self.poll_at = self.next_heartbeat_at;
             self.suspect(now);
-            self.store.forget_deletions(now - self.params.deletion_retention);
-            self.heartbeat += 1;
+            self.store.purge_deletions(now - self.params.deletion_retention);
+            self.heartbeat_number += 1;
             let peers: Vec<NodeId> = self.followed.keys().copied().collect();
             peers.into_iter().for_each(|peer| self.send_heartbeat(peer, true));
         }
-        self.refill(now);
+        self.refill_send_budget(now);
         self.serve_clients(now);
     }
 
     /// Suspects clients whose heartbeats stopped. Guards many against the coordinator's own isolation: where more than
     /// half are quiet it is more likely cut off itself.
     fn suspect(&mut self, now: f64) {
-        let is_quiet = |session: &Session| now - session.heard_at >= self.params.suspect_after;
+        let is_quiet = |session: &Session| now - session.last_heartbeat_at >= self.params.suspect_after;
         let quiet: Vec<NodeId> = self
             .sessions
             .iter()
@@ -428,7 +428,7 @@
         let cursor = follower.cursor();
         let heartbeat = Heartbeat {
             incarnation: self.incarnation,
-            number: self.heartbeat,
+            number: self.heartbeat_number,
             cursor,
             digest: cursor.is_none().then(|| self.store.replica_digest()),
             subscription_number: REPLICA_SUBSCRIPTION,
@@ -475,10 +475,10 @@
 
 fn subscribe(session: &mut Session, heartbeat: &Heartbeat) {
     let Some(subscription) = &heartbeat.subscription else { return };
-    if session.subscription_number == heartbeat.subscription_number || !subscription.is_sound() {
+    if session.subscription_number == heartbeat.subscription_number || !subscription.is_valid() {
         return;
     }
     session.filter = Filter::Servers(subscription.servers.iter().copied().collect());
     session.subscription_number = heartbeat.subscription_number;
-    session.begin_anew();
+    session.reset();
 }
--- a/crates/coordinator/src/follower.rs
+++ b/crates/coordinator/src/follower.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Updates that may wait for one before them.
-const MOST_EARLY: usize = 16;
+const MAX_EARLY: usize = 16;
 
 #[derive(Default)]
 pub(crate) struct Follower {
@@ -13,7 +13,7 @@
     /// Updates that came before their turn, by the revision that they follow.
     early: BTreeMap<u64, Update>,
     /// When it was last level with the coordinator.
-    pub level_at: Option<f64>,
+    pub synced_at: Option<f64>,
     /// Since when that other replica holds something else than this one.
     differs_since: Option<f64>,
 }
@@ -24,29 +24,29 @@
     }
 
     /// What was followed is of no use any more.
-    pub fn begin_anew(&mut self) {
-        *self = Follower { level_at: self.level_at, ..Follower::default() };
+    pub fn reset(&mut self) {
+        *self = Follower { synced_at: self.synced_at, ..Follower::default() };
     }
 
     /// Compares digests with another replica; true where they have differed for so long that changes were missed, which
     /// came to that replica from a third one.
-    pub fn has_missed(&mut self, now: f64, is_equal: bool, after: f64) -> bool {
+    pub fn has_missed_changes(&mut self, now: f64, is_equal: bool, after: f64) -> bool {
         if is_equal {
             self.differs_since = None;
             return false;
         }
         let since = *self.differs_since.get_or_insert(now);
-        let has_missed = now - since >= after;
-        if has_missed {
+        let has_missed_changes = now - since >= after;
+        if has_missed_changes {
             self.differs_since = None;
         }
-        has_missed
+        has_missed_changes
     }
 
     /// The updates that are to be applied now, in order: this one, those that it was waited for with, or none.
     pub fn take(&mut self, now: f64, update: Update) -> Vec<Update> {
         if !self.follows(&update) {
-            self.keep_early(update);
+            self.store_early(update);
             return Vec::new();
         }
         let coordinator = update.coordinator;
@@ -58,7 +58,7 @@
         }
         let reached = self.cursor.map_or(0, |cursor| cursor.revision);
         if in_order.last().is_some_and(|last| reached >= last.revision) {
-            self.level_at = Some(now);
+            self.synced_at = Some(now);
         }
         in_order
     }
@@ -72,9 +72,9 @@
         }
     }
 
-    fn keep_early(&mut self, update: Update) {
+    fn store_early(&mut self, update: Update) {
         let is_of_same_process = self.cursor.is_some_and(|c| c.coordinator == update.coordinator);
-        if is_of_same_process && self.early.len() < MOST_EARLY {
+        if is_of_same_process && self.early.len() < MAX_EARLY {
             self.early.insert(update.from, update);
         }
     }
--- a/crates/coordinator/src/message.rs
+++ b/crates/coordinator/src/message.rs
@@ -18,7 +18,7 @@
 }
 
 impl Subscription {
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         self.servers.len() <= MAX_SERVERS
     }
 }
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -7,43 +7,46 @@
 use crate::Outgoing;
 
 /// Updates to one client that may be under way at once.
-const MOST_IN_FLIGHT: usize = 8;
+const MAX_IN_FLIGHT: usize = 8;
 /// A snapshot of which nothing has been sent for so many times `resend_after` holds up no other.
-const STALLED: f64 = 4.0;
+const STALLED_AFTER_RESEND_TIMES: f64 = 4.0;
 
 impl Coordinator {
-    pub(crate) fn refill(&mut self, now: f64) {
+    pub(crate) fn refill_send_budget(&mut self, now: f64) {
         let rate = self.params.max_bytes_per_second;
-        let gained = rate * (now - self.allowance_at).max(0.0);
-        self.allowance = (self.allowance + gained).min(rate);
-        self.allowance_at = now;
+        let gained = rate * (now - self.budget_at).max(0.0);
+        self.send_budget = (self.send_budget + gained).min(rate);
+        self.budget_at = now;
     }
 
-    /// Tells each client what is news to it, in turn, as far as the allowance goes.
+    /// Tells each client what is news to it, in turn, as far as the send_budget goes.
     pub(crate) fn serve_clients(&mut self, now: f64) {
         let mut clients: Vec<NodeId> = self.sessions.keys().copied().collect();
-        let served = self.served_last.map_or(0, |last| clients.partition_point(|client| *client <= last));
+        let served = self.last_served.map_or(0, |last| clients.partition_point(|client| *client <= last));
         clients.rotate_left(served);
         for client in clients {
-            if self.allowance < 0.0 {
-                self.poll_soon(now);
+            if self.send_budget < 0.0 {
+                self.schedule_poll(now);
                 return;
             }
-            self.served_last = Some(client);
+            self.last_served = Some(client);
             while self.serve(now, client) {}
         }
     }
 
     /// Sends a client one update, if one is due; true where more may follow at once.
     fn serve(&mut self, now: f64, client: NodeId) -> bool {
-        let stalled_after = STALLED * self.params.resend_after;
-        let snapshots =
-            self.sessions.values().filter(|session| session.takes_snapshot(now, stalled_after)).count();
+        let stalled_after = STALLED_AFTER_RESEND_TIMES * self.params.resend_after;
+        let snapshots = self
+            .sessions
+            .values()
+            .filter(|session| session.is_receiving_snapshot(now, stalled_after))
+            .count();
         let Some(session) = self.sessions.get_mut(&client) else { return false };
         let in_flight = session.in_flight;
         session.resend_if_due(now, self.params.resend_after);
         self.counts.resent += (in_flight - session.in_flight) as u64;
-        let begins = session.acknowledged.is_none() && session.told == 0;
+        let begins = session.acknowledged.is_none() && session.sent_revision == 0;
         if begins && (session.subscription_number == 0 || session.digest.is_none()) {
             // A client that only asks whether anybody is there, or took this process for the one before: it says what
             // it wants and holds when it knows.
@@ -66,14 +69,14 @@
         if begins && snapshots >= self.params.max_snapshots {
             let asks = std::mem::take(&mut session.wants_answer);
             if asks {
-                self.turn_away(client);
+                self.reject_as_busy(client);
             }
             return false;
         }
-        let has_news = session.scanned < self.store.revision() && session.in_flight < MOST_IN_FLIGHT;
+        let has_news = session.scanned < self.store.revision() && session.in_flight < MAX_IN_FLIGHT;
         if !has_news {
             if std::mem::take(&mut session.wants_answer) {
-                let (from, to) = (session.told, session.scanned);
+                let (from, to) = (session.sent_revision, session.scanned);
                 self.send_update(now, client, Continuity::Delta, from, to, Vec::new());
             }
             return false;
@@ -89,14 +92,14 @@
         if page.statements.is_empty() && !session.wants_answer && !begins {
             return true;
         }
-        let from = session.told;
+        let from = session.sent_revision;
         if begins {
             session.snapshot_until = Some(self.store.revision());
             self.counts.snapshots += 1;
         }
         let continuity = if begins { Continuity::SnapshotBegins } else { Continuity::Delta };
         self.send_update(now, client, continuity, from, page.to, page.statements);
-        self.allowance >= 0.0
+        self.send_budget >= 0.0
     }
 
     fn send_update(
@@ -113,8 +116,8 @@
         session.wants_answer = false;
         // What carries no news is not waited for: what follows it begins where it began.
         if !statements.is_empty() || continuity != Continuity::Delta {
-            (session.told, session.scanned) = (to, session.scanned.max(to));
-            (session.told_at, session.in_flight) = (now, session.in_flight + 1);
+            (session.sent_revision, session.scanned) = (to, session.scanned.max(to));
+            (session.sent_at, session.in_flight) = (now, session.in_flight + 1);
             self.poll_at = self.poll_at.min(now + self.params.resend_after);
         }
         let is_replica = !matches!(session.filter, Filter::Servers(_));
@@ -132,7 +135,7 @@
         };
         self.counts.updates += 1;
         self.counts.statement_bytes += bytes as u64;
-        self.allowance -= bytes as f64;
+        self.send_budget -= bytes as f64;
         self.outgoing.push_back(Outgoing { to: client, message: Message::Update(update) });
     }
 }
--- a/crates/coordinator/src/statement.rs
+++ b/crates/coordinator/src/statement.rs
@@ -75,11 +75,11 @@
 impl Key {
     /// Whether a statement outlives the process that made it: an operator's words do.
     pub(crate) fn outlives_process(self) -> bool {
-        self == Key::Member || self.is_operators()
+        self == Key::Member || self.is_from_operator()
     }
 
     /// An operator's word. It is never deleted, only followed by a later one, and whoever holds it may pass it on.
-    pub(crate) fn is_operators(self) -> bool {
+    pub(crate) fn is_from_operator(self) -> bool {
         matches!(self, Key::Level | Key::Configuration)
     }
 }
@@ -101,7 +101,7 @@
 
 impl Value {
     /// The rank of an operator's word; none for all else.
-    pub(crate) fn word_rank(&self, owner: NodeId) -> Option<WordRank> {
+    pub(crate) fn operator_rank(&self, owner: NodeId) -> Option<OperatorRank> {
         match self {
             Value::Level(pin) => Some((pin.version, owner)),
             Value::Configuration(version) => Some((version.id.number, version.id.publisher.unwrap_or(owner))),
@@ -122,7 +122,7 @@
 }
 
 /// Which of two operators' words of one kind counts: the higher number, then the higher publisher.
-pub(crate) type WordRank = (u64, NodeId);
+pub(crate) type OperatorRank = (u64, NodeId);
 
 /// Which of two statements under one key is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -148,11 +148,11 @@
 
 impl Statement {
     /// Its value is of its key's kind.
-    pub(crate) fn is_sound(&self) -> bool {
-        let Some(value) = &self.value else { return !self.key.is_operators() };
+    pub(crate) fn is_valid(&self) -> bool {
+        let Some(value) = &self.value else { return !self.key.is_from_operator() };
         match value {
             Value::Acknowledgement(acknowledgement) => {
-                self.key == Key::Acknowledgement && acknowledgement.is_sound()
+                self.key == Key::Acknowledgement && acknowledgement.is_valid()
             }
             value => value.fits(self.key),
         }
--- a/crates/coordinator/src/status.rs
+++ b/crates/coordinator/src/status.rs
@@ -31,7 +31,7 @@
     /// Fronts that have not said to act on it.
     pub behind: Vec<FrontProgress>,
     /// Versions that were announced elsewhere without knowledge of the one in force, and lost to it.
-    pub lost: Vec<ConfigurationVersion>,
+    pub conflicting: Vec<ConfigurationVersion>,
     /// Other coordinators that it has never been level with, or not for so long that it suspects them.
     pub unreachable: Vec<NodeId>,
     /// See [`Counts`].
@@ -50,8 +50,8 @@
             members.filter(|state| *state == wanted).count()
         };
         let is_unreachable =
-            |level_at: Option<f64>| level_at.is_none_or(|at| now - at >= self.params.suspect_after);
-        let unreachable = self.followed.iter().filter(|(_, follower)| is_unreachable(follower.level_at));
+            |synced_at: Option<f64>| synced_at.is_none_or(|at| now - at >= self.params.suspect_after);
+        let unreachable = self.followed.iter().filter(|(_, follower)| is_unreachable(follower.synced_at));
         CoordinatorStatus {
             sessions: self.sessions.len(),
             statements: self.store.len(),
@@ -59,7 +59,7 @@
             members: [MemberState::Alive, MemberState::Suspected, MemberState::Left].map(count),
             in_force,
             behind: self.behind(in_force.map(|version| version.id).unwrap_or_default()),
-            lost: self.store.lost(),
+            conflicting: self.store.conflicting_versions(),
             unreachable: unreachable.map(|(peer, _)| *peer).collect(),
             counts: self.counts,
         }
--- a/crates/coordinator/src/store.rs
+++ b/crates/coordinator/src/store.rs
@@ -1,15 +1,15 @@
 //! The statements that a coordinator holds, numbered by its own revisions.
 
-use crate::configuration::{is_lost, ConfigurationVersion};
+use crate::configuration::{is_conflicting, ConfigurationVersion};
 use crate::statement::{
-    Incarnation, Key, MemberState, NodeId, ServerState, Statement, Value, Version, WordRank,
+    Incarnation, Key, MemberState, NodeId, OperatorRank, ServerState, Statement, Value, Version,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
 /// Statements looked at for one page of changes at most.
-const MOST_SCANNED: usize = 4096;
+const MAX_SCANNED: usize = 4096;
 
 /// What became of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,28 +69,28 @@
     /// The owner of the newest statement about a server: the one that clients are told.
     leaders: BTreeMap<SocketAddr, NodeId>,
     /// The owner of the newest operator's word of each kind: the one that clients are told.
-    newest_words: BTreeMap<Key, NodeId>,
+    newest_operator_statements: BTreeMap<Key, NodeId>,
     revision: u64,
     /// The digest of a replica, and the revision that it is of.
     replica_digest: (u64, u64),
     /// Deletions up to this revision may have been forgotten.
     floor: u64,
-    most: usize,
+    max_statements: usize,
 }
 
 impl Store {
     /// An empty store of at most so many statements.
-    pub fn new(most: usize) -> Store {
+    pub fn new(max_statements: usize) -> Store {
         Store {
             entries: BTreeMap::new(),
             by_revision: BTreeMap::new(),
             owners: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            newest_words: BTreeMap::new(),
+            newest_operator_statements: BTreeMap::new(),
             revision: 0,
             replica_digest: (0, 0),
             floor: 0,
-            most,
+            max_statements,
         }
     }
 
@@ -115,39 +115,39 @@
 
     /// Takes a statement up where it is newer than what is held under its key.
     pub fn apply(&mut self, now: f64, statement: Statement, source: Source) -> Applied {
-        if !statement.is_sound() {
+        if !statement.is_valid() {
             return Applied::Invalid;
         }
         let (owner, key, version) = (statement.owner, statement.key, statement.version);
-        let place = (owner, key);
-        let held = self.entries.get(&place);
-        let is_known = match statement.value.as_ref().and_then(|value| value.word_rank(owner)) {
+        let entry_key = (owner, key);
+        let held = self.entries.get(&entry_key);
+        let is_known = match statement.value.as_ref().and_then(|value| value.operator_rank(owner)) {
             // What an operator said counts by its number, whichever process of its publisher said it.
-            Some(rank) => self.word_rank(owner, key) >= Some(rank),
+            Some(rank) => self.operator_rank(owner, key) >= Some(rank),
             None => held.is_some_and(|entry| entry.version >= version),
         };
         if is_known || self.is_of_ended_process(owner, key, version) {
             if source == Source::Direct {
-                self.take_over(place, version);
+                self.adopt(entry_key, version);
             }
             return Applied::Known;
         }
-        if held.is_none() && self.entries.len() >= self.most {
+        if held.is_none() && self.entries.len() >= self.max_statements {
             return Applied::Full;
         }
-        self.put(now, place, version, statement.value, source);
+        self.put(now, entry_key, version, statement.value, source);
         if key == Key::Member {
-            self.end_processes_before(now, owner, version.incarnation);
+            self.delete_statements_of_earlier_processes(now, owner, version.incarnation);
         }
         Applied::Newer
     }
 
     /// A client says here what it had said to another coordinator, which may have died before it told all replicas.
-    fn take_over(&mut self, place: (NodeId, Key), version: Version) {
-        let Some(entry) = self.entries.get_mut(&place) else { return };
+    fn adopt(&mut self, entry_key: (NodeId, Key), version: Version) {
+        let Some(entry) = self.entries.get_mut(&entry_key) else { return };
         if entry.version == version && entry.source == Source::Replica {
             entry.source = Source::Direct;
-            self.renumber(place);
+            self.assign_new_revision(entry_key);
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Deletes what processes of that owner before this one had said, operators' words apart.
-    fn end_processes_before(&mut self, now: f64, owner: NodeId, incarnation: Incarnation) {
+    fn delete_statements_of_earlier_processes(&mut self, now: f64, owner: NodeId, incarnation: Incarnation) {
         let of_owner = self.entries.range((owner, Key::Member)..=(owner, Key::Acknowledgement));
         let ended: Vec<Key> = of_owner
             .filter(|((_, key), entry)| {
@@ -176,34 +176,35 @@
     fn put(
         &mut self,
         now: f64,
-        place: (NodeId, Key),
+        entry_key: (NodeId, Key),
         version: Version,
         value: Option<Value>,
         source: Source,
     ) {
         self.revision += 1;
         let entry = Entry { version, value, revision: self.revision, changed_at: now, source };
-        if let Some(before) = self.entries.insert(place, entry) {
+        if let Some(before) = self.entries.insert(entry_key, entry) {
             self.by_revision.remove(&before.revision);
         }
-        self.by_revision.insert(self.revision, place);
-        if let Key::Server(address) = place.1 {
-            self.owners.entry(address).or_default().insert(place.0);
+        self.by_revision.insert(self.revision, entry_key);
+        if let Key::Server(address) = entry_key.1 {
+            self.owners.entry(address).or_default().insert(entry_key.0);
             self.choose_leader(address);
         }
-        if place.1.is_operators() {
-            self.choose_newest_word(place);
+        if entry_key.1.is_from_operator() {
+            self.choose_newest_operator_statement(entry_key);
         }
     }
 
-    fn word_rank(&self, owner: NodeId, key: Key) -> Option<WordRank> {
-        self.value(owner, key).and_then(|value| value.word_rank(owner))
+    fn operator_rank(&self, owner: NodeId, key: Key) -> Option<OperatorRank> {
+        self.value(owner, key).and_then(|value| value.operator_rank(owner))
     }
 
-    fn choose_newest_word(&mut self, (owner, key): (NodeId, Key)) {
-        let newest = self.newest_words.get(&key).and_then(|newest| self.word_rank(*newest, key));
-        if self.word_rank(owner, key) >= newest {
-            self.newest_words.insert(key, owner);
+    fn choose_newest_operator_statement(&mut self, (owner, key): (NodeId, Key)) {
+        let newest =
+            self.newest_operator_statements.get(&key).and_then(|newest| self.operator_rank(*newest, key));
+        if self.operator_rank(owner, key) >= newest {
+            self.newest_operator_statements.insert(key, owner);
         }
     }
 
@@ -229,37 +230,37 @@
             return;
         }
         self.leaders.insert(address, owner);
-        self.renumber((owner, Key::Server(address)));
+        self.assign_new_revision((owner, Key::Server(address)));
     }
 
     /// Gives a statement a revision of now: clients are told it anew.
-    fn renumber(&mut self, place: (NodeId, Key)) {
-        let Some(entry) = self.entries.get_mut(&place) else { return };
+    fn assign_new_revision(&mut self, entry_key: (NodeId, Key)) {
+        let Some(entry) = self.entries.get_mut(&entry_key) else { return };
         if entry.revision == self.revision {
             return;
         }
         self.by_revision.remove(&entry.revision);
         self.revision += 1;
         entry.revision = self.revision;
-        self.by_revision.insert(self.revision, place);
+        self.by_revision.insert(self.revision, entry_key);
     }
 
     /// Forgets deletions of before that time.
-    pub fn forget_deletions(&mut self, before: f64) {
+    pub fn purge_deletions(&mut self, before: f64) {
         let old = |entry: &Entry| entry.value.is_none() && entry.changed_at < before;
-        let places: Vec<(NodeId, Key)> =
-            self.entries.iter().filter(|(_, entry)| old(entry)).map(|(place, _)| *place).collect();
-        for place in places {
-            let Some(entry) = self.entries.remove(&place) else { continue };
+        let entry_keys: Vec<(NodeId, Key)> =
+            self.entries.iter().filter(|(_, entry)| old(entry)).map(|(entry_key, _)| *entry_key).collect();
+        for entry_key in entry_keys {
+            let Some(entry) = self.entries.remove(&entry_key) else { continue };
             self.by_revision.remove(&entry.revision);
             self.floor = self.floor.max(entry.revision);
-            if let Key::Server(address) = place.1 {
-                self.forget_owner(address, place.0);
+            if let Key::Server(address) = entry_key.1 {
+                self.remove_owner(address, entry_key.0);
             }
         }
     }
 
-    fn forget_owner(&mut self, address: SocketAddr, owner: NodeId) {
+    fn remove_owner(&mut self, address: SocketAddr, owner: NodeId) {
         let Some(owners) = self.owners.get_mut(&address) else { return };
         owners.remove(&owner);
         if owners.is_empty() {
@@ -267,33 +268,35 @@
         }
     }
 
-    fn is_told(&self, filter: &Filter, place: &(NodeId, Key), entry: &Entry) -> bool {
+    fn passes(&self, filter: &Filter, entry_key: &(NodeId, Key), entry: &Entry) -> bool {
         match filter {
-            Filter::Everything => self.is_of_use_to_replicas(place, entry),
-            Filter::Direct => entry.source == Source::Direct && self.is_of_use_to_replicas(place, entry),
-            Filter::Servers(servers) => self.is_told_to_fronts(servers, place, entry),
+            Filter::Everything => self.is_needed_by_replicas(entry_key, entry),
+            Filter::Direct => entry.source == Source::Direct && self.is_needed_by_replicas(entry_key, entry),
+            Filter::Servers(servers) => self.is_sent_to_front(servers, entry_key, entry),
         }
     }
 
     /// Of what many fronts tell of one server a replica needs the newest alone.
-    fn is_of_use_to_replicas(&self, place: &(NodeId, Key), entry: &Entry) -> bool {
-        match place.1 {
-            Key::Server(address) => entry.value.is_none() || self.leaders.get(&address) == Some(&place.0),
+    fn is_needed_by_replicas(&self, entry_key: &(NodeId, Key), entry: &Entry) -> bool {
+        match entry_key.1 {
+            Key::Server(address) => entry.value.is_none() || self.leaders.get(&address) == Some(&entry_key.0),
             _ => true,
         }
     }
 
-    fn is_told_to_fronts(
+    fn is_sent_to_front(
         &self,
         servers: &BTreeSet<SocketAddr>,
-        place: &(NodeId, Key),
+        entry_key: &(NodeId, Key),
         entry: &Entry,
     ) -> bool {
-        match place.1 {
-            Key::Level | Key::Configuration => self.newest_words.get(&place.1) == Some(&place.0),
+        match entry_key.1 {
+            Key::Level | Key::Configuration => {
+                self.newest_operator_statements.get(&entry_key.1) == Some(&entry_key.0)
+            }
             Key::Member | Key::Acknowledgement => false,
             Key::Server(address) if servers.contains(&address) => match self.leaders.get(&address) {
-                Some(leader) => *leader == place.0,
+                Some(leader) => *leader == entry_key.0,
                 None => entry.value.is_none(),
             },
             Key::Server(_) => false,
@@ -304,10 +307,10 @@
     pub(crate) fn changes_after(&self, revision: u64, filter: &Filter, bytes: usize) -> Page {
         let mut page = Page { to: revision, statements: Vec::new() };
         let mut left = bytes;
-        for (number, place) in self.by_revision.range(revision + 1..).take(MOST_SCANNED) {
-            let entry = &self.entries[place];
-            if self.is_told(filter, place, entry) {
-                let statement = statement(place, entry);
+        for (number, entry_key) in self.by_revision.range(revision + 1..).take(MAX_SCANNED) {
+            let entry = &self.entries[entry_key];
+            if self.passes(filter, entry_key, entry) {
+                let statement = statement(entry_key, entry);
                 let size = statement.size();
                 if size > left && !page.statements.is_empty() {
                     return page;
@@ -326,8 +329,8 @@
     /// A hash over the live statements that pass the filter, whatever their order.
     pub(crate) fn digest(&self, filter: &Filter) -> u64 {
         let live = self.entries.iter().filter(|(_, entry)| entry.value.is_some());
-        let told = live.filter(|(place, entry)| self.is_told(filter, place, entry));
-        told.fold(0, |digest, (place, entry)| digest ^ fingerprint(&statement(place, entry)))
+        let passing = live.filter(|(entry_key, entry)| self.passes(filter, entry_key, entry));
+        passing.fold(0, |digest, (entry_key, entry)| digest ^ fingerprint(&statement(entry_key, entry)))
     }
 
     /// Equal at replicas that hold the same, whatever words on servers they hold beside the newest. Acknowledgements are
@@ -342,8 +345,9 @@
             .iter()
             .filter_map(|(address, leader)| Some(hash_of(&(address, self.server_state(*address, *leader)?))));
         let live = self.entries.iter().filter(|(_, entry)| entry.value.is_some());
-        let others = live.filter(|(place, _)| !matches!(place.1, Key::Server(_) | Key::Acknowledgement));
-        let of_others = others.map(|(place, entry)| fingerprint(&statement(place, entry)));
+        let others =
+            live.filter(|(entry_key, _)| !matches!(entry_key.1, Key::Server(_) | Key::Acknowledgement));
+        let of_others = others.map(|(entry_key, entry)| fingerprint(&statement(entry_key, entry)));
         let digest = of_servers.chain(of_others).fold(0, |digest, hash| digest ^ hash);
         self.replica_digest = (self.revision, digest);
         digest
@@ -398,14 +402,14 @@
     }
 
     /// Versions that were announced by publishers that did not know of the one in force, and lost to it.
-    pub fn lost(&self) -> Vec<ConfigurationVersion> {
+    pub fn conflicting_versions(&self) -> Vec<ConfigurationVersion> {
         let Some(in_force) = self.in_force() else { return Vec::new() };
-        self.configurations().filter(|version| is_lost(version, &in_force)).copied().collect()
+        self.configurations().filter(|version| is_conflicting(version, &in_force)).copied().collect()
     }
 }
 
-fn statement(place: &(NodeId, Key), entry: &Entry) -> Statement {
-    Statement { owner: place.0, key: place.1, version: entry.version, value: entry.value.clone() }
+fn statement(entry_key: &(NodeId, Key), entry: &Entry) -> Statement {
+    Statement { owner: entry_key.0, key: entry_key.1, version: entry.version, value: entry.value.clone() }
 }
 
 /// A hash of a statement that does not depend on the process.
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -23,17 +23,17 @@
     ServerState { incarnation, state }
 }
 
-fn name_of(node: NodeId) -> String {
+fn node_name(node: NodeId) -> String {
     match node.0.checked_sub(FIRST_CLIENT) {
         Some(client) => format!("f{client}"),
         None => format!("c{}", node.0),
     }
 }
 
-fn coordinator_words(event: &CoordinatorEvent) -> String {
+fn describe_coordinator_event(event: &CoordinatorEvent) -> String {
     match event {
         CoordinatorEvent::Suspected(nodes) => {
-            let names: Vec<String> = nodes.iter().map(|node| name_of(*node)).collect();
+            let names: Vec<String> = nodes.iter().map(|node| node_name(*node)).collect();
             format!("suspects {}", names.join(" "))
         }
         CoordinatorEvent::Isolated(true) => "isolated".into(),
@@ -42,7 +42,7 @@
     }
 }
 
-fn client_words(event: &ClientEvent) -> String {
+fn describe_client_event(event: &ClientEvent) -> String {
     match event {
         ClientEvent::InForce(version) => format!("acts on {}", version.id.number),
         ClientEvent::Server(address, Some(state)) => {
@@ -69,7 +69,7 @@
     pub cut_off: BTreeSet<NodeId>,
     /// Every message: when it was sent, from, to.
     pub log: Vec<(f64, NodeId, NodeId, Message)>,
-    under_way: Vec<(f64, NodeId, NodeId, Message)>,
+    in_transit: Vec<(f64, NodeId, NodeId, Message)>,
     starts: u64,
     peers: Vec<NodeId>,
     pub params: CoordinatorParams,
@@ -98,12 +98,12 @@
     }
 
     /// With version 1 in force everywhere.
-    pub fn settled(coordinators: u64, clients: u64) -> World {
+    pub fn with_version_1(coordinators: u64, clients: u64) -> World {
         let mut world = World::new(coordinators, clients);
         let now = world.now;
         world.coordinator(0).announce(now, 1, 10).unwrap();
-        world.until("version 1 everywhere", 5.0, |world| world.all_act_on(1));
-        world.pass(2.0);
+        world.wait_until("version 1 everywhere", 5.0, |world| world.all_act_on(1));
+        world.advance(2.0);
         world
     }
 
@@ -138,7 +138,7 @@
     fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
         self.log.push((self.now, from, to, message.clone()));
         if !self.cut_off.contains(&from) && !self.cut_off.contains(&to) {
-            self.under_way.push((self.now + DELAY, from, to, message));
+            self.in_transit.push((self.now + DELAY, from, to, message));
         }
     }
 
@@ -148,8 +148,8 @@
         self.now += STEP;
         let now = self.now;
         let (arrived, rest) =
-            std::mem::take(&mut self.under_way).into_iter().partition(|(at, ..)| *at <= now);
-        self.under_way = rest;
+            std::mem::take(&mut self.in_transit).into_iter().partition(|(at, ..)| *at <= now);
+        self.in_transit = rest;
         let arrived: Vec<(f64, NodeId, NodeId, Message)> = arrived;
         for (_, from, to, message) in arrived {
             if let Some(coordinator) = self.coordinators.get_mut(&to) {
@@ -165,7 +165,7 @@
             }
             sent.extend(std::iter::from_fn(|| coordinator.next_outgoing()).map(|out| (*name, out)));
             while let Some(event) = coordinator.next_event() {
-                self.timeline.add(now, name.0 as usize, coordinator_words(&event));
+                self.timeline.add(now, name.0 as usize, describe_coordinator_event(&event));
                 self.coordinator_events.push((*name, event));
             }
         }
@@ -180,8 +180,8 @@
                         None => client.accept_version(now),
                     }
                 }
-                let place = self.peers.len() + (name.0 - FIRST_CLIENT) as usize;
-                self.timeline.add(now, place, client_words(&event));
+                let entry_key = self.peers.len() + (name.0 - FIRST_CLIENT) as usize;
+                self.timeline.add(now, entry_key, describe_client_event(&event));
                 self.client_events.push((*name, event));
             }
             sent.extend(std::iter::from_fn(|| client.next_outgoing()).map(|out| (*name, out)));
@@ -189,7 +189,7 @@
         sent.into_iter().for_each(|(from, out)| self.send(from, out.to, out.message));
     }
 
-    pub fn pass(&mut self, seconds: f64) {
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
             self.step();
@@ -197,7 +197,7 @@
     }
 
     /// Steps until it holds: seconds. Fails past `most`.
-    pub fn until(&mut self, what: &str, most: f64, mut holds: impl FnMut(&mut World) -> bool) -> f64 {
+    pub fn wait_until(&mut self, what: &str, most: f64, mut holds: impl FnMut(&mut World) -> bool) -> f64 {
         let begin = self.now;
         while !holds(self) {
             assert!(self.now - begin < most, "{what} did not come within {most} s");
--- a/crates/lab/src/coordinated/measure.rs
+++ b/crates/lab/src/coordinated/measure.rs
@@ -500,7 +500,7 @@
     }
 
     fn lost_versions(&mut self) -> usize {
-        self.fleet.coordinator(0).map_or(0, |coordinator| coordinator.store().lost().len())
+        self.fleet.coordinator(0).map_or(0, |coordinator| coordinator.store().conflicting_versions().len())
     }
 
     /// Fronts that have been up for long and that a coordinator holds to be suspected.
