--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -12,18 +12,18 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// What a client is started with. Times are seconds.
+/// Parameters of a client. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientParams {
-    /// Between two heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_every: f64,
-    /// An answer that has not come after this is asked for again,
+    /// A missing answer is requested again after this,
     pub answer_timeout: f64,
-    /// and after this another coordinator is failed_attempts.
+    /// and the client fails over to another coordinator after this.
     pub failover_after: f64,
-    /// Once all have been failed_attempts the next round begins after at most this, drawn from the seed.
+    /// After all coordinators have failed, the next round starts after a random pause of at most this.
     pub max_pause: f64,
-    /// Own statements at most.
+    /// Maximum number of own statements.
     pub max_published: usize,
 }
 
@@ -39,39 +39,39 @@
     }
 }
 
-/// What a client makes known to its host.
+/// An event for the client's host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
-    /// This version of the configuration is in force: the host is to act on it or refuse it.
+    /// This configuration version is in force: the host must accept or refuse it.
     InForce(ConfigurationVersion),
-    /// The newest that is known of a server; none: nobody tells of it any more.
+    /// The newest state of a server; none if no front reports it any more.
     Server(SocketAddr, Option<ServerState>),
-    /// The level that an operator has pinned; none: none is.
+    /// The level that an operator has pinned; none if there is no pin.
     Level(Option<u8>),
-    /// A coordinator answers (true), or none does: the last state goes on holding.
+    /// Whether a coordinator answers. While none does, the last state stays in use.
     Connected(bool),
 }
 
-/// How a client stands.
+/// Status of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientStatus {
-    /// The coordinator that it follows, where that answers.
+    /// The coordinator that it follows; none while that one doesn't answer.
     pub coordinator: Option<NodeId>,
-    /// Seconds since it was last level with a coordinator; none: it never was.
+    /// Seconds since it last had all changes of a coordinator; none if it never had.
     pub age: Option<f64>,
     /// The configuration version that it knows to be in force.
     pub in_force: Option<ConfigurationVersion>,
-    /// The one that it acts on.
+    /// The configuration version that it uses.
     pub acts_on: VersionId,
-    /// Statements of others that it holds.
-    pub held: usize,
-    /// Own statements that no coordinator has said to hold.
+    /// Number of other nodes' statements that it has.
+    pub statements: usize,
+    /// Number of own statements that no coordinator has acknowledged.
     pub unpublished: usize,
-    /// Own statements that had no room.
+    /// Number of own statements dropped because the maximum was reached.
     pub rejected_statements: u64,
 }
 
-/// What a client holds: the newest statement of anybody of each kind.
+/// Key under which a client stores a statement: the newest of each kind, whoever owns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Slot {
     Server(SocketAddr),
@@ -80,7 +80,7 @@
 }
 
 impl Slot {
-    /// None: no client holds statements of that kind.
+    /// None: clients do not store statements of that kind.
     fn of(key: Key) -> Option<Slot> {
         match key {
             Key::Server(address) => Some(Slot::Server(address)),
@@ -91,23 +91,26 @@
     }
 }
 
-/// See the crate's documentation.
+/// A client of the coordinators; see the crate's documentation.
 pub struct Client {
     params: ClientParams,
     own_id: NodeId,
     incarnation: Incarnation,
-    /// The coordinators in the order in which they are failed_attempts, and which is followed now.
+    /// The coordinators in failover order, and the index of the one that is followed now.
     coordinators: Vec<NodeId>,
     current: usize,
     follower: Follower,
     servers: BTreeSet<SocketAddr>,
     subscription_number: u64,
     acknowledged_subscription: u64,
-    held: BTreeMap<Slot, Statement>,
-    /// What a snapshot that is under way has not named yet, and where that snapshot ends.
+    /// Other nodes' statements.
+    statements: BTreeMap<Slot, Statement>,
+    /// Slots that the snapshot in progress has not contained yet, and the revision at which it ends.
     pending_snapshot: Option<(BTreeSet<Slot>, u64)>,
-    /// Operators' words that a snapshot did not name: the coordinator lost them, and is given them back.
+    /// Operators' statements that a snapshot did not contain: the coordinator lost them, so they are
+    /// published again.
     to_republish: Vec<Statement>,
+    /// Own statements.
     published: BTreeMap<Key, Statement>,
     sequence: u64,
     acknowledged_sequence: u64,
@@ -126,7 +129,8 @@
 }
 
 impl Client {
-    /// A client that holds nothing yet. `coordinators` are those of its region; which it begins with comes from the seed.
+    /// Creates a client without any statements. `coordinators` are those of its region; the seed determines
+    /// the first one.
     pub fn new(
         params: ClientParams,
         own_id: NodeId,
@@ -149,7 +153,7 @@
             servers: BTreeSet::new(),
             subscription_number: 1,
             acknowledged_subscription: 0,
-            held: BTreeMap::new(),
+            statements: BTreeMap::new(),
             pending_snapshot: None,
             to_republish: Vec::new(),
             published: BTreeMap::new(),
@@ -169,27 +173,28 @@
         }
     }
 
-    // ---- what the host says ----
+    // ---- input from the host ----
 
-    /// The servers that it wants to be told of; those past the bound are left out.
+    /// Subscribes to statements about these servers; those over [`MAX_SERVERS`] are left out.
     pub fn subscribe(&mut self, now: f64, servers: impl IntoIterator<Item = SocketAddr>) {
         let servers: BTreeSet<SocketAddr> = servers.into_iter().take(MAX_SERVERS).collect();
         if servers == self.servers {
             return;
         }
-        self.held.retain(|slot, _| !matches!(slot, Slot::Server(address) if !servers.contains(address)));
+        self.statements
+            .retain(|slot, _| !matches!(slot, Slot::Server(address) if !servers.contains(address)));
         self.servers = servers;
         self.subscription_number += 1;
         self.follower.reset();
         self.next_heartbeat_at = now;
     }
 
-    /// What its own list tells of a server; none: nothing any more.
+    /// Publishes what the front's own list reports about a server; none if it no longer reports it.
     pub fn report_server(&mut self, now: f64, address: SocketAddr, state: Option<ServerState>) {
         self.publish(now, Key::Server(address), state.map(Value::Server));
     }
 
-    /// An operator announces a configuration version at this front, for all.
+    /// Announces a configuration version for all fronts, on behalf of an operator at this front.
     pub fn announce(&mut self, now: f64, number: u64, digest: u64) -> Result<VersionId, OutdatedVersion> {
         let replaces = self.in_force.map(|version| version.id).unwrap_or_default();
         OutdatedVersion::check(number, replaces)?;
@@ -200,14 +205,14 @@
         Ok(id)
     }
 
-    /// The host acts on the version in force.
+    /// Acknowledges that the host uses the version in force.
     pub fn accept_version(&mut self, now: f64) {
         let Some(version) = self.in_force else { return };
         self.acts_on = version.id;
         self.acknowledge(now, Acknowledgement::ActsOn(version.id));
     }
 
-    /// The host refuses the version in force, and goes on with the one that it acts on.
+    /// Refuses the version in force; the host continues to use the previous one.
     pub fn refuse_version(&mut self, now: f64, reason: &str) {
         let Some(version) = self.in_force else { return };
         self.acknowledge(now, Acknowledgement::refused(version.id, self.acts_on, reason));
@@ -217,7 +222,7 @@
         self.publish(now, Key::Acknowledgement, Some(Value::Acknowledgement(acknowledgement)));
     }
 
-    /// It departs in order: its coordinator is told at once.
+    /// Informs the coordinator at once that this front shuts down in an orderly way.
     pub fn leave(&mut self) {
         self.send_heartbeat(false, true);
     }
@@ -230,7 +235,7 @@
         self.sequence += 1;
         let version = Version { incarnation: self.incarnation, sequence: self.sequence };
         self.published.insert(key, Statement { owner: self.own_id, key, version, value });
-        // At once where a coordinator answers and nothing is awaited; else with the next heartbeat.
+        // At once if a coordinator answers and no answer is outstanding; otherwise with the next heartbeat.
         if self.is_connected && self.awaiting_answer_since.is_none() {
             self.next_heartbeat_at = now;
         }
@@ -240,9 +245,9 @@
         self.published.values().filter(|statement| statement.version.sequence > self.acknowledged_sequence)
     }
 
-    // ---- what is heard ----
+    // ---- received messages ----
 
-    /// A message of another node, told apart from a stranger by the codec.
+    /// Handles a message of another node; the codec has authenticated its sender.
     pub fn receive(&mut self, now: f64, from: NodeId, message: Message) {
         if self.coordinators.get(self.current) != Some(&from) {
             return;
@@ -251,7 +256,7 @@
             Message::Update(update) if update.client == self.incarnation => self.handle_update(now, update),
             Message::Update(_) => {}
             Message::Busy { retry_after } => self.handle_busy(now, retry_after),
-            // Nobody is a client of a front.
+            // Fronts have no clients.
             Message::Heartbeat(_) => {}
         }
     }
@@ -271,19 +276,20 @@
         self.acknowledged_sequence = self.acknowledged_sequence.max(update.published);
         self.acknowledged_subscription = update.subscription_number;
         self.to_republish.clear();
-        let carries_news = !update.statements.is_empty() || update.continuity != Continuity::Delta;
+        let has_changes = !update.statements.is_empty() || update.continuity != Continuity::Delta;
         if self.follower.cursor().is_some_and(|cursor| cursor.coordinator != update.coordinator) {
-            // Another process under that name: it is told what is held here, and says what differs.
+            // The coordinator has restarted under the same id: send it the digest of the statements here, and
+            // receive what differs.
             self.follower.reset();
             self.pending_snapshot = None;
             self.acknowledged_sequence = 0;
             self.next_heartbeat_at = now;
         }
-        let in_order = self.follower.take(now, update);
+        let in_order = self.follower.accept(now, update);
         let advances = !in_order.is_empty();
         in_order.into_iter().for_each(|update| self.apply_update(update));
-        if carries_news && advances {
-            // Acknowledges it.
+        if has_changes && advances {
+            // This heartbeat acknowledges the update.
             self.send_heartbeat(false, false);
         }
         let needs_subscription = self.acknowledged_subscription != self.subscription_number;
@@ -294,41 +300,42 @@
 
     fn apply_update(&mut self, update: Update) {
         if update.continuity == Continuity::SnapshotBegins {
-            self.pending_snapshot = Some((self.held.keys().copied().collect(), update.revision));
+            self.pending_snapshot = Some((self.statements.keys().copied().collect(), update.revision));
         }
         for statement in update.statements {
             self.apply_statement(statement);
         }
         let ends = |until: u64| update.to >= until;
-        if let Some((left, _)) = self.pending_snapshot.take_if(|(_, until)| ends(*until)) {
-            left.into_iter().for_each(|slot| self.handle_unlisted(slot));
+        if let Some((unlisted, _)) = self.pending_snapshot.take_if(|(_, until)| ends(*until)) {
+            unlisted.into_iter().for_each(|slot| self.handle_unlisted(slot));
         }
         if update.continuity == Continuity::Confirmed {
             self.pending_snapshot = None;
         }
     }
 
-    /// A snapshot did not name what is held: an operator's word is kept and given back, all else is gone.
+    /// Handles a statement that a snapshot did not contain: an operator's statement stays and is published
+    /// again, any other is removed.
     fn handle_unlisted(&mut self, slot: Slot) {
-        match self.held.get(&slot) {
-            Some(word) if word.key.is_from_operator() => self.to_republish.push(word.clone()),
+        match self.statements.get(&slot) {
+            Some(statement) if statement.key.is_from_operator() => self.to_republish.push(statement.clone()),
             _ => self.remove_slot(slot),
         }
     }
 
     fn apply_statement(&mut self, statement: Statement) {
         let Some(slot) = Slot::of(statement.key) else { return };
-        if let Some((left, _)) = &mut self.pending_snapshot {
-            left.remove(&slot);
+        if let Some((unlisted, _)) = &mut self.pending_snapshot {
+            unlisted.remove(&slot);
         }
         if !statement.is_valid() || !self.is_subscribed(slot) {
             return;
         }
         let Some(value) = statement.value.clone() else { return self.remove_slot(slot) };
         let rank = |statement: &Statement| statement.value.as_ref()?.operator_rank(statement.owner);
-        if let Some(before) = self.held.get(&slot) {
+        if let Some(before) = self.statements.get(&slot) {
             if rank(before) > rank(&statement) {
-                // The coordinator lags behind what this client knows.
+                // The coordinator's statement is older than this client's.
                 self.to_republish.push(before.clone());
                 return;
             }
@@ -336,7 +343,7 @@
                 return;
             }
         }
-        self.held.insert(slot, statement);
+        self.statements.insert(slot, statement);
         match (slot, value) {
             (Slot::Server(address), Value::Server(state)) => {
                 self.events.push_back(ClientEvent::Server(address, Some(state)));
@@ -355,10 +362,10 @@
     }
 
     fn remove_slot(&mut self, slot: Slot) {
-        if self.held.remove(&slot).is_none() {
+        if self.statements.remove(&slot).is_none() {
             return;
         }
-        // A configuration version that was in force is never left for an older one: nothing to tell of it.
+        // A configuration version in force is never replaced by an older one, so there is no event for it.
         match slot {
             Slot::Server(address) => self.events.push_back(ClientEvent::Server(address, None)),
             Slot::Level => self.events.push_back(ClientEvent::Level(None)),
@@ -375,13 +382,13 @@
 
     // ---- time ----
 
-    /// When [`Client::poll`] is due.
+    /// When [`Client::poll`] must be called.
     pub fn wake_at(&self) -> f64 {
         let awaited = self.awaiting_answer_since.map_or(f64::INFINITY, |at| at + self.params.failover_after);
         self.next_heartbeat_at.min(awaited)
     }
 
-    /// Deals with what is due.
+    /// Handles expired timers.
     pub fn poll(&mut self, now: f64) {
         if self.awaiting_answer_since.is_some_and(|at| now - at >= self.params.failover_after) {
             self.fail_over(now);
@@ -390,7 +397,7 @@
             return;
         }
         self.heartbeat_number += 1;
-        // An answer that does not come is asked for again sooner than the next heartbeat would.
+        // A missing answer is requested again earlier than the next regular heartbeat.
         let asks_again = self.awaiting_answer_since.is_some() || self.unpublished().next().is_some();
         let after = if asks_again { self.params.answer_timeout } else { self.params.heartbeat_every };
         self.next_heartbeat_at = now + after;
@@ -398,7 +405,7 @@
         self.send_heartbeat(true, false);
     }
 
-    /// The coordinator that is followed does not answer.
+    /// Fails over to the next coordinator because the current one doesn't answer.
     fn fail_over(&mut self, now: f64) {
         if std::mem::replace(&mut self.is_connected, false) {
             self.events.push_back(ClientEvent::Connected(false));
@@ -407,13 +414,13 @@
         self.follower.reset();
         self.pending_snapshot = None;
         self.acknowledged_subscription = 0;
-        // Another one may not hold what this one did.
+        // The next coordinator may not have the statements that this one acknowledged.
         self.acknowledged_sequence = 0;
         self.current = (self.current + 1) % self.coordinators.len().max(1);
         self.failed_attempts += 1;
         let pause = match self.failed_attempts >= self.coordinators.len() {
             true => self.params.max_pause,
-            // Those of one coordinator come to the others spread over a moment.
+            // The clients of a failed coordinator reconnect to the others spread over a short time.
             false => self.params.answer_timeout,
         };
         self.next_heartbeat_at = now + pause * self.rng.random::<f64>();
@@ -426,7 +433,7 @@
         publish.sort_by_key(|statement| statement.version.sequence);
         publish.extend(self.to_republish.iter().cloned());
         publish.truncate(MAX_PUBLISHED);
-        // Whether anybody is there is asked in few bytes: all else follows the first answer.
+        // A coordinator is probed with a small heartbeat; the statements follow its first answer.
         if !self.is_connected {
             publish.clear();
         }
@@ -448,12 +455,12 @@
     }
 
     fn digest(&self) -> u64 {
-        self.held.values().fold(0, |digest, statement| digest ^ fingerprint(statement))
+        self.statements.values().fold(0, |digest, statement| digest ^ fingerprint(statement))
     }
 
-    // ---- what the host takes ----
+    // ---- output for the host ----
 
-    /// Its process.
+    /// Its own process.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
@@ -463,27 +470,27 @@
         self.outgoing.pop_front()
     }
 
-    /// The next thing that became known.
+    /// The next event.
     pub fn next_event(&mut self) -> Option<ClientEvent> {
         self.events.pop_front()
     }
 
-    /// How it stands.
+    /// Current status.
     pub fn status(&self, now: f64) -> ClientStatus {
         ClientStatus {
             coordinator: self.coordinators.get(self.current).copied().filter(|_| self.is_connected),
             age: self.follower.synced_at.map(|at| now - at),
             in_force: self.in_force,
             acts_on: self.acts_on,
-            held: self.held.len(),
+            statements: self.statements.len(),
             unpublished: self.unpublished().count(),
             rejected_statements: self.rejected_statements,
         }
     }
 
-    /// The newest that is known of a server.
+    /// The newest known state of a server.
     pub fn server(&self, address: SocketAddr) -> Option<ServerState> {
-        match self.held.get(&Slot::Server(address))?.value {
+        match self.statements.get(&Slot::Server(address))?.value {
             Some(Value::Server(state)) => Some(state),
             _ => None,
         }
--- a/crates/coordinator/src/configuration.rs
+++ b/crates/coordinator/src/configuration.rs
@@ -1,49 +1,50 @@
-//! Versions of the configuration: which one is in force, and how far fronts have followed.
+//! Versions of the configuration: which one is in force, and which one each front uses.
 
 use crate::statement::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// The longest reason of a refusal that is passed on, bytes.
+/// Maximum length of the reason of a refusal, bytes; longer ones are truncated.
 const MAX_REASON_BYTES: usize = 200;
 
-/// Names one version. Of two the higher number counts, then the higher publisher.
+/// Identifies a version. Of two versions the one with the higher number prevails, then the one with the
+/// higher publisher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VersionId {
-    /// Chosen by the operator, higher than all before.
+    /// Chosen by the operator, higher than all previous ones.
     pub number: u64,
-    /// The node at which it was announced; none: no version has been announced.
+    /// The node at which it was announced; none if no version has been announced.
     pub publisher: Option<NodeId>,
 }
 
 /// A version that an operator announced. Its content reaches fronts by file and signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ConfigurationVersion {
-    /// Its name.
+    /// Identifier.
     pub id: VersionId,
     /// Hash of the content.
     pub digest: u64,
-    /// The version in force where and when it was announced.
+    /// The version that was in force at the publisher when this one was announced.
     pub replaces: VersionId,
 }
 
-/// What a front says of the version in force.
+/// A front's response to the version in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Acknowledgement {
-    /// It acts on that version.
+    /// It uses that version.
     ActsOn(VersionId),
-    /// It refused `refused` for the reason given and goes on with `acts_on`.
+    /// It refused `refused` for the given reason and continues to use `acts_on`.
     Refused {
-        /// The version that it does not take.
+        /// The version that it refused.
         refused: VersionId,
-        /// The version that it acts on.
+        /// The version that it uses.
         acts_on: VersionId,
-        /// What an operator can do about it.
+        /// The reason, with what an operator can do about it.
         reason: String,
     },
 }
 
 impl Acknowledgement {
-    /// A refusal, its reason cut to what is passed on.
+    /// A refusal; the reason is truncated to [`MAX_REASON_BYTES`].
     pub fn refused(refused: VersionId, acts_on: VersionId, reason: &str) -> Acknowledgement {
         let mut end = reason.len().min(MAX_REASON_BYTES);
         while !reason.is_char_boundary(end) {
@@ -52,7 +53,7 @@
         Acknowledgement::Refused { refused, acts_on, reason: reason[..end].to_string() }
     }
 
-    /// The version that its sender acts on.
+    /// The version that its sender uses.
     pub fn acts_on(&self) -> VersionId {
         match self {
             Acknowledgement::ActsOn(id) | Acknowledgement::Refused { acts_on: id, .. } => *id,
@@ -71,7 +72,7 @@
     }
 }
 
-/// A version was announced under a number that is not higher than the one in force.
+/// A version was announced under a number that is not higher than the number in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("version {announced} is not newer than version {in_force}, which is in force: announce it as {next} or higher")]
 pub struct OutdatedVersion {
@@ -79,7 +80,7 @@
     pub announced: u64,
     /// The number in force.
     pub in_force: u64,
-    /// The least number that would be taken.
+    /// The lowest number that would be accepted.
     pub next: u64,
 }
 
@@ -92,8 +93,8 @@
     }
 }
 
-/// Whether `word` lost against the version in force without its publisher having known of it: both were announced
-/// while their publishers did not hear each other.
-pub(crate) fn is_conflicting(word: &ConfigurationVersion, in_force: &ConfigurationVersion) -> bool {
-    word.id < in_force.id && word.id > in_force.replaces
+/// Whether `version` was overruled by the version in force although its publisher did not know of that one:
+/// both were announced while their publishers were partitioned from each other.
+pub(crate) fn is_conflicting(version: &ConfigurationVersion, in_force: &ConfigurationVersion) -> bool {
+    version.id < in_force.id && version.id > in_force.replaces
 }
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! One coordinator: sessions of its clients, and its following of the other coordinators.
+//! One coordinator: the sessions of its clients, and its replication from the other coordinators.
 
 use crate::configuration::{ConfigurationVersion, OutdatedVersion, VersionId};
 use crate::follower::Follower;
@@ -11,37 +11,37 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The number of the subscription of every coordinator at every other one.
+/// Subscription number of a coordinator at every other one; it never changes.
 const REPLICA_SUBSCRIPTION: u64 = 1;
 
-/// What a coordinator is started with. Times are seconds.
+/// Parameters of a coordinator. Times are seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorParams {
-    /// Between two heartbeats to another coordinator.
+    /// Interval between heartbeats to another coordinator.
     pub heartbeat_every: f64,
-    /// Without a heartbeat a client is suspected after this.
+    /// A client without a heartbeat for this long is suspected.
     pub suspect_after: f64,
-    /// Changes are gathered for so long before clients are told.
+    /// Delay for which changes are batched before clients receive them.
     pub batch_delay: f64,
-    /// An update that is not acknowledged goes out again after this.
+    /// An update that is not acknowledged within this time is sent again.
     pub resend_after: f64,
-    /// Deletions are remembered for so long.
+    /// How long deletions are retained.
     pub deletion_retention: f64,
-    /// Two replicas that hold something else for so long are brought level by a snapshot.
+    /// A replica whose digest has differed from another one's for this long requests a snapshot from it.
     pub repair_after: f64,
-    /// Sessions at most.
+    /// Maximum number of sessions.
     pub max_sessions: usize,
-    /// Statements and deletions held at most.
+    /// Maximum number of statements and retained deletions.
     pub max_statements: usize,
-    /// Snapshots under way at once.
+    /// Maximum number of snapshots in progress.
     pub max_snapshots: usize,
-    /// Bytes of statements sent in a second at most.
+    /// Maximum rate at which bytes of statements are sent.
     pub max_bytes_per_second: f64,
-    /// Bytes of statements in one update to a front at most, and to another coordinator.
+    /// Maximum bytes of statements in one update to a front,
     pub update_bytes: usize,
-    /// See `update_bytes`.
+    /// and in one to another coordinator.
     pub replica_update_bytes: usize,
-    /// A client that is turned away is told to come back after between once and twice this.
+    /// A rejected client is asked to try again after between one and two times this.
     pub retry_after: f64,
 }
 
@@ -65,41 +65,42 @@
     }
 }
 
-/// What a coordinator tells its host.
+/// An event for the coordinator's host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CoordinatorEvent {
-    /// These clients stopped their heartbeats, found in one look.
+    /// These clients were found to have stopped their heartbeats, in one check.
     Suspected(Vec<NodeId>),
-    /// More than half of the clients are quiet (true): nobody is suspected, for the coordinator may be cut off itself.
+    /// Whether more than half of the clients are silent: then none is suspected, since the coordinator itself
+    /// may be cut off.
     Isolated(bool),
     /// Another version of the configuration is in force.
     InForce(ConfigurationVersion),
 }
 
-/// What has been counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Updates sent, and the bytes of statements in them.
     pub updates: u64,
     /// See `updates`.
     pub statement_bytes: u64,
-    /// Snapshots begun.
+    /// Snapshots started.
     pub snapshots: u64,
-    /// Clients that held just what a snapshot would have told.
+    /// Clients that already had the content of a snapshot.
     pub confirmed: u64,
-    /// Clients turned away for want of room.
+    /// Heartbeats rejected because a limit on sessions or snapshots was reached.
     pub turned_away: u64,
-    /// Updates sent again for want of an acknowledgement.
+    /// Updates sent again for lack of an acknowledgement.
     pub resent: u64,
-    /// Statements refused: not the client's own, unsound, or without room.
+    /// Statements rejected: not the client's own, invalid, or over the maximum number.
     pub refused: u64,
-    /// Looks at which clients were suspected.
+    /// Checks in which clients were suspected.
     pub suspicions: u64,
-    /// Snapshots asked of other replicas because they held something else.
+    /// Snapshots requested from other replicas because their digests differed.
     pub repairs: u64,
 }
 
-/// See the crate's documentation.
+/// A coordinator; see the crate's documentation.
 pub struct Coordinator {
     pub(crate) params: CoordinatorParams,
     own_id: NodeId,
@@ -111,10 +112,10 @@
     heartbeat_number: u64,
     next_heartbeat_at: f64,
     pub(crate) poll_at: f64,
-    /// Bytes that may be sent now, and when that was counted.
+    /// Bytes that may be sent now, and when that was last updated.
     pub(crate) send_budget: f64,
     pub(crate) budget_at: f64,
-    /// The client served last: the next poll goes on behind it.
+    /// The client served last: the next poll continues after it.
     pub(crate) last_served: Option<NodeId>,
     pub(crate) is_isolated: bool,
     reported_in_force: Option<ConfigurationVersion>,
@@ -125,7 +126,7 @@
 }
 
 impl Coordinator {
-    /// A coordinator that holds nothing yet; `peers` are the other ones.
+    /// Creates a coordinator with an empty store; `peers` are the other coordinators.
     pub fn new(
         params: CoordinatorParams,
         own_id: NodeId,
@@ -162,9 +163,9 @@
         coordinator
     }
 
-    // ---- an operator's words ----
+    // ---- operators' commands ----
 
-    /// Announces a configuration version, for all fronts.
+    /// Announces a configuration version for all fronts.
     pub fn announce(&mut self, now: f64, number: u64, digest: u64) -> Result<VersionId, OutdatedVersion> {
         let replaces = self.store.in_force().map(|version| version.id).unwrap_or_default();
         OutdatedVersion::check(number, replaces)?;
@@ -177,7 +178,7 @@
         Ok(id)
     }
 
-    /// Pins the level of reduced service for all fronts; none ends a pin.
+    /// Pins the level of reduced service for all fronts; none removes the pin.
     pub fn pin_level(&mut self, now: f64, level: Option<u8>) {
         let versions = self.store.live().filter_map(|(_, _, value)| match value {
             Value::Level(pin) => Some(pin.version),
@@ -193,9 +194,9 @@
         self.apply(now, Statement { owner: self.own_id, key, version, value: Some(value) }, Source::Direct);
     }
 
-    // ---- what is heard ----
+    // ---- received messages ----
 
-    /// A message of another node, told apart from a stranger by the codec.
+    /// Handles a message of another node; the codec has authenticated its sender.
     pub fn receive(&mut self, now: f64, from: NodeId, message: Message) {
         match message {
             Message::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, heartbeat),
@@ -203,7 +204,7 @@
                 self.handle_update(now, from, update);
             }
             Message::Update(_) => {}
-            // A coordinator asks its peers again with its next heartbeat.
+            // No retry is needed: the next heartbeat asks again.
             Message::Busy { .. } => {}
         }
     }
@@ -215,8 +216,8 @@
             follower.reset();
             return self.send_heartbeat(from, true);
         }
-        let in_order = follower.take(now, update);
-        let has_news = in_order.iter().any(|update| !update.statements.is_empty());
+        let in_order = follower.accept(now, update);
+        let has_changes = in_order.iter().any(|update| !update.statements.is_empty());
         for statement in in_order.into_iter().flat_map(|update| update.statements) {
             self.apply(now, statement, Source::Replica);
         }
@@ -225,7 +226,7 @@
         if follower.has_missed_changes(now, is_equal, self.params.repair_after) {
             self.counts.repairs += 1;
             follower.reset();
-        } else if has_news {
+        } else if has_changes {
             self.send_heartbeat(from, false);
         }
     }
@@ -251,24 +252,25 @@
         self.schedule_poll(now);
     }
 
-    /// Sees to it that a client has a session, if there is room.
+    /// Ensures that a client has a session; returns false if it can't get one.
     fn ensure_session(&mut self, now: f64, from: NodeId, heartbeat: &Heartbeat) -> bool {
-        let held = self.sessions.get(&from).map(|session| session.incarnation);
-        if held.is_some_and(|held| held >= heartbeat.incarnation) {
+        let current = self.sessions.get(&from).map(|session| session.incarnation);
+        if current.is_some_and(|current| current >= heartbeat.incarnation) {
             return true;
         }
         let is_peer = self.followed.contains_key(&from);
-        if held.is_none() && !is_peer && self.sessions.len() >= self.params.max_sessions {
+        if current.is_none() && !is_peer && self.sessions.len() >= self.params.max_sessions {
             self.reject_as_busy(from);
             return false;
         }
-        // A message of a process that has ended, come late, opens no session.
+        // A late message of a process that has ended opens no session.
         if self.store.member_version(from).is_some_and(|known| known.incarnation > heartbeat.incarnation) {
             return false;
         }
         let mut session = Session::new(now, heartbeat.incarnation, heartbeat.number);
         if is_peer {
-            // A coordinator is told all, whether it has heard that its last session was over or not.
+            // A coordinator receives everything, without sending a subscription: it may not know that its
+            // last session has ended.
             (session.filter, session.subscription_number) = (Filter::Everything, REPLICA_SUBSCRIPTION);
         }
         self.sessions.insert(from, session);
@@ -290,7 +292,7 @@
         });
         match cursor {
             Some(cursor) => session.acknowledge(cursor.revision),
-            // It lost its entry_key, or never had one; a snapshot that is under way goes on.
+            // It has lost its cursor, or never had one; a snapshot in progress continues.
             None if session.acknowledged.is_some() => session.reset(),
             None => {}
         }
@@ -307,11 +309,11 @@
                 self.counts.refused += 1;
             }
         }
-        let held = self.store.sequence_of(from, heartbeat.incarnation);
+        let stored = self.store.sequence_of(from, heartbeat.incarnation);
         let own = heartbeat.publish.iter().filter(|statement| statement.owner == from);
         let published = own.map(|statement| statement.version.sequence).max();
         if let Some(session) = self.sessions.get_mut(&from) {
-            session.published = published.unwrap_or(0).min(held).max(session.published);
+            session.published = published.unwrap_or(0).min(stored).max(session.published);
         }
     }
 
@@ -332,8 +334,9 @@
         }
     }
 
-    /// What another coordinator says of a client of this one: it heard a later heartbeat, and the session here is over;
-    /// or it suspects a client that is heard here, and is put right.
+    /// Handles another coordinator's statement about a client of this one. If that coordinator received a
+    /// later heartbeat, the session here ends; if it suspects a client that is alive here, the statement is
+    /// corrected.
     fn handle_member_change(&mut self, now: f64, member: NodeId, version: Version) {
         let Some(session) = self.sessions.get(&member) else { return };
         let (incarnation, heartbeat) = (session.incarnation, session.heartbeat_number);
@@ -376,7 +379,7 @@
 
     // ---- time ----
 
-    /// When [`Coordinator::poll`] is due.
+    /// When [`Coordinator::poll`] must be called.
     pub fn wake_at(&self) -> f64 {
         self.poll_at
     }
@@ -385,7 +388,7 @@
         self.poll_at = self.poll_at.min(now + self.params.batch_delay);
     }
 
-    /// Deals with what is due.
+    /// Handles expired timers and serves clients.
     pub fn poll(&mut self, now: f64) {
         self.poll_at = self.next_heartbeat_at.max(now);
         if now >= self.next_heartbeat_at {
@@ -401,26 +404,26 @@
         self.serve_clients(now);
     }
 
-    /// Suspects clients whose heartbeats stopped. Guards many against the coordinator's own isolation: where more than
-    /// half are quiet it is more likely cut off itself.
+    /// Suspects clients whose heartbeats stopped. If more than half are silent, it is more likely that the
+    /// coordinator itself is cut off, and it suspects none.
     fn suspect(&mut self, now: f64) {
-        let is_quiet = |session: &Session| now - session.last_heartbeat_at >= self.params.suspect_after;
-        let quiet: Vec<NodeId> = self
+        let is_silent = |session: &Session| now - session.last_heartbeat_at >= self.params.suspect_after;
+        let silent: Vec<NodeId> = self
             .sessions
             .iter()
-            .filter(|(_, session)| is_quiet(session))
+            .filter(|(_, session)| is_silent(session))
             .map(|(client, _)| *client)
             .collect();
-        let is_isolated = self.sessions.len() > 1 && 2 * quiet.len() > self.sessions.len();
+        let is_isolated = self.sessions.len() > 1 && 2 * silent.len() > self.sessions.len();
         if is_isolated != std::mem::replace(&mut self.is_isolated, is_isolated) {
             self.events.push_back(CoordinatorEvent::Isolated(is_isolated));
         }
-        if is_isolated || quiet.is_empty() {
+        if is_isolated || silent.is_empty() {
             return;
         }
-        quiet.iter().for_each(|client| self.end_session(now, *client, MemberState::Suspected));
+        silent.iter().for_each(|client| self.end_session(now, *client, MemberState::Suspected));
         self.counts.suspicions += 1;
-        self.events.push_back(CoordinatorEvent::Suspected(quiet));
+        self.events.push_back(CoordinatorEvent::Suspected(silent));
     }
 
     fn send_heartbeat(&mut self, to: NodeId, wants_answer: bool) {
@@ -440,34 +443,34 @@
         self.outgoing.push_back(Outgoing { to, message: Message::Heartbeat(heartbeat) });
     }
 
-    // ---- what the host takes ----
+    // ---- output for the host ----
 
     /// The next message to send.
     pub fn next_outgoing(&mut self) -> Option<Outgoing> {
         self.outgoing.pop_front()
     }
 
-    /// The next thing worth logging.
+    /// The next event.
     pub fn next_event(&mut self) -> Option<CoordinatorEvent> {
         self.events.pop_front()
     }
 
-    /// What it holds.
+    /// Its store.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Its process.
+    /// Its own process.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// What has been counted since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Clients that have a session, other coordinators among them.
+    /// Number of clients with a session, including other coordinators.
     pub fn sessions(&self) -> usize {
         self.sessions.len()
     }
--- a/crates/coordinator/src/follower.rs
+++ b/crates/coordinator/src/follower.rs
@@ -1,20 +1,20 @@
-//! Follows one coordinator's revisions: puts updates in order and knows how far it has come.
+//! Follows the revisions of one coordinator: puts updates in order and maintains the cursor.
 
 use crate::message::{Continuity, Cursor, Update};
 use crate::statement::Incarnation;
 use std::collections::BTreeMap;
 
-/// Updates that may wait for one before them.
-const MAX_EARLY: usize = 16;
+/// Maximum number of out-of-order updates that are buffered.
+const MAX_OUT_OF_ORDER: usize = 16;
 
 #[derive(Default)]
 pub(crate) struct Follower {
     cursor: Option<Cursor>,
-    /// Updates that came before their turn, by the revision that they follow.
-    early: BTreeMap<u64, Update>,
-    /// When it was last level with the coordinator.
+    /// Updates received out of order, by the revision that they follow.
+    out_of_order: BTreeMap<u64, Update>,
+    /// When it last had all changes of the coordinator.
     pub synced_at: Option<f64>,
-    /// Since when that other replica holds something else than this one.
+    /// Since when the other replica's digest has differed from this one's.
     differs_since: Option<f64>,
 }
 
@@ -23,13 +23,13 @@
         self.cursor
     }
 
-    /// What was followed is of no use any more.
+    /// Discards the cursor and the buffered updates.
     pub fn reset(&mut self) {
         *self = Follower { synced_at: self.synced_at, ..Follower::default() };
     }
 
-    /// Compares digests with another replica; true where they have differed for so long that changes were missed, which
-    /// came to that replica from a third one.
+    /// Compares digests with another replica. Returns true if they have differed for so long that this
+    /// replica must have missed changes that the other one received from a third one.
     pub fn has_missed_changes(&mut self, now: f64, is_equal: bool, after: f64) -> bool {
         if is_equal {
             self.differs_since = None;
@@ -43,16 +43,16 @@
         has_missed_changes
     }
 
-    /// The updates that are to be applied now, in order: this one, those that it was waited for with, or none.
-    pub fn take(&mut self, now: f64, update: Update) -> Vec<Update> {
+    /// Returns the updates to apply now, in order: this one and the buffered ones that follow it, or none.
+    pub fn accept(&mut self, now: f64, update: Update) -> Vec<Update> {
         if !self.follows(&update) {
-            self.store_early(update);
+            self.buffer(update);
             return Vec::new();
         }
         let coordinator = update.coordinator;
         let mut in_order = vec![update];
         self.advance(&in_order[0], coordinator);
-        while let Some(next) = self.next_early() {
+        while let Some(next) = self.take_buffered() {
             self.advance(&next, coordinator);
             in_order.push(next);
         }
@@ -72,25 +72,25 @@
         }
     }
 
-    fn store_early(&mut self, update: Update) {
+    fn buffer(&mut self, update: Update) {
         let is_of_same_process = self.cursor.is_some_and(|c| c.coordinator == update.coordinator);
-        if is_of_same_process && self.early.len() < MAX_EARLY {
-            self.early.insert(update.from, update);
+        if is_of_same_process && self.out_of_order.len() < MAX_OUT_OF_ORDER {
+            self.out_of_order.insert(update.from, update);
         }
     }
 
     fn advance(&mut self, update: &Update, coordinator: Incarnation) {
         let is_delta = update.continuity == Continuity::Delta;
         if !is_delta {
-            self.early.clear();
+            self.out_of_order.clear();
         }
         let reached = self.cursor.filter(|_| is_delta).map_or(0, |cursor| cursor.revision);
         self.cursor = Some(Cursor { coordinator, revision: reached.max(update.to) });
     }
 
-    fn next_early(&mut self) -> Option<Update> {
+    fn take_buffered(&mut self) -> Option<Update> {
         let reached = self.cursor?.revision;
-        let from = *self.early.range(..=reached).next()?.0;
-        self.early.remove(&from)
+        let from = *self.out_of_order.range(..=reached).next()?.0;
+        self.out_of_order.remove(&from)
     }
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,17 +1,18 @@
 //! Dissemination of control state through a few coordinators, decided without I/O.
 //!
-//! A front is a [`Client`] of one coordinator at a time: it sends heartbeats with what it publishes, and receives
-//! changes of what it subscribes to. A [`Coordinator`] holds a [`Store`] of statements and the sessions of its clients;
-//! the other coordinators are clients of it that subscribe to everything, so that each becomes a replica of the others.
+//! A front is a [`Client`] of one coordinator at a time: it sends heartbeats with the statements that it
+//! publishes, and receives the changes that it subscribes to. A [`Coordinator`] has a [`Store`] of statements
+//! and a session with each client. The other coordinators are also its clients and subscribe to everything,
+//! so all coordinators are replicas of each other.
 //!
-//! Every statement has one writer, its owner, and a version that only its owner raises: of two statements under one
-//! key the higher version counts, so loss, doubling, reordering and any way round lead to the same store. Each store
-//! numbers its own changes (its *revision*); a client names the revision that it has reached, and gets what came later,
-//! or, where that can not be told any more, a snapshot. Nothing here needs agreement between coordinators, and a client
-//! that hears none of them goes on with its last state.
+//! Every statement has one writer, its owner, and a version that only the owner increases. Of two statements
+//! under one key the higher version wins, so lost, duplicated, reordered and rerouted messages lead to the
+//! same store. Each store numbers its own changes (its *revision*). A client sends the revision that it has
+//! reached and receives the later changes, or a snapshot if those are no longer available. Coordinators need
+//! no agreement among each other, and a client that reaches none of them continues with its last state.
 //!
-//! Times are f64 seconds on the host's clock. The same inputs give the same outputs; chance comes from the seed.
-//! docs/design-notes/coordinators.md has the ways weighed.
+//! Times are f64 seconds on the host's clock. The same inputs give the same outputs; random values come from
+//! the seed. docs/design-notes/coordinators.md compares the alternatives.
 
 mod client;
 mod configuration;
@@ -37,8 +38,8 @@
 /// A message for another node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// Who is to get it.
+    /// The receiver.
     pub to: NodeId,
-    /// What it is to get.
+    /// The message.
     pub message: Message,
 }
--- a/crates/coordinator/src/message.rs
+++ b/crates/coordinator/src/message.rs
@@ -4,16 +4,16 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Servers that one client may subscribe to.
+/// Maximum number of servers that one client may subscribe to.
 pub const MAX_SERVERS: usize = 256;
-/// Statements that one heartbeat may publish.
+/// Maximum number of statements that one heartbeat may publish.
 pub const MAX_PUBLISHED: usize = 16;
 
-/// What a front wants to be told: versions of the configuration, pins of levels, and the newest word on each of these
-/// servers. Coordinators are told everything.
+/// Which statements a front receives: configuration versions, level pins, and the newest statement about each
+/// of these servers. Coordinators subscribe to everything.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscription {
-    /// Addresses, [`MAX_SERVERS`] at most.
+    /// Addresses, at most [`MAX_SERVERS`].
     pub servers: Vec<SocketAddr>,
 }
 
@@ -23,84 +23,85 @@
     }
 }
 
-/// How far a client has followed a coordinator.
+/// Position of a client in the changes of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The coordinator's process; revisions of another one say nothing of this one's.
+    /// Process of the coordinator; revisions are only comparable within one process.
     pub coordinator: Incarnation,
-    /// All of its changes up to this revision have been taken.
+    /// All changes up to this revision have been applied.
     pub revision: u64,
 }
 
-/// From a client: it is there, has come so far, and publishes.
+/// Message of a client: a sign of life, its cursor, and the statements that it publishes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The client's process.
+    /// Process of the client.
     pub incarnation: Incarnation,
     /// Counts the heartbeats of that process.
     pub number: u64,
-    /// None: it has not followed this coordinator yet.
+    /// None if it has not followed this coordinator yet.
     pub cursor: Option<Cursor>,
-    /// Of what it holds; none where it has a cursor. A coordinator that would tell it the same tells it only that.
+    /// Digest of the statements that the client has; none where it has a cursor. If the coordinator's
+    /// snapshot has the same digest, it confirms this instead of sending the snapshot.
     pub digest: Option<u64>,
     /// Counts the changes of the subscription.
     pub subscription_number: u64,
-    /// Left out once the coordinator has said that it holds that number.
+    /// Omitted once the coordinator has acknowledged `subscription_number`.
     pub subscription: Option<Subscription>,
-    /// Own statements that the coordinator has not said to hold yet, oldest first.
+    /// Own statements that the coordinator has not acknowledged yet, oldest first.
     pub publish: Vec<Statement>,
-    /// It wants an answer though there may be no news.
+    /// The client wants an answer even if there are no changes.
     pub wants_answer: bool,
-    /// It departs in order.
+    /// The client shuts down in an orderly way.
     pub is_leaving: bool,
 }
 
-/// How an update follows what its client holds.
+/// How an update relates to what its client already has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Continuity {
     /// Changes after the client's cursor.
     Delta,
-    /// The first changes of a snapshot: what the client holds and the snapshot does not name is gone.
+    /// The first changes of a snapshot: the client removes what it has and the snapshot does not contain.
     SnapshotBegins,
-    /// The client holds just what a snapshot would tell.
+    /// The client already has exactly the content of a snapshot.
     Confirmed,
 }
 
-/// From a coordinator: changes, in the order of its revisions.
+/// Message of a coordinator: changes, in the order of its revisions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The coordinator's process.
+    /// Process of the coordinator.
     pub coordinator: Incarnation,
-    /// The client's process: what was on its way to the one before says nothing to this one.
+    /// Process of the client: an update that was sent to its previous process is ignored by the next one.
     pub client: Incarnation,
-    /// The changes after this revision,
+    /// The update contains the changes after this revision,
     pub from: u64,
-    /// up to this one.
+    /// up to and including this one.
     pub to: u64,
-    /// The coordinator's own revision: there is more where it is higher than `to`.
+    /// Current revision of the coordinator: if it is higher than `to`, more changes follow.
     pub revision: u64,
-    /// How it follows what the client holds.
+    /// How the update relates to what the client has.
     pub continuity: Continuity,
-    /// Those that the client subscribes to.
+    /// The changed statements that the client subscribes to.
     pub statements: Vec<Statement>,
-    /// The highest sequence of the client's own statements that the coordinator holds.
+    /// The highest sequence of the client's own statements that the coordinator has stored.
     pub published: u64,
-    /// The number of the subscription that the coordinator holds.
+    /// The number of the client's subscription that the coordinator has.
     pub subscription_number: u64,
-    /// Equal at replicas that hold the same; none to a front.
+    /// Equal at replicas with equal content; none in an update to a front.
     pub replica_digest: Option<u64>,
 }
 
-/// What crosses between nodes.
+/// A message between two nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Client to coordinator.
     Heartbeat(Heartbeat),
     /// Coordinator to client.
     Update(Update),
-    /// Coordinator to client: it takes no further session, or starts no further snapshot, for so many seconds.
+    /// Coordinator to client: it accepts no further session, or starts no further snapshot, for now.
     Busy {
-        /// Seconds.
+        /// Seconds after which the client should try again.
         retry_after: f64,
     },
 }
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -1,4 +1,4 @@
-//! How a coordinator serves its clients: one update after the other, within what it may send.
+//! How a coordinator serves its clients: one update at a time, within its send budget.
 
 use crate::coordinator::Coordinator;
 use crate::message::{Continuity, Message, Update};
@@ -6,10 +6,11 @@
 use crate::store::Filter;
 use crate::Outgoing;
 
-/// Updates to one client that may be under way at once.
+/// Maximum number of updates in flight to one client.
 const MAX_IN_FLIGHT: usize = 8;
-/// A snapshot of which nothing has been sent for so many times `resend_after` holds up no other.
-const STALLED_AFTER_RESEND_TIMES: f64 = 4.0;
+/// A snapshot of which nothing was sent for this many times `resend_after` no longer counts against
+/// `max_snapshots`.
+const STALLED_AFTER_RESENDS: f64 = 4.0;
 
 impl Coordinator {
     pub(crate) fn refill_send_budget(&mut self, now: f64) {
@@ -19,11 +20,12 @@
         self.budget_at = now;
     }
 
-    /// Tells each client what is news to it, in turn, as far as the send_budget goes.
+    /// Sends each client its changes, in round-robin order, until the send budget is used up.
     pub(crate) fn serve_clients(&mut self, now: f64) {
         let mut clients: Vec<NodeId> = self.sessions.keys().copied().collect();
-        let served = self.last_served.map_or(0, |last| clients.partition_point(|client| *client <= last));
-        clients.rotate_left(served);
+        let already_served =
+            self.last_served.map_or(0, |last| clients.partition_point(|client| *client <= last));
+        clients.rotate_left(already_served);
         for client in clients {
             if self.send_budget < 0.0 {
                 self.schedule_poll(now);
@@ -34,9 +36,9 @@
         }
     }
 
-    /// Sends a client one update, if one is due; true where more may follow at once.
+    /// Sends a client one update, if there is one to send; returns true if another may follow at once.
     fn serve(&mut self, now: f64, client: NodeId) -> bool {
-        let stalled_after = STALLED_AFTER_RESEND_TIMES * self.params.resend_after;
+        let stalled_after = STALLED_AFTER_RESENDS * self.params.resend_after;
         let snapshots = self
             .sessions
             .values()
@@ -48,8 +50,8 @@
         self.counts.resent += (in_flight - session.in_flight) as u64;
         let begins = session.acknowledged.is_none() && session.sent_revision == 0;
         if begins && (session.subscription_number == 0 || session.digest.is_none()) {
-            // A client that only asks whether anybody is there, or took this process for the one before: it says what
-            // it wants and holds when it knows.
+            // The client only probes whether this coordinator is up, or its cursor is of this coordinator's
+            // previous process. It sends its subscription and its digest once it has this answer.
             if std::mem::take(&mut session.wants_answer) {
                 self.send_update(now, client, Continuity::Delta, 0, 0, Vec::new());
             }
@@ -67,14 +69,14 @@
             return false;
         }
         if begins && snapshots >= self.params.max_snapshots {
-            let asks = std::mem::take(&mut session.wants_answer);
-            if asks {
+            let wants_answer = std::mem::take(&mut session.wants_answer);
+            if wants_answer {
                 self.reject_as_busy(client);
             }
             return false;
         }
-        let has_news = session.scanned < self.store.revision() && session.in_flight < MAX_IN_FLIGHT;
-        if !has_news {
+        let has_changes = session.scanned < self.store.revision() && session.in_flight < MAX_IN_FLIGHT;
+        if !has_changes {
             if std::mem::take(&mut session.wants_answer) {
                 let (from, to) = (session.sent_revision, session.scanned);
                 self.send_update(now, client, Continuity::Delta, from, to, Vec::new());
@@ -114,7 +116,7 @@
         let Some(session) = self.sessions.get_mut(&client) else { return };
         let bytes: usize = statements.iter().map(Statement::size).sum();
         session.wants_answer = false;
-        // What carries no news is not waited for: what follows it begins where it began.
+        // An update without changes is not acknowledged, so the next update starts at the same revision.
         if !statements.is_empty() || continuity != Continuity::Delta {
             (session.sent_revision, session.scanned) = (to, session.scanned.max(to));
             (session.sent_at, session.in_flight) = (now, session.in_flight + 1);
--- a/crates/coordinator/src/statement.rs
+++ b/crates/coordinator/src/statement.rs
@@ -1,68 +1,68 @@
-//! What crosses between nodes: statements under keys, each with one owner and a version.
+//! Statements, which nodes exchange: each has a key, one owner and a version.
 
 use crate::configuration::{Acknowledgement, ConfigurationVersion};
 use serde::{Deserialize, Serialize};
 use shalespindle_membership::ReportedState;
 use std::net::SocketAddr;
 
-/// A front or a coordinator, by a name that outlives restarts.
+/// Identifies a front or a coordinator; it stays the same across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
-/// One run of a node's process. A later start has a higher `number`; `nonce` tells two processes apart that took the
-/// same one.
+/// One run of a node's process. A later start has a higher `number`; `nonce` distinguishes two processes that
+/// got the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Grows with each start.
+    /// Increases with each start.
     pub number: u64,
-    /// Drawn at the start.
+    /// Random, drawn at the start.
     pub nonce: u64,
 }
 
-/// How a member of the fleet stands.
+/// State of a member of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// Its heartbeats arrive.
     Alive,
     /// Its heartbeats have stopped.
     Suspected,
-    /// It departed in order.
+    /// It shut down in an orderly way.
     Left,
 }
 
 impl MemberState {
-    /// The number of the statement about a member that had sent so many heartbeats: of two coordinators that say
-    /// different things of one member, the one that heard the later heartbeat counts.
+    /// The sequence of a statement about a member after that many heartbeats: if two coordinators report
+    /// different states of one member, the one that received the later heartbeat prevails.
     pub(crate) fn sequence(self, heartbeat: u64) -> u64 {
         const STATES: u64 = 4;
         heartbeat.saturating_mul(STATES).saturating_add(self as u64)
     }
 }
 
-/// What a front's own list tells of a server.
+/// State of a server according to a front's own pool list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerState {
     /// Counts the starts of the server.
     pub incarnation: u64,
-    /// What was last told of that start.
+    /// The last reported state of that incarnation.
     pub state: ReportedState,
 }
 
-/// An operator's pin of the level of reduced service for all fronts.
+/// An operator's pin of the level of reduced service, for all fronts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LevelPin {
-    /// Grows with every pin; the highest counts, then the higher publisher.
+    /// Increases with every pin; the highest version prevails, then the higher publisher.
     pub version: u64,
-    /// None ends a pin.
+    /// None removes the pin.
     pub level: Option<u8>,
 }
 
-/// What a statement is about; one owner has at most one statement under a key.
+/// Subject of a statement; one owner has at most one statement under a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
-    /// How the owner stands; told by the coordinator that has its session.
+    /// The state of the owner; published by the coordinator that has its session.
     Member,
-    /// What the owner's list tells of the server at that address.
+    /// What the owner's list reports about the server at that address.
     Server(SocketAddr),
     /// The owner's pin of a level.
     Level,
@@ -73,18 +73,19 @@
 }
 
 impl Key {
-    /// Whether a statement outlives the process that made it: an operator's words do.
+    /// Whether a statement stays valid when the process that made it has ended: operators' statements do.
     pub(crate) fn outlives_process(self) -> bool {
         self == Key::Member || self.is_from_operator()
     }
 
-    /// An operator's word. It is never deleted, only followed by a later one, and whoever holds it may pass it on.
+    /// An operator's statement. It is never deleted, only superseded by a later one, and any node that has it
+    /// may republish it.
     pub(crate) fn is_from_operator(self) -> bool {
         matches!(self, Key::Level | Key::Configuration)
     }
 }
 
-/// The content of a statement; its kind is that of the key.
+/// Content of a statement; its kind must match the key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Value {
     /// Under [`Key::Member`].
@@ -100,7 +101,7 @@
 }
 
 impl Value {
-    /// The rank of an operator's word; none for all else.
+    /// The rank of an operator's statement; none for all other statements.
     pub(crate) fn operator_rank(&self, owner: NodeId) -> Option<OperatorRank> {
         match self {
             Value::Level(pin) => Some((pin.version, owner)),
@@ -121,33 +122,33 @@
     }
 }
 
-/// Which of two operators' words of one kind counts: the higher number, then the higher publisher.
+/// Which of two operators' statements of one kind prevails: the higher number, then the higher publisher.
 pub(crate) type OperatorRank = (u64, NodeId);
 
 /// Which of two statements under one key is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Of the owner's process.
+    /// Process of the owner.
     pub incarnation: Incarnation,
-    /// Grows with each statement of that process.
+    /// Increases with each statement of that process.
     pub sequence: u64,
 }
 
 /// One statement, or the deletion of one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Statement {
-    /// Who made it.
+    /// The node that the statement belongs to.
     pub owner: NodeId,
-    /// What it is about.
+    /// Subject.
     pub key: Key,
-    /// Raised by the owner alone.
+    /// Increased only by the owner.
     pub version: Version,
-    /// None: deleted.
+    /// None: the statement is deleted.
     pub value: Option<Value>,
 }
 
 impl Statement {
-    /// Its value is of its key's kind.
+    /// Whether the value is of the key's kind and within its bounds.
     pub(crate) fn is_valid(&self) -> bool {
         let Some(value) = &self.value else { return !self.key.is_from_operator() };
         match value {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Bytes that it takes in a message, about and not less.
+    /// Approximate size in a message, bytes; never less than the actual size.
     pub(crate) fn size(&self) -> usize {
         const FIXED: usize = 64;
         let text = match &self.value {
--- a/crates/coordinator/src/status.rs
+++ b/crates/coordinator/src/status.rs
@@ -1,45 +1,45 @@
-//! How a coordinator stands, for an operator.
+//! Status of a coordinator, for operators.
 
 use crate::configuration::{Acknowledgement, ConfigurationVersion, VersionId};
 use crate::coordinator::{Coordinator, Counts};
 use crate::statement::{Key, MemberState, NodeId, Value};
 
-/// How far a front has followed the configuration.
+/// The configuration version that a front uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FrontProgress {
     /// The front.
     pub front: NodeId,
-    /// The version that it acts on.
+    /// The version that it uses.
     pub acts_on: VersionId,
     /// Why it refused a newer one.
     pub refused: Option<String>,
 }
 
-/// What a coordinator knows, and how it stands with the others.
+/// State of a coordinator and of its connections to the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinatorStatus {
-    /// Clients with a session here, other coordinators among them.
+    /// Clients with a session here, including other coordinators.
     pub sessions: usize,
-    /// Statements and remembered deletions held.
+    /// Statements and retained deletions in the store.
     pub statements: usize,
-    /// More than half of its clients are quiet: it suspects nobody.
+    /// More than half of its clients are silent, so it suspects none of them.
     pub is_isolated: bool,
     /// Members by state: alive, suspected, left.
     pub members: [usize; 3],
     /// The configuration version in force.
     pub in_force: Option<ConfigurationVersion>,
-    /// Fronts that have not said to act on it.
+    /// Fronts that have acknowledged another version than the one in force.
     pub behind: Vec<FrontProgress>,
-    /// Versions that were announced elsewhere without knowledge of the one in force, and lost to it.
+    /// Versions that were announced without knowledge of the one in force, and were overruled by it.
     pub conflicting: Vec<ConfigurationVersion>,
-    /// Other coordinators that it has never been level with, or not for so long that it suspects them.
+    /// Other coordinators with which it was never synchronized, or last so long ago that it suspects them.
     pub unreachable: Vec<NodeId>,
     /// See [`Counts`].
     pub counts: Counts,
 }
 
 impl Coordinator {
-    /// How it stands.
+    /// Current status.
     pub fn status(&self, now: f64) -> CoordinatorStatus {
         let in_force = self.store.in_force();
         let count = |wanted: MemberState| {
--- a/crates/coordinator/src/store.rs
+++ b/crates/coordinator/src/store.rs
@@ -1,4 +1,4 @@
-//! The statements that a coordinator holds, numbered by its own revisions.
+//! The statements of a coordinator, numbered by its own revisions.
 
 use crate::configuration::{is_conflicting, ConfigurationVersion};
 use crate::statement::{
@@ -8,37 +8,37 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// Statements looked at for one page of changes at most.
+/// Maximum number of statements examined for one page of changes.
 const MAX_SCANNED: usize = 4096;
 
-/// What became of a statement.
+/// Result of applying a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is newer than what was held, and is held now.
+    /// It was newer than the stored one and has replaced it.
     Newer,
-    /// The same or a newer one was held.
+    /// The same or a newer one was already stored.
     Known,
-    /// There is no room for another statement.
+    /// The store has reached its maximum number of statements.
     Full,
-    /// Its value does not fit its key.
+    /// Its value doesn't match its key.
     Invalid,
 }
 
-/// Which statements a client is told.
+/// Which statements a client receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Filter {
-    /// For a replica that begins: all that it needs, wherever it came from.
+    /// For a replica that receives a snapshot: all that a replica needs, from whatever source.
     Everything,
-    /// For a replica that has begun: what came from here.
+    /// For a replica that receives deltas: statements that reached this coordinator directly.
     Direct,
     /// For a front.
     Servers(BTreeSet<SocketAddr>),
 }
 
-/// Changes after some revision, as many as have room.
+/// Changes after a revision, as many as fit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Page {
-    /// All changes up to this revision have been looked at.
+    /// All changes up to this revision have been examined.
     pub to: u64,
     pub statements: Vec<Statement>,
 }
@@ -51,42 +51,42 @@
     source: Source,
 }
 
-/// From whom a statement came.
+/// From whom a statement was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// A client's session here, or this coordinator itself: other replicas have it from here.
+    /// A client with a session here, or this coordinator itself: other replicas receive it from this one.
     Direct,
     /// Another replica.
     Replica,
 }
 
-/// Statements by owner and key. Deletions are held for a time, so that no older statement comes back.
+/// Statements by owner and key. Deletions are retained for a time, so that no older statement comes back.
 pub struct Store {
     entries: BTreeMap<(NodeId, Key), Entry>,
     by_revision: BTreeMap<u64, (NodeId, Key)>,
     /// Owners of statements about a server.
     owners: BTreeMap<SocketAddr, BTreeSet<NodeId>>,
-    /// The owner of the newest statement about a server: the one that clients are told.
+    /// The owner of the newest statement about a server, which is the one that clients receive.
     leaders: BTreeMap<SocketAddr, NodeId>,
-    /// The owner of the newest operator's word of each kind: the one that clients are told.
-    newest_operator_statements: BTreeMap<Key, NodeId>,
+    /// The owner of the newest operator's statement of each kind, which is the one that clients receive.
+    newest_operator_owners: BTreeMap<Key, NodeId>,
     revision: u64,
-    /// The digest of a replica, and the revision that it is of.
+    /// The cached replica digest, and the revision for which it was computed (revision, digest).
     replica_digest: (u64, u64),
-    /// Deletions up to this revision may have been forgotten.
+    /// Deletions up to this revision may have been purged.
     floor: u64,
     max_statements: usize,
 }
 
 impl Store {
-    /// An empty store of at most so many statements.
+    /// An empty store for at most `max_statements` statements.
     pub fn new(max_statements: usize) -> Store {
         Store {
             entries: BTreeMap::new(),
             by_revision: BTreeMap::new(),
             owners: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            newest_operator_statements: BTreeMap::new(),
+            newest_operator_owners: BTreeMap::new(),
             revision: 0,
             replica_digest: (0, 0),
             floor: 0,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Counts the changes of this store.
+    /// Number of changes of this store.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -103,28 +103,28 @@
         self.floor
     }
 
-    /// Statements and remembered deletions held.
+    /// Number of statements and retained deletions.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether the store is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes a statement up where it is newer than what is held under its key.
+    /// Stores a statement if it is newer than the stored one under its key.
     pub fn apply(&mut self, now: f64, statement: Statement, source: Source) -> Applied {
         if !statement.is_valid() {
             return Applied::Invalid;
         }
         let (owner, key, version) = (statement.owner, statement.key, statement.version);
         let entry_key = (owner, key);
-        let held = self.entries.get(&entry_key);
+        let stored = self.entries.get(&entry_key);
         let is_known = match statement.value.as_ref().and_then(|value| value.operator_rank(owner)) {
-            // What an operator said counts by its number, whichever process of its publisher said it.
+            // An operator's statement is ranked by its number, whichever process of its publisher made it.
             Some(rank) => self.operator_rank(owner, key) >= Some(rank),
-            None => held.is_some_and(|entry| entry.version >= version),
+            None => stored.is_some_and(|entry| entry.version >= version),
         };
         if is_known || self.is_of_ended_process(owner, key, version) {
             if source == Source::Direct {
@@ -132,7 +132,7 @@
             }
             return Applied::Known;
         }
-        if held.is_none() && self.entries.len() >= self.max_statements {
+        if stored.is_none() && self.entries.len() >= self.max_statements {
             return Applied::Full;
         }
         self.put(now, entry_key, version, statement.value, source);
@@ -142,7 +142,8 @@
         Applied::Newer
     }
 
-    /// A client says here what it had said to another coordinator, which may have died before it told all replicas.
+    /// Marks a stored statement as received directly: its client repeats here what it had sent to another
+    /// coordinator, which may have failed before it had sent the statement to all replicas.
     fn adopt(&mut self, entry_key: (NodeId, Key), version: Version) {
         let Some(entry) = self.entries.get_mut(&entry_key) else { return };
         if entry.version == version && entry.source == Source::Replica {
@@ -151,13 +152,14 @@
         }
     }
 
-    /// Guards against words of a process that has ended, told on by somebody who has not heard of its successor.
+    /// Whether a statement is of a process that has ended: a node that does not know its successor yet may
+    /// still forward such a statement.
     fn is_of_ended_process(&self, owner: NodeId, key: Key, version: Version) -> bool {
         let current = self.entries.get(&(owner, Key::Member)).map(|entry| entry.version.incarnation);
         !key.outlives_process() && current.is_some_and(|current| version.incarnation < current)
     }
 
-    /// Deletes what processes of that owner before this one had said, operators' words apart.
+    /// Deletes the statements of the owner's earlier processes, except operators' statements.
     fn delete_statements_of_earlier_processes(&mut self, now: f64, owner: NodeId, incarnation: Incarnation) {
         let of_owner = self.entries.range((owner, Key::Member)..=(owner, Key::Acknowledgement));
         let ended: Vec<Key> = of_owner
@@ -167,7 +169,7 @@
             .map(|((_, key), _)| *key)
             .collect();
         for key in ended {
-            // Every replica does the same when it hears of the new process.
+            // Every replica does the same when it receives the statement about the new process.
             let version = Version { incarnation, sequence: 0 };
             self.put(now, (owner, key), version, None, Source::Replica);
         }
@@ -202,9 +204,9 @@
 
     fn choose_newest_operator_statement(&mut self, (owner, key): (NodeId, Key)) {
         let newest =
-            self.newest_operator_statements.get(&key).and_then(|newest| self.operator_rank(*newest, key));
+            self.newest_operator_owners.get(&key).and_then(|newest| self.operator_rank(*newest, key));
         if self.operator_rank(owner, key) >= newest {
-            self.newest_operator_statements.insert(key, owner);
+            self.newest_operator_owners.insert(key, owner);
         }
     }
 
@@ -215,8 +217,8 @@
         }
     }
 
-    /// Chooses whose statement about a server clients are told: the newest start's latest state. The one chosen
-    /// before stays while nobody's is newer.
+    /// Chooses whose statement about a server clients receive: the latest state of the latest incarnation.
+    /// The previous choice stays while no other owner's state is newer.
     fn choose_leader(&mut self, address: SocketAddr) {
         let owners = self.owners.get(&address).into_iter().flatten();
         let newest = owners.filter_map(|owner| Some((self.server_state(address, *owner)?, *owner))).max();
@@ -233,7 +235,7 @@
         self.assign_new_revision((owner, Key::Server(address)));
     }
 
-    /// Gives a statement a revision of now: clients are told it anew.
+    /// Gives a statement a new revision, so that clients receive it again.
     fn assign_new_revision(&mut self, entry_key: (NodeId, Key)) {
         let Some(entry) = self.entries.get_mut(&entry_key) else { return };
         if entry.revision == self.revision {
@@ -245,11 +247,15 @@
         self.by_revision.insert(self.revision, entry_key);
     }
 
-    /// Forgets deletions of before that time.
+    /// Removes deletions from before that time.
     pub fn purge_deletions(&mut self, before: f64) {
-        let old = |entry: &Entry| entry.value.is_none() && entry.changed_at < before;
-        let entry_keys: Vec<(NodeId, Key)> =
-            self.entries.iter().filter(|(_, entry)| old(entry)).map(|(entry_key, _)| *entry_key).collect();
+        let is_expired = |entry: &Entry| entry.value.is_none() && entry.changed_at < before;
+        let entry_keys: Vec<(NodeId, Key)> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| is_expired(entry))
+            .map(|(entry_key, _)| *entry_key)
+            .collect();
         for entry_key in entry_keys {
             let Some(entry) = self.entries.remove(&entry_key) else { continue };
             self.by_revision.remove(&entry.revision);
@@ -268,6 +274,7 @@
         }
     }
 
+    /// Whether a client with this filter receives the statement.
     fn passes(&self, filter: &Filter, entry_key: &(NodeId, Key), entry: &Entry) -> bool {
         match filter {
             Filter::Everything => self.is_needed_by_replicas(entry_key, entry),
@@ -276,7 +283,7 @@
         }
     }
 
-    /// Of what many fronts tell of one server a replica needs the newest alone.
+    /// Of several fronts' statements about one server, a replica needs only the newest.
     fn is_needed_by_replicas(&self, entry_key: &(NodeId, Key), entry: &Entry) -> bool {
         match entry_key.1 {
             Key::Server(address) => entry.value.is_none() || self.leaders.get(&address) == Some(&entry_key.0),
@@ -292,7 +299,7 @@
     ) -> bool {
         match entry_key.1 {
             Key::Level | Key::Configuration => {
-                self.newest_operator_statements.get(&entry_key.1) == Some(&entry_key.0)
+                self.newest_operator_owners.get(&entry_key.1) == Some(&entry_key.0)
             }
             Key::Member | Key::Acknowledgement => false,
             Key::Server(address) if servers.contains(&address) => match self.leaders.get(&address) {
@@ -303,19 +310,19 @@
         }
     }
 
-    /// Changes after a revision that pass the filter, so many bytes at most but one statement at least.
+    /// Changes after a revision that pass the filter: at most `bytes`, but at least one statement.
     pub(crate) fn changes_after(&self, revision: u64, filter: &Filter, bytes: usize) -> Page {
         let mut page = Page { to: revision, statements: Vec::new() };
-        let mut left = bytes;
+        let mut available = bytes;
         for (number, entry_key) in self.by_revision.range(revision + 1..).take(MAX_SCANNED) {
             let entry = &self.entries[entry_key];
             if self.passes(filter, entry_key, entry) {
                 let statement = statement(entry_key, entry);
                 let size = statement.size();
-                if size > left && !page.statements.is_empty() {
+                if size > available && !page.statements.is_empty() {
                     return page;
                 }
-                left = left.saturating_sub(size);
+                available = available.saturating_sub(size);
                 page.statements.push(statement);
             }
             page.to = *number;
@@ -326,15 +333,16 @@
         page
     }
 
-    /// A hash over the live statements that pass the filter, whatever their order.
+    /// An order-independent hash over the live statements that pass the filter.
     pub(crate) fn digest(&self, filter: &Filter) -> u64 {
         let live = self.entries.iter().filter(|(_, entry)| entry.value.is_some());
         let passing = live.filter(|(entry_key, entry)| self.passes(filter, entry_key, entry));
         passing.fold(0, |digest, (entry_key, entry)| digest ^ fingerprint(&statement(entry_key, entry)))
     }
 
-    /// Equal at replicas that hold the same, whatever words on servers they hold beside the newest. Acknowledgements are
-    /// left out: they change so often that replicas would seldom be equal, and their fronts say them again.
+    /// Equal at replicas with equal content, whichever older statements about servers they have besides the
+    /// newest ones. Acknowledgements are left out: they change so often that the digests would rarely be
+    /// equal, and fronts repeat them.
     pub(crate) fn replica_digest(&mut self) -> u64 {
         let (revision, digest) = self.replica_digest;
         if revision == self.revision {
@@ -363,7 +371,7 @@
         self.entries.iter().filter_map(|((owner, key), entry)| Some((*owner, *key, entry.value.as_ref()?)))
     }
 
-    /// The highest sequence of an owner's process that is held, of its own statements.
+    /// The highest sequence stored among the own statements of an owner's process.
     pub(crate) fn sequence_of(&self, owner: NodeId, incarnation: Incarnation) -> u64 {
         let own = self.entries.range((owner, Key::Member)..=(owner, Key::Acknowledgement));
         let numbered =
@@ -376,12 +384,12 @@
         self.entries.get(&(owner, key)).map(|entry| entry.version.incarnation)
     }
 
-    /// The process and the number under which a member was last told of.
+    /// The process and the sequence of the last statement about a member.
     pub(crate) fn member_version(&self, member: NodeId) -> Option<Version> {
         self.entries.get(&(member, Key::Member)).map(|entry| entry.version)
     }
 
-    /// How a member stands.
+    /// The state of a member.
     pub fn member(&self, member: NodeId) -> Option<MemberState> {
         match self.value(member, Key::Member)? {
             Value::Member(state) => Some(*state),
@@ -396,12 +404,12 @@
         })
     }
 
-    /// The configuration version in force: the highest that anybody announced.
+    /// The configuration version in force: the highest one announced anywhere.
     pub fn in_force(&self) -> Option<ConfigurationVersion> {
         self.configurations().max_by_key(|version| version.id).copied()
     }
 
-    /// Versions that were announced by publishers that did not know of the one in force, and lost to it.
+    /// Versions whose publishers did not know of the one in force, and which were overruled by it.
     pub fn conflicting_versions(&self) -> Vec<ConfigurationVersion> {
         let Some(in_force) = self.in_force() else { return Vec::new() };
         self.configurations().filter(|version| is_conflicting(version, &in_force)).copied().collect()
@@ -412,7 +420,7 @@
     Statement { owner: entry_key.0, key: entry_key.1, version: entry.version, value: entry.value.clone() }
 }
 
-/// A hash of a statement that does not depend on the process.
+/// A hash of a statement that is the same in every process.
 pub(crate) fn fingerprint(statement: &Statement) -> u64 {
     hash_of(statement)
 }
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Coordinators and clients under a fake clock, with a network that a test can cut: nothing else.
+//! Test harness: coordinators and clients under a fake clock, connected by a network that a test can partition.
 
-// Each test program uses a part of it.
+// Each test program uses only some of the items.
 #![allow(dead_code)]
 
 use shalespindle_coordinator::{
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A message's way, seconds.
+/// Delivery time of a message, seconds.
 pub const DELAY: f64 = 0.02;
 
 pub fn server(n: u8) -> SocketAddr {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Coordinators have the first names, clients those from 100 on.
+/// Coordinators have the ids from 0 on, clients those from 100 on.
 pub const FIRST_CLIENT: u64 = 100;
 
 #[derive(Default)]
@@ -65,22 +65,24 @@
     pub clients: BTreeMap<NodeId, Client>,
     pub client_events: Vec<(NodeId, ClientEvent)>,
     pub coordinator_events: Vec<(NodeId, CoordinatorEvent)>,
-    /// Nodes that nobody hears and that hear nobody.
+    /// Nodes that neither send nor receive.
     pub cut_off: BTreeSet<NodeId>,
-    /// Every message: when it was sent, from, to.
+    /// Every message sent: time, sender, receiver, message.
     pub log: Vec<(f64, NodeId, NodeId, Message)>,
+    /// Messages not delivered yet: time of delivery, sender, receiver, message.
     in_transit: Vec<(f64, NodeId, NodeId, Message)>,
+    /// Processes started so far.
     starts: u64,
     peers: Vec<NodeId>,
     pub params: CoordinatorParams,
-    /// Clients whose hosts refuse every version, and why.
+    /// Clients whose hosts refuse every version, with the reason.
     pub refusing: BTreeMap<NodeId, String>,
-    /// What coordinators and clients made known.
+    /// The events of coordinators and clients.
     pub timeline: Timeline,
 }
 
 impl World {
-    /// So many coordinators that know each other, and so many clients of all of them.
+    /// A number of coordinators that are each other's peers, and of clients of all of them.
     pub fn new(coordinators: u64, clients: u64) -> World {
         World::with(CoordinatorParams::default(), coordinators, clients)
     }
@@ -97,7 +99,7 @@
         world
     }
 
-    /// With version 1 in force everywhere.
+    /// A world in which version 1 is in force everywhere.
     pub fn with_version_1(coordinators: u64, clients: u64) -> World {
         let mut world = World::new(coordinators, clients);
         let now = world.now;
@@ -142,14 +144,14 @@
         }
     }
 
-    /// One look at the clock.
+    /// Advances the clock by one step: delivers messages, polls nodes and sends their messages.
     pub fn step(&mut self) {
         const STEP: f64 = 0.01;
         self.now += STEP;
         let now = self.now;
-        let (arrived, rest) =
+        let (arrived, pending) =
             std::mem::take(&mut self.in_transit).into_iter().partition(|(at, ..)| *at <= now);
-        self.in_transit = rest;
+        self.in_transit = pending;
         let arrived: Vec<(f64, NodeId, NodeId, Message)> = arrived;
         for (_, from, to, message) in arrived {
             if let Some(coordinator) = self.coordinators.get_mut(&to) {
@@ -180,8 +182,8 @@
                         None => client.accept_version(now),
                     }
                 }
-                let entry_key = self.peers.len() + (name.0 - FIRST_CLIENT) as usize;
-                self.timeline.add(now, entry_key, describe_client_event(&event));
+                let column = self.peers.len() + (name.0 - FIRST_CLIENT) as usize;
+                self.timeline.add(now, column, describe_client_event(&event));
                 self.client_events.push((*name, event));
             }
             sent.extend(std::iter::from_fn(|| client.next_outgoing()).map(|out| (*name, out)));
@@ -196,17 +198,22 @@
         }
     }
 
-    /// Steps until it holds: seconds. Fails past `most`.
-    pub fn wait_until(&mut self, what: &str, most: f64, mut holds: impl FnMut(&mut World) -> bool) -> f64 {
+    /// Advances the clock until the condition holds and returns the seconds that took. Panics after `max_seconds`.
+    pub fn wait_until(
+        &mut self,
+        what: &str,
+        max_seconds: f64,
+        mut holds: impl FnMut(&mut World) -> bool,
+    ) -> f64 {
         let begin = self.now;
         while !holds(self) {
-            assert!(self.now - begin < most, "{what} did not come within {most} s");
+            assert!(self.now - begin < max_seconds, "{what} did not happen within {max_seconds} s");
             self.step();
         }
         self.now - begin
     }
 
-    /// Every client acts on that version number.
+    /// Whether every client uses that version.
     pub fn all_act_on(&self, number: u64) -> bool {
         self.clients.values().all(|client| client.status(self.now).acts_on.number == number)
     }
--- a/crates/coordinator/tests/dissemination.rs
+++ b/crates/coordinator/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! What is said at one entry_key is known at all others, and nothing else is told.
+//! A statement published at one node reaches every node that needs it, and no others.
 
 mod common;
 
@@ -23,7 +23,7 @@
         assert_eq!(status.members, [9, 0, 0], "three coordinators and six clients");
         assert_eq!(status.unreachable, []);
     }
-    // A number that is not higher is refused with the least that would be taken.
+    // A number that is not higher is refused, and the error has the lowest number that would be accepted.
     let now = world.now;
     let refused = world.client(4).announce(now, 8, 81).unwrap_err();
     assert_eq!((refused.in_force, refused.next), (8, 9));
@@ -37,13 +37,13 @@
     let now = world.now;
     world.coordinator(1).announce(now, 2, 20).unwrap();
     world.advance(2.0);
-    assert_eq!(world.client(0).status(now).acts_on.number, 1, "it goes on with the one before");
+    assert_eq!(world.client(0).status(now).acts_on.number, 1, "it continues to use the previous one");
     assert_eq!(world.client(1).status(now).acts_on.number, 2);
     for coordinator in world.coordinators.values() {
         let behind = coordinator.status(world.now).behind;
         assert_eq!(behind.len(), 1, "{behind:?}");
         assert_eq!((behind[0].front, behind[0].acts_on.number), (front, 1));
-        // Cut to 200 bytes, between two characters.
+        // Truncated to 200 bytes at a character boundary.
         assert_eq!(behind[0].refused.as_deref(), Some(&*format!("{}x", "x\u{e9}".repeat(66))));
     }
     world.refusing.clear();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_front_is_told_the_newest_word_on_its_servers_and_of_no_others() {
+fn a_front_receives_the_newest_state_of_subscribed_servers_and_of_no_others() {
     let mut world = World::new(3, 4);
     world.wait_until("all connected", 3.0, |world| world.all_connected());
     let now = world.now;
@@ -64,32 +64,32 @@
         world.client(n).report_server(now, server(9), Some(state(1, ReportedState::Ready)));
     }
     world.client(1).report_server(now, server(0), Some(state(5, ReportedState::Draining)));
-    world.wait_until("all know of the drain", 2.0, |world| {
+    world.wait_until("drain known to all", 2.0, |world| {
         world
             .clients
             .values()
             .all(|client| client.server(server(0)) == Some(state(5, ReportedState::Draining)))
     });
-    // One start on: whoever tells of it first counts.
+    // After the next start the first report of it counts, whichever front sends it.
     let now = world.now;
     world.client(3).report_server(now, server(0), Some(state(6, ReportedState::Ready)));
-    world.wait_until("all know of the start", 2.0, |world| {
+    world.wait_until("start known to all", 2.0, |world| {
         world.clients.values().all(|client| client.server(server(0)) == Some(state(6, ReportedState::Ready)))
     });
-    let told_of = |world: &World, address| {
-        let is_of = |(_, event): &&(NodeId, ClientEvent)| matches!(event, ClientEvent::Server(told, _) if *told == address);
+    let events_about = |world: &World, address| {
+        let is_of = |(_, event): &&(NodeId, ClientEvent)| matches!(event, ClientEvent::Server(changed, _) if *changed == address);
         world.client_events.iter().filter(is_of).count()
     };
-    assert_eq!(told_of(&world, server(9)), 0, "nobody subscribes to it");
+    assert_eq!(events_about(&world, server(9)), 0, "nobody subscribes to it");
     assert!(
-        told_of(&world, server(0)) <= 4 * 4,
-        "each change once, whoever says it: {}",
-        told_of(&world, server(0))
+        events_about(&world, server(0)) <= 4 * 4,
+        "each change is received once, whichever fronts report it: {}",
+        events_about(&world, server(0))
     );
 }
 
 #[test]
-fn a_word_taken_back_by_all_is_told_as_gone_and_a_process_that_ended_takes_its_words_along() {
+fn a_withdrawn_report_is_removed_and_a_restart_removes_the_reports_of_the_earlier_process() {
     let mut world = World::new(3, 3);
     world.wait_until("all connected", 3.0, |world| world.all_connected());
     let now = world.now;
@@ -97,33 +97,35 @@
     world.client(1).report_server(now, server(0), Some(state(4, ReportedState::Ready)));
     let knows =
         |world: &World, n: u64, wanted| world.clients[&NodeId(FIRST_CLIENT + n)].server(server(0)) == wanted;
-    world.wait_until("the drain", 2.0, |world| knows(world, 2, Some(state(5, ReportedState::Draining))));
-    // A new process of that front's name says nothing of the server: what the other one says counts.
+    world.wait_until("drain", 2.0, |world| knows(world, 2, Some(state(5, ReportedState::Draining))));
+    // The front's new process reports nothing about the server: the other front's report counts.
     world.start_client(0);
-    world.wait_until("the other's word", 4.0, |world| knows(world, 2, Some(state(4, ReportedState::Ready))));
+    world.wait_until("the other front's report", 4.0, |world| {
+        knows(world, 2, Some(state(4, ReportedState::Ready)))
+    });
     let now = world.now;
     world.client(1).report_server(now, server(0), None);
-    world.wait_until("nothing any more", 2.0, |world| knows(world, 2, None));
+    world.wait_until("removal", 2.0, |world| knows(world, 2, None));
     assert!(world.client_events.contains(&(NodeId(FIRST_CLIENT + 2), ClientEvent::Server(server(0), None))));
 }
 
 #[test]
-fn a_pin_of_a_level_reaches_all_and_the_newest_counts() {
+fn a_level_pin_reaches_all_fronts_and_the_newest_counts() {
     let mut world = World::new(3, 3);
     world.wait_until("all connected", 3.0, |world| world.all_connected());
     for (coordinator, level) in [(0, Some(3)), (1, Some(2)), (2, None)] {
         let now = world.now;
         world.coordinator(coordinator).pin_level(now, level);
         let begin = world.client_events.len();
-        world.wait_until("the pin at all", 2.0, |world| {
-            let told = world.client_events[begin..].iter();
-            told.filter(|(_, event)| *event == ClientEvent::Level(level)).count() == 3
+        world.wait_until("pin known to all", 2.0, |world| {
+            let events = world.client_events[begin..].iter();
+            events.filter(|(_, event)| *event == ClientEvent::Level(level)).count() == 3
         });
     }
 }
 
 #[test]
-fn an_idle_client_sends_heartbeats_alone_and_is_told_nothing_twice() {
+fn an_idle_client_sends_only_heartbeats_and_receives_nothing_twice() {
     let mut world = World::new(3, 1);
     let now = world.now;
     world.coordinator(0).announce(now, 1, 10).unwrap();
@@ -144,7 +146,7 @@
                 assert_eq!(update.statements, []);
                 answers += 1;
             }
-            Message::Busy { .. } => panic!("turned away"),
+            Message::Busy { .. } => panic!("rejected as busy"),
         }
     }
     assert!((9..=11).contains(&heartbeats) && (9..=11).contains(&answers), "{heartbeats} and {answers}");
--- a/crates/coordinator/tests/failures.rs
+++ b/crates/coordinator/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Coordinators and clients that fail, are cut off, restart, or do too much.
+//! Coordinators and clients that fail, are cut off, restart, or exceed their limits.
 
 mod common;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn clients_of_a_dead_coordinator_go_on_with_another_and_nobody_suspects_them() {
+fn clients_of_a_failed_coordinator_fail_over_and_are_not_suspected() {
     let mut world = World::with_version_1(3, 12);
     world.coordinators.remove(&NodeId(1));
     world.advance(4.0);
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn what_a_coordinator_told_to_some_before_it_died_comes_to_all() {
+fn statements_that_a_failed_coordinator_had_sent_to_some_replicas_reach_all() {
     let mut world = World::with_version_1(3, 9);
     let now = world.now;
-    // The third replica misses what the first two hear; then the first one dies.
+    // The third replica misses the statements that the first two receive; then the first one fails.
     world.cut_off.insert(NodeId(2));
     for client in 0..9 {
         world.client(client).report_server(now, server(0), Some(state(5, ReportedState::Ready)));
@@ -45,17 +45,17 @@
     let status = |n| world.coordinators[&NodeId(n)].status(world.now);
     assert_eq!(status(1).members, status(2).members);
     for client in 0..9 {
-        let said = |n| {
+        let acknowledgement = |n| {
             world.coordinators[&NodeId(n)].store().value(client_id(client), Key::Acknowledgement).cloned()
         };
-        assert_eq!(said(1), said(2), "client {client}");
+        assert_eq!(acknowledgement(1), acknowledgement(2), "client {client}");
     }
 }
 
-/// Found by the simulated fleet: an update on its way to a front's process reached the next one, which took the number
-/// of published statements in it for its own and kept what it had to say to itself.
+/// Guards against a fault that the simulated fleet showed: an update in flight to a front's process reached the
+/// next process, which took the acknowledged sequence in it for its own and did not publish its statements.
 #[test]
-fn an_update_for_a_clients_process_of_before_says_nothing_to_its_next_one() {
+fn an_update_sent_to_a_clients_earlier_process_is_ignored_by_the_next_one() {
     let mut world = World::with_version_1(1, 1);
     let now = world.now;
     (0..20).for_each(|n| world.client(0).report_server(now, server(n), Some(state(1, ReportedState::Ready))));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn without_any_coordinator_clients_keep_what_they_hold_and_say_how_old_it_is() {
+fn without_any_coordinator_clients_keep_their_state_and_report_its_age() {
     let mut world = World::with_version_1(3, 4);
     let now = world.now;
     world.client(0).report_server(now, server(0), Some(state(5, ReportedState::Draining)));
@@ -86,11 +86,11 @@
         assert_eq!(client.server(server(0)), Some(state(5, ReportedState::Draining)));
     }
     let lost = |(_, event): &&(NodeId, ClientEvent)| *event == ClientEvent::Connected(false);
-    assert_eq!(world.client_events.iter().filter(lost).count(), 4, "each told once");
+    assert_eq!(world.client_events.iter().filter(lost).count(), 4, "each is informed once");
 }
 
 #[test]
-fn coordinators_that_come_back_with_nothing_are_given_operators_words_back() {
+fn coordinators_that_restart_empty_receive_operators_statements_back_from_clients() {
     let mut world = World::with_version_1(3, 6);
     let now = world.now;
     world.coordinator(2).pin_level(now, Some(2));
@@ -98,10 +98,10 @@
     (0..3).for_each(|n| world.start_coordinator(n));
     world.advance(1.0);
     world.start_client(6);
-    world.wait_until("the newcomer acts on version 1", 7.0, |world| world.all_act_on(1));
+    world.wait_until("the new client uses version 1", 7.0, |world| world.all_act_on(1));
     world.advance(3.0);
     let pinned = (client_id(6), ClientEvent::Level(Some(2)));
-    assert!(world.client_events.contains(&pinned), "and knows the pin");
+    assert!(world.client_events.contains(&pinned), "and receives the pin");
     for coordinator in world.coordinators.values() {
         assert_eq!(coordinator.store().in_force().unwrap().id.number, 1);
     }
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn two_versions_announced_apart_end_as_one_everywhere_and_the_other_is_listed() {
+fn of_two_versions_announced_in_a_partition_one_prevails_and_the_other_is_listed() {
     let mut world = World::with_version_1(2, 0);
     world.cut_off.insert(NodeId(1));
     world.advance(10.0);
@@ -122,19 +122,23 @@
     world.advance(7.0);
     for coordinator in world.coordinators.values() {
         let status = coordinator.status(world.now);
-        let (in_force, lost) = (status.in_force.unwrap(), status.conflicting);
-        assert_eq!((in_force.id.publisher, in_force.digest), (Some(NodeId(1)), 21), "the higher publisher");
-        assert_eq!(lost.iter().map(|version| version.digest).collect::<Vec<u64>>(), [20]);
+        let (in_force, conflicting) = (status.in_force.unwrap(), status.conflicting);
+        assert_eq!(
+            (in_force.id.publisher, in_force.digest),
+            (Some(NodeId(1)), 21),
+            "the higher publisher prevails"
+        );
+        assert_eq!(conflicting.iter().map(|version| version.digest).collect::<Vec<u64>>(), [20]);
     }
 }
 
 #[test]
-fn a_client_never_goes_back_to_an_older_version() {
+fn a_client_never_returns_to_an_older_version() {
     let mut world = World::with_version_1(1, 2);
     let now = world.now;
     world.coordinator(0).announce(now, 5, 50).unwrap();
     world.wait_until("version 5 everywhere", 3.0, |world| world.all_act_on(5));
-    // It comes back with nothing, and an operator who does not look announces a lower number.
+    // The coordinator restarts empty, and an operator announces a lower number.
     world.start_coordinator(0);
     let now = world.now;
     world.coordinator(0).announce(now, 2, 20).unwrap();
@@ -144,7 +148,7 @@
 }
 
 #[test]
-fn many_that_fall_silent_at_once_are_one_event_and_more_than_half_are_none() {
+fn clients_silent_at_once_are_suspected_together_unless_they_are_more_than_half() {
     let mut world = World::with_version_1(1, 10);
     (0..4).for_each(|n| drop(world.clients.remove(&client_id(n))));
     world.advance(8.0);
@@ -154,23 +158,27 @@
         .map(|(_, event)| event)
         .filter(|event| matches!(event, CoordinatorEvent::Suspected(_)))
         .collect();
-    // Their heartbeats were not in step: two looks at most.
+    // Their heartbeats are not synchronized, so more than one check may find them; three at most.
     assert!(suspected.len() <= 3, "{suspected:?}");
     assert_eq!(world.coordinators[&NodeId(0)].status(world.now).members, [7, 4, 0]);
     (4..8).for_each(|n| drop(world.clients.remove(&client_id(n))));
     world.advance(20.0);
     let status = world.coordinators[&NodeId(0)].status(world.now);
-    assert_eq!((status.members, status.is_isolated), ([7, 4, 0], true), "four of six may be its own cut");
+    assert_eq!(
+        (status.members, status.is_isolated),
+        ([7, 4, 0], true),
+        "with four of six silent it may itself be cut off"
+    );
     assert!(world.coordinator_events.contains(&(NodeId(0), CoordinatorEvent::Isolated(true))));
 }
 
 #[test]
-fn a_client_that_another_coordinator_suspects_while_it_is_heard_here_counts_as_alive() {
+fn a_client_alive_at_one_coordinator_counts_as_alive_though_another_suspects_it() {
     let mut world = World::with_version_1(2, 1);
     let now = world.now;
     let here = world.client(0).status(now).coordinator.unwrap();
     let other = if here == NodeId(0) { NodeId(1) } else { NodeId(0) };
-    // Its way to the first one is cut, so that it moves; then to the second, so that it comes back.
+    // The first coordinator is cut off, so the client fails over; then the second, so it returns to the first.
     world.cut_off.insert(here);
     world.advance(6.0);
     world.cut_off = [other].into();
@@ -183,7 +191,7 @@
 }
 
 #[test]
-fn a_front_that_leaves_is_told_as_left_and_not_suspected() {
+fn a_front_that_leaves_is_reported_as_left_and_not_suspected() {
     let mut world = World::with_version_1(3, 3);
     world.client(1).leave();
     world.step();
@@ -195,7 +203,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_costs_a_bounded_number_of_updates_and_then_catches_up() {
+fn an_unresponsive_client_causes_a_bounded_number_of_updates_and_then_catches_up() {
     let mut world = World::with_version_1(1, 2);
     world.cut_off.insert(client_id(0));
     for number in 2..200 {
@@ -203,19 +211,19 @@
         world.coordinator(0).announce(now, number, number).unwrap();
         world.advance(0.02);
     }
-    let to_it = |world: &World| {
+    let sent_to_client = |world: &World| {
         let counted = world.log.iter().filter(|(at, _, to, _)| *to == client_id(0) && *at > 0.0);
         counted.count()
     };
-    let before = to_it(&world);
+    let before = sent_to_client(&world);
     world.advance(30.0);
-    assert!(to_it(&world) - before <= 60, "{}", to_it(&world) - before);
+    assert!(sent_to_client(&world) - before <= 60, "{}", sent_to_client(&world) - before);
     world.cut_off.clear();
-    world.wait_until("it has caught up", 7.0, |world| world.all_act_on(199));
+    world.wait_until("catching up", 7.0, |world| world.all_act_on(199));
 }
 
 #[test]
-fn past_its_bounds_a_coordinator_turns_clients_away_with_a_time_to_come_back() {
+fn over_its_session_limit_a_coordinator_rejects_clients_with_a_retry_time() {
     let params = CoordinatorParams { max_sessions: 3, ..CoordinatorParams::default() };
     let mut world = World::with(params, 1, 5);
     world.advance(6.0);
@@ -246,7 +254,7 @@
 }
 
 #[test]
-fn statements_of_others_unsound_ones_and_those_without_room_are_refused_and_counted() {
+fn foreign_invalid_and_excess_statements_are_rejected_and_counted() {
     let params = CoordinatorParams { max_statements: 4, ..CoordinatorParams::default() };
     let mut world = World::with(params, 1, 0);
     let name = NodeId(500);
@@ -256,7 +264,7 @@
     let ready = || Value::Server(state(1, ReportedState::Ready));
     let publish = vec![
         own(Key::Server(server(0)), 1, ready()),
-        // A value of another kind than its key's, a word on itself as a member, a word of another front.
+        // A value that doesn't match its key, a statement about its own membership, a statement of another front.
         own(Key::Server(server(1)), 2, Value::Member(MemberState::Alive)),
         own(Key::Member, 3, Value::Member(MemberState::Left)),
         Statement {
@@ -266,14 +274,14 @@
             value: Some(ready()),
         },
         own(Key::Server(server(3)), 5, ready()),
-        // Beside the two members there is room for two.
+        // The limit is 4: the two members and two more.
         own(Key::Server(server(4)), 6, ready()),
     ];
     let now = world.now;
     world.coordinator(0).receive(now, name, heartbeat(publish, None));
     let coordinator = &world.coordinators[&NodeId(0)];
     assert_eq!((coordinator.counts().refused, coordinator.store().len()), (4, 4));
-    // A subscription past its bound is not taken.
+    // A subscription over its limit is not accepted.
     let many = (0..=MAX_SERVERS).map(|n| std::net::SocketAddr::from(([10, 2, (n / 256) as u8, n as u8], 1)));
     let now = world.now;
     world.coordinator(0).receive(
@@ -282,11 +290,11 @@
         heartbeat(Vec::new(), Some(Subscription { servers: many.collect() })),
     );
     world.advance(1.0);
-    let told = world.log.iter().filter_map(|(_, _, to, message)| match message {
+    let acknowledged = world.log.iter().filter_map(|(_, _, to, message)| match message {
         Message::Update(update) if *to == name => Some(update.subscription_number),
         _ => None,
     });
-    assert_eq!(told.max(), Some(0), "it is told that no subscription of its is held");
+    assert_eq!(acknowledged.max(), Some(0), "the coordinator has no subscription of the client");
 }
 
 #[test]
--- a/crates/membership/src/first_choices.rs
+++ b/crates/membership/src/first_choices.rs
@@ -1,15 +1,16 @@
 //! First choices of trunk groups from DNS priorities and weights (RFC 2782).
 //!
-//! A route has a first choice and a set of allowed pools; priority and weight only determine the first choice. The
-//! servers in service with the lowest priority value share the trunk groups by weight, with the largest remainder
-//! (Hamilton) method, in the settings' order of groups and by address among servers. Nothing is random, so every
-//! front assigns alike, also after a restart. Servers with a higher priority value are no group's first choice
-//! while one with a lower value is in service; they stay allowed as the randomly drawn pair.
+//! A route has a first choice and a set of allowed pools; priority and weight only determine the first
+//! choice. The servers in service with the lowest priority value share the trunk groups by weight, with the
+//! largest remainder (Hamilton) method, in the settings' order of groups and by address among servers.
+//! Nothing is random, so every front assigns alike, also after a restart. Servers with a higher priority
+//! value are no group's first choice while one with a lower value is in service; they stay allowed as the
+//! randomly drawn pair.
 
 use crate::{Member, ServiceStatus};
 
-/// The pools that are the first choices of `groups` trunk groups without one in the settings, in the groups' order.
-/// Empty while DNS names no server in service.
+/// The pools that are the first choices of `groups` trunk groups without one in the settings, in the groups'
+/// order. Empty while DNS names no server in service.
 pub fn first_choices<'a>(members: impl Iterator<Item = &'a Member>, groups: usize) -> Vec<u16> {
     let rank_and_pool = |member: &Member| {
         member.rank().filter(|_| member.status() == ServiceStatus::In).map(|rank| (rank, member.pool()))
--- a/crates/membership/src/flap_damping.rs
+++ b/crates/membership/src/flap_damping.rs
@@ -1,4 +1,5 @@
-//! Flap damping: the second return of a server to service within a window is delayed, each further one longer.
+//! Flap damping: the second return of a server to service within a window is delayed, each further one
+//! longer.
 
 use crate::MembershipParams;
 
@@ -22,8 +23,8 @@
     pub fn record_exit(&mut self, now: f64, params: &MembershipParams) {
         let count = self.count(now, params) + 1.0;
         *self = FlapDamping { count, counted_at: now, hold_until: self.hold_until };
-        // One exit is a deploy; two within the window are a pattern. With a threshold of 1.5, an earlier exit counts
-        // for 0.7 windows, when half of it has decayed.
+        // One exit is a deploy; two within the window are a pattern. With a threshold of 1.5, an earlier exit
+        // counts for 0.7 windows, when half of it has decayed.
         let excess = count - 1.5;
         if excess >= 0.0 {
             let doubled = params.base_flap_hold * 2f64.powi(excess.min(16.0) as i32);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,10 @@
 //! Decides, without I/O, which servers a front may use, from two sources: the pool list and DNS.
 //!
-//! [`Membership`] stores what each source last reported about each server, since when and until when. It combines
-//! the two reports by the table in [`table`] and yields the changes for the router; it never picks a route.
-//! Inputs only update the stored reports: [`Membership::evaluate`] decides, and [`Membership::next_change`] is
-//! called until it returns none.
-//! Times are f64 seconds on the host's clock. docs/design-notes/membership.md compares the alternatives.
+//! [`Membership`] stores what each source last reported about each server, since when and until when. It
+//! combines the two reports by the table in [`table`] and yields the changes for the router; it never picks a
+//! route. Inputs only update the stored reports: [`Membership::evaluate`] decides, and
+//! [`Membership::next_change`] is called until it returns none. Times are f64 seconds on the host's clock.
+//! docs/design-notes/membership.md compares the alternatives.
 
 mod first_choices;
 mod flap_damping;
@@ -32,8 +32,8 @@
     pub withdrawal_hold: f64,
     /// How long past its lifetime a DNS record is used without a warning while look-ups fail.
     pub stale_without_warning: f64,
-    /// How long past its lifetime a DNS record is used at all while look-ups fail (RFC 8767 section 5). Also how
-    /// long answers must stay empty before they count.
+    /// How long past its lifetime a DNS record is used at all while look-ups fail (RFC 8767 section 5). Also
+    /// how long answers must stay empty before they count.
     pub max_stale: f64,
     /// Time constant of the exponential decay of a server's flap count.
     pub flap_window: f64,
@@ -64,8 +64,8 @@
     }
 }
 
-/// State of a processor as the pool list reports it. The order is that of caution: of two reports about the same
-/// start the greater one counts.
+/// State of a processor as the pool list reports it. The order is that of caution: of two reports about the
+/// same start the greater one counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ReportedState {
     Ready,
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -10,7 +10,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// A member out of service is retained for this many flap windows, so that forgetting it doesn't reset its flap count.
+/// A member out of service is retained for this many flap windows, so that forgetting it doesn't reset its
+/// flap count.
 const OUT_RETENTION_WINDOWS: f64 = 4.0;
 
 /// A start that the list reports may precede the moment at which this front observed it by this many seconds:
@@ -86,7 +87,8 @@
     pub fn list_report(&self) -> Option<(ReportedState, f64)> {
         self.list_report.map(|report| (report.state, report.since))
     }
-    /// For each name that resolved to it: the name's index, the time of the last such answer and when its lifetime ends.
+    /// For each name that resolved to it: the name's index, the time of the last such answer and when its
+    /// lifetime ends.
     pub fn dns_reports(&self) -> impl Iterator<Item = (usize, f64, f64)> + '_ {
         self.dns_reports.iter().map(|(name, report)| (*name, report.answered_at, report.valid_until))
     }
@@ -135,8 +137,8 @@
         self.list_status = match (sources.feed.is_silent(now, params), report.state) {
             (false, _) => reported,
             (true, ReportedState::Ready) => ListStatus::Silent,
-            // If the feed fails in the middle of a deploy, servers that it drained would stay out forever. DNS may
-            // bring them back, with an answer that is later than the drain and its hold.
+            // If the feed fails in the middle of a deploy, servers that it drained would stay out forever.
+            // DNS may bring them back, with an answer that is later than the drain and its hold.
             (true, _)
                 if self.dns_status == DnsStatus::Present
                     && self.is_named_since(report.since + params.withdrawal_hold) =>
@@ -233,8 +235,8 @@
 
     // ---- reports from the host ----
 
-    /// Applies a line of the pool list: the complete list (`whole`), or the servers that changed. A line without
-    /// servers only shows that the feed is connected.
+    /// Applies a line of the pool list: the complete list (`whole`), or the servers that changed. A line
+    /// without servers only shows that the feed is connected.
     pub fn apply_list(&mut self, now: f64, whole: bool, servers: &[ListEntry]) {
         self.sources.feed.lost_since = None;
         if whole {
@@ -277,8 +279,8 @@
         member.pool = server.pool;
     }
 
-    /// Applies the combined report of other fronts' lists. It can take a server out of service or mark it as cold,
-    /// but never puts one in service. It may precede this front's own list.
+    /// Applies the combined report of other fronts' lists. It can take a server out of service or mark it as
+    /// cold, but never puts one in service. It may precede this front's own list.
     pub fn apply_warning(&mut self, now: f64, warning: PeerWarning) {
         let Some(member) = self.find_or_add(now, warning.address, warning.pool) else { return };
         let known = member.list_report.map_or(0, |report| report.incarnation);
@@ -288,8 +290,8 @@
         member.warning = Some(warning);
         let Some(started) = warning.started.filter(|_| warning.state == ReportedState::Ready) else { return };
         if warning.incarnation > known {
-            // Its processor restarted and this front's list is late: without this a cold processor would get more
-            // than its share (rule 4).
+            // Its processor restarted and this front's list is late: without this a cold processor would get
+            // more than its share (rule 4).
             member.observed_start =
                 Some(member.observed_start.map_or(started, |observed| observed.max(started)));
         } else if member.reported_start.is_some_and(|reported| started > reported + SAME_START_TOLERANCE_S) {
@@ -302,8 +304,9 @@
         self.sources.feed.lost_since.get_or_insert(now);
     }
 
-    /// Records that the server ended a connection and a new one is up, which counts as a restart of its processor:
-    /// a cold processor must not get more than its share (rule 4) while the sources are late or disconnected.
+    /// Records that the server ended a connection and a new one is up, which counts as a restart of its
+    /// processor: a cold processor must not get more than its share (rule 4) while the sources are late or
+    /// disconnected.
     pub fn reconnected(&mut self, now: f64, address: SocketAddr) {
         if let Some(member) = self.members.get_mut(&address) {
             member.observed_start = Some(now.max(f64::MIN_POSITIVE));
@@ -350,10 +353,10 @@
                 weight: record.weight,
             };
             let before = member.dns_reports.insert(name, report);
-            // A server that DNS withdrew and names again may be another processor at the same address, and a late
-            // list reports the previous one; a cold processor must not get more than its share (rule 4). Both
-            // sources mean the same start only if the list reported one after the withdrawal, and no longer ago
-            // than the lifetime of the answer.
+            // A server that DNS withdrew and names again may be another processor at the same address, and a
+            // late list reports the previous one; a cold processor must not get more than its share (rule 4).
+            // Both sources mean the same start only if the list reported one after the withdrawal, and no
+            // longer ago than the lifetime of the answer.
             let omitted_at = before.and_then(|b| b.omitted_at);
             let is_same_start = omitted_at.is_some_and(|at| {
                 member.reported_start.is_some_and(|reported| reported >= at)
@@ -368,8 +371,8 @@
         }
     }
 
-    /// Adds the members of the previous run, stored `age` seconds ago; too old ones are not used. Must be called
-    /// before any report is applied.
+    /// Adds the members of the previous run, stored `age` seconds ago; too old ones are not used. Must be
+    /// called before any report is applied.
     pub fn restore(&mut self, now: f64, age: f64, stored: &[StoredMember]) {
         let until = now + (self.params.stored_max_age - age).max(0.0);
         for server in stored {
@@ -378,7 +381,8 @@
             if !server.taken_out {
                 member.stored_until = until;
             } else if age < hold {
-                // Across a restart too nothing new may go to a draining server (rule 3), whatever DNS reports first.
+                // Across a restart too nothing new may go to a draining server (rule 3), whatever DNS reports
+                // first.
                 let report = ListReport { state: ReportedState::Gone, since: now - age, incarnation: 0 };
                 member.list_report = Some(report);
             }
@@ -396,8 +400,8 @@
         self.members.values().filter(is_relevant).map(stored).collect()
     }
 
-    /// Finds a member or adds it. At the maximum number of members the one that has been out of service for longest
-    /// is evicted; none if there is none to evict.
+    /// Finds a member or adds it. At the maximum number of members the one that has been out of service for
+    /// longest is evicted; none if there is none to evict.
     fn find_or_add(&mut self, now: f64, address: SocketAddr, pool: u16) -> Option<&mut Member> {
         if !self.members.contains_key(&address) && self.members.len() >= self.params.max_members {
             let is_out = |m: &&Member| {
@@ -431,8 +435,8 @@
         let any_admitted = evaluations.iter().any(|e| e.is_admitted);
         let any_usable = self.members.values().zip(&evaluations).any(|(m, e)| e.is_admitted && !is_held(m));
         for (member, evaluation) in self.members.values_mut().zip(&evaluations) {
-            // A member in service as the last resort stays in: taking it out when another one returns would itself
-            // be a flap.
+            // A member in service as the last resort stays in: taking it out when another one returns would
+            // itself be a flap.
             let is_last_resort = member.status == ServiceStatus::In
                 && member.reason == StatusReason::LastResort
                 && now < member.flap_damping.hold_until;
@@ -456,8 +460,9 @@
         self.forget(now);
     }
 
-    /// Removes members that have long been out of service and that no source reports. A member that the list reported
-    /// as gone is retained until it is evicted: a record that outlives its processor must not put it in service.
+    /// Removes members that have long been out of service and that no source reports. A member that the list
+    /// reported as gone is retained until it is evicted: a record that outlives its processor must not put it
+    /// in service.
     fn forget(&mut self, now: f64) {
         let retention = self.params.withdrawal_hold.max(OUT_RETENTION_WINDOWS * self.params.flap_window);
         self.members.retain(|_, m| {
@@ -552,7 +557,8 @@
         if previous == ServiceStatus::In && status != ServiceStatus::In {
             self.flap_damping.record_exit(now, params);
         }
-        // A source's report of the start prevails over any guess; an unreported start counts as now, i.e. cold.
+        // A source's report of the start prevails over any guess; an unreported start counts as now, i.e.
+        // cold.
         let reported = self.reported_start.filter(|_| self.list_status != ListStatus::NeverReported);
         if let Some(observed) = self.observed_start {
             // An observation from before it entered service doesn't cover the time until then.
--- a/crates/membership/src/pool_numbers.rs
+++ b/crates/membership/src/pool_numbers.rs
@@ -1,8 +1,8 @@
 //! Pool numbers for servers that only DNS names.
 //!
-//! Procedures and trunk groups refer to pools by number, but a DNS record carries none. A target that the settings
-//! list has the number given there. Any other target gets the next free number, from `first` on, in the order in
-//! which targets are first seen (within one answer by priority, weight and name), and keeps it.
+//! Procedures and trunk groups refer to pools by number, but a DNS record carries none. A target that the
+//! settings list has the number given there. Any other target gets the next free number, from `first` on, in
+//! the order in which targets are first seen (within one answer by priority, weight and name), and keeps it.
 
 use std::collections::BTreeMap;
 
--- a/crates/membership/src/stored_members.rs
+++ b/crates/membership/src/stored_members.rs
@@ -1,9 +1,9 @@
-//! File format of the last known members, which a front reads when it restarts: a header line with version and
-//! checksum, then a body in JSON.
+//! File format of the last known members, which a front reads when it restarts: a header line with version
+//! and checksum, then a body in JSON.
 //!
-//! The decoder validates everything and has a separate error for a damaged file, a newer version and impossible
-//! values, so that the host can set the file aside and log why. File access is left to the host, which writes a
-//! new file beside the old one, syncs it, and renames it over the old one.
+//! The decoder validates everything and has a separate error for a damaged file, a newer version and
+//! impossible values, so that the host can set the file aside and log why. File access is left to the host,
+//! which writes a new file beside the old one, syncs it, and renames it over the old one.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,8 +1,8 @@
 //! The decision table: one row for each pair of a server's status in the pool list and its status in DNS.
 //!
-//! Every row follows from two principles. A source that takes a server out of service prevails over one that puts
-//! it in. And silence, failed look-ups and empty answers are not reports: the last known state stays in force for a
-//! limited time, with a warning.
+//! Every row follows from two principles. A source that takes a server out of service prevails over one that
+//! puts it in. And silence, failed look-ups and empty answers are not reports: the last known state stays in
+//! force for a limited time, with a warning.
 
 use crate::{DnsStatus, ListStatus};
 
@@ -19,8 +19,8 @@
     Drain,
     /// Out of service.
     Out,
-    /// Out of service for lack of reports, not because a source took it out: used again as the last resort, when
-    /// no other server is left.
+    /// Out of service for lack of reports, not because a source took it out: used again as the last resort,
+    /// when no other server is left.
     OutUnlessLastResort,
 }
 
--- a/crates/membership/tests/peer_warnings.rs
+++ b/crates/membership/tests/peer_warnings.rs
@@ -1,5 +1,5 @@
-//! Warnings from other fronts' lists can take a server out of service or mark it as cold, but never put one in
-//! service.
+//! Warnings from other fronts' lists can take a server out of service or mark it as cold, but never put one
+//! in service.
 
 use shalespindle_membership::{
     Change, ListEntry, Membership, MembershipParams, PeerWarning, ReportedState, ServiceStatus,
