--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -48,8 +48,8 @@
         let in_flight = session.in_flight;
         session.resend_if_due(now, self.params.resend_after);
         self.counts.resent += (in_flight - session.in_flight) as u64;
-        let begins = session.acknowledged.is_none() && session.sent_revision == 0;
-        if begins && (session.subscription_number == 0 || session.digest.is_none()) {
+        let starts_over = session.acknowledged.is_none() && session.sent_revision == 0;
+        if starts_over && (session.subscription_number == 0 || session.digest.is_none()) {
             // The client only probes whether this coordinator is up, or its cursor is of this coordinator's
             // previous process. It sends its subscription and its digest once it has this answer.
             if std::mem::take(&mut session.wants_answer) {
@@ -58,17 +58,17 @@
             return false;
         }
         let digest = match &session.filter {
-            _ if !begins => None,
+            _ if !starts_over => None,
             Filter::Servers(_) => Some(self.store.digest(&session.filter)),
             Filter::Everything | Filter::Direct => Some(self.store.replica_digest()),
         };
-        if begins && session.digest == digest {
+        if starts_over && session.digest == digest {
             self.counts.confirmed += 1;
             let to = self.store.revision();
             self.send_update(now, client, Continuity::Confirmed, 0, to, Vec::new());
             return false;
         }
-        if begins && snapshots >= self.params.max_snapshots {
+        if starts_over && snapshots >= self.params.max_snapshots {
             let wants_answer = std::mem::take(&mut session.wants_answer);
             if wants_answer {
                 self.reject_as_busy(client);
@@ -83,7 +83,7 @@
             }
             return false;
         }
-        let is_snapshot = begins || session.snapshot_until.is_some();
+        let is_snapshot = starts_over || session.snapshot_until.is_some();
         let (filter, bytes) = match &session.filter {
             filter @ Filter::Servers(_) => (filter, self.params.update_bytes),
             _ if is_snapshot => (&Filter::Everything, self.params.replica_update_bytes),
@@ -91,15 +91,15 @@
         };
         let page = self.store.changes_after(session.scanned, filter, bytes);
         session.scanned = page.to;
-        if page.statements.is_empty() && !session.wants_answer && !begins {
+        if page.statements.is_empty() && !session.wants_answer && !starts_over {
             return true;
         }
         let from = session.sent_revision;
-        if begins {
+        if starts_over {
             session.snapshot_until = Some(self.store.revision());
             self.counts.snapshots += 1;
         }
-        let continuity = if begins { Continuity::SnapshotBegins } else { Continuity::Delta };
+        let continuity = if starts_over { Continuity::SnapshotBegins } else { Continuity::Delta };
         self.send_update(now, client, continuity, from, page.to, page.statements);
         self.send_budget >= 0.0
     }
--- a/crates/coordinator/src/statement.rs
+++ b/crates/coordinator/src/statement.rs
@@ -68,7 +68,7 @@
     Level,
     /// The configuration version that the owner announced last.
     Configuration,
-    /// The configuration version that the owner acts on, or refused.
+    /// The configuration version that the owner uses, or refused.
     Acknowledgement,
 }
 
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Test harness: coordinators and clients under a fake clock, connected by a network that a test can partition.
+//! Test harness: coordinators and clients under a fake clock, connected by a network that a test can
+//! partition.
 
 // Each test program uses only some of the items.
 #![allow(dead_code)]
@@ -198,7 +199,8 @@
         }
     }
 
-    /// Advances the clock until the condition holds and returns the seconds that took. Panics after `max_seconds`.
+    /// Advances the clock until the condition holds and returns the seconds that took. Panics after
+    /// `max_seconds`.
     pub fn wait_until(
         &mut self,
         what: &str,
--- a/crates/coordinator/tests/failures.rs
+++ b/crates/coordinator/tests/failures.rs
@@ -36,7 +36,7 @@
     world.cut_off.insert(NodeId(2));
     for client in 0..9 {
         world.client(client).report_server(now, server(0), Some(state(5, ReportedState::Ready)));
-        world.client(client).refuse_version(now, "no room");
+        world.client(client).refuse_version(now, "no capacity");
     }
     world.advance(0.5);
     world.coordinators.remove(&NodeId(0));
@@ -52,8 +52,9 @@
     }
 }
 
-/// Guards against a fault that the simulated fleet showed: an update in flight to a front's process reached the
-/// next process, which took the acknowledged sequence in it for its own and did not publish its statements.
+/// Guards against a fault that the simulated fleet showed: an update in flight to a front's process reached
+/// the next process, which took the acknowledged sequence in it for its own and did not publish its
+/// statements.
 #[test]
 fn an_update_sent_to_a_clients_earlier_process_is_ignored_by_the_next_one() {
     let mut world = World::with_version_1(1, 1);
@@ -61,10 +62,11 @@
     (0..20).for_each(|n| world.client(0).report_server(now, server(n), Some(state(1, ReportedState::Ready))));
     world.advance(3.0);
     let is_update = |message: &Message| matches!(message, Message::Update(_));
-    let (_, from, _, late) = world.log.iter().rev().find(|(.., message)| is_update(message)).unwrap().clone();
+    let (_, from, _, update) =
+        world.log.iter().rev().find(|(.., message)| is_update(message)).unwrap().clone();
     world.start_client(0);
     let now = world.now;
-    world.client(0).receive(now, from, late);
+    world.client(0).receive(now, from, update);
     let now = world.now;
     world.client(0).announce(now, 9, 90).unwrap();
     world.advance(3.0);
@@ -178,7 +180,8 @@
     let now = world.now;
     let here = world.client(0).status(now).coordinator.unwrap();
     let other = if here == NodeId(0) { NodeId(1) } else { NodeId(0) };
-    // The first coordinator is cut off, so the client fails over; then the second, so it returns to the first.
+    // The first coordinator is cut off, so the client fails over; then the second, so it returns to the
+    // first.
     world.cut_off.insert(here);
     world.advance(6.0);
     world.cut_off = [other].into();
@@ -264,7 +267,8 @@
     let ready = || Value::Server(state(1, ReportedState::Ready));
     let publish = vec![
         own(Key::Server(server(0)), 1, ready()),
-        // A value that doesn't match its key, a statement about its own membership, a statement of another front.
+        // A value that doesn't match its key, a statement about its own membership, a statement of another
+        // front.
         own(Key::Server(server(1)), 2, Value::Member(MemberState::Alive)),
         own(Key::Member, 3, Value::Member(MemberState::Left)),
         Statement {
--- a/crates/coordinator/tests/timelines.rs
+++ b/crates/coordinator/tests/timelines.rs
@@ -1,5 +1,5 @@
-//! Snapshots of the sequence of events when a coordinator fails, when several fronts restart at once, and when a
-//! partitioned region is reconnected.
+//! Snapshots of the sequence of events when a coordinator fails, when several fronts restart at once, and
+//! when a partitioned region is reconnected.
 
 mod common;
 
