--- a/crates/coordinator/tests/dissemination.rs
+++ b/crates/coordinator/tests/dissemination.rs
@@ -77,8 +77,11 @@
         world.clients.values().all(|client| client.server(server(0)) == Some(state(6, ReportedState::Ready)))
     });
     let events_about = |world: &World, address| {
-        let is_of = |(_, event): &&(NodeId, ClientEvent)| matches!(event, ClientEvent::Server(changed, _) if *changed == address);
-        world.client_events.iter().filter(is_of).count()
+        let is_about = |(_, event): &&(NodeId, ClientEvent)| match event {
+            ClientEvent::Server(changed, _) => *changed == address,
+            _ => false,
+        };
+        world.client_events.iter().filter(is_about).count()
     };
     assert_eq!(events_about(&world, server(9)), 0, "nobody subscribes to it");
     assert!(
