--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! Coordinators and clients under a fake clock, with a network that a test can cut: nothing else.
+//! Test harness: coordinators and clients under a fake clock, connected by a network that a test can
+//! partition.
 
-// Each test program uses a part of it.
+// Each test program uses only some of the items.
 #![allow(dead_code)]
 
 use shalespindle_coordinator::{
@@ -12,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A message's way, seconds.
+/// Delivery time of a message, seconds.
 pub const DELAY: f64 = 0.02;
 
 pub fn server(n: u8) -> SocketAddr {
@@ -23,17 +24,17 @@
     ServerState { incarnation, state }
 }
 
-fn name_of(node: NodeId) -> String {
+fn node_name(node: NodeId) -> String {
     match node.0.checked_sub(FIRST_CLIENT) {
         Some(client) => format!("f{client}"),
         None => format!("c{}", node.0),
     }
 }
 
-fn coordinator_words(event: &CoordinatorEvent) -> String {
+fn describe_coordinator_event(event: &CoordinatorEvent) -> String {
     match event {
         CoordinatorEvent::Suspected(nodes) => {
-            let names: Vec<String> = nodes.iter().map(|node| name_of(*node)).collect();
+            let names: Vec<String> = nodes.iter().map(|node| node_name(*node)).collect();
             format!("suspects {}", names.join(" "))
         }
         CoordinatorEvent::Isolated(true) => "isolated".into(),
@@ -42,7 +43,7 @@
     }
 }
 
-fn client_words(event: &ClientEvent) -> String {
+fn describe_client_event(event: &ClientEvent) -> String {
     match event {
         ClientEvent::InForce(version) => format!("acts on {}", version.id.number),
         ClientEvent::Server(address, Some(state)) => {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Coordinators have the first names, clients those from 100 on.
+/// Coordinators have the ids from 0 on, clients those from 100 on.
 pub const FIRST_CLIENT: u64 = 100;
 
 #[derive(Default)]
@@ -65,22 +66,24 @@
     pub clients: BTreeMap<NodeId, Client>,
     pub client_events: Vec<(NodeId, ClientEvent)>,
     pub coordinator_events: Vec<(NodeId, CoordinatorEvent)>,
-    /// Nodes that nobody hears and that hear nobody.
+    /// Nodes that neither send nor receive.
     pub cut_off: BTreeSet<NodeId>,
-    /// Every message: when it was sent, from, to.
+    /// Every message sent: time, sender, receiver, message.
     pub log: Vec<(f64, NodeId, NodeId, Message)>,
-    under_way: Vec<(f64, NodeId, NodeId, Message)>,
+    /// Messages not delivered yet: time of delivery, sender, receiver, message.
+    in_transit: Vec<(f64, NodeId, NodeId, Message)>,
+    /// Processes started so far.
     starts: u64,
     peers: Vec<NodeId>,
     pub params: CoordinatorParams,
-    /// Clients whose hosts refuse every version, and why.
+    /// Clients whose hosts refuse every version, with the reason.
     pub refusing: BTreeMap<NodeId, String>,
-    /// What coordinators and clients made known.
+    /// The events of coordinators and clients.
     pub timeline: Timeline,
 }
 
 impl World {
-    /// So many coordinators that know each other, and so many clients of all of them.
+    /// A number of coordinators that are each other's peers, and of clients of all of them.
     pub fn new(coordinators: u64, clients: u64) -> World {
         World::with(CoordinatorParams::default(), coordinators, clients)
     }
@@ -97,13 +100,13 @@
         world
     }
 
-    /// With version 1 in force everywhere.
-    pub fn settled(coordinators: u64, clients: u64) -> World {
+    /// A world in which version 1 is in force everywhere.
+    pub fn with_version_1(coordinators: u64, clients: u64) -> World {
         let mut world = World::new(coordinators, clients);
         let now = world.now;
         world.coordinator(0).announce(now, 1, 10).unwrap();
-        world.until("version 1 everywhere", 5.0, |world| world.all_act_on(1));
-        world.pass(2.0);
+        world.wait_until("version 1 everywhere", 5.0, |world| world.all_act_on(1));
+        world.advance(2.0);
         world
     }
 
@@ -138,18 +141,18 @@
     fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
         self.log.push((self.now, from, to, message.clone()));
         if !self.cut_off.contains(&from) && !self.cut_off.contains(&to) {
-            self.under_way.push((self.now + DELAY, from, to, message));
+            self.in_transit.push((self.now + DELAY, from, to, message));
         }
     }
 
-    /// One look at the clock.
+    /// Advances the clock by one step: delivers messages, polls nodes and sends their messages.
     pub fn step(&mut self) {
         const STEP: f64 = 0.01;
         self.now += STEP;
         let now = self.now;
-        let (arrived, rest) =
-            std::mem::take(&mut self.under_way).into_iter().partition(|(at, ..)| *at <= now);
-        self.under_way = rest;
+        let (arrived, pending) =
+            std::mem::take(&mut self.in_transit).into_iter().partition(|(at, ..)| *at <= now);
+        self.in_transit = pending;
         let arrived: Vec<(f64, NodeId, NodeId, Message)> = arrived;
         for (_, from, to, message) in arrived {
             if let Some(coordinator) = self.coordinators.get_mut(&to) {
@@ -165,7 +168,7 @@
             }
             sent.extend(std::iter::from_fn(|| coordinator.next_outgoing()).map(|out| (*name, out)));
             while let Some(event) = coordinator.next_event() {
-                self.timeline.add(now, name.0 as usize, coordinator_words(&event));
+                self.timeline.add(now, name.0 as usize, describe_coordinator_event(&event));
                 self.coordinator_events.push((*name, event));
             }
         }
@@ -180,8 +183,8 @@
                         None => client.accept_version(now),
                     }
                 }
-                let place = self.peers.len() + (name.0 - FIRST_CLIENT) as usize;
-                self.timeline.add(now, place, client_words(&event));
+                let column = self.peers.len() + (name.0 - FIRST_CLIENT) as usize;
+                self.timeline.add(now, column, describe_client_event(&event));
                 self.client_events.push((*name, event));
             }
             sent.extend(std::iter::from_fn(|| client.next_outgoing()).map(|out| (*name, out)));
@@ -189,24 +192,30 @@
         sent.into_iter().for_each(|(from, out)| self.send(from, out.to, out.message));
     }
 
-    pub fn pass(&mut self, seconds: f64) {
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
             self.step();
         }
     }
 
-    /// Steps until it holds: seconds. Fails past `most`.
-    pub fn until(&mut self, what: &str, most: f64, mut holds: impl FnMut(&mut World) -> bool) -> f64 {
+    /// Advances the clock until the condition holds and returns the seconds that took. Panics after
+    /// `max_seconds`.
+    pub fn wait_until(
+        &mut self,
+        what: &str,
+        max_seconds: f64,
+        mut holds: impl FnMut(&mut World) -> bool,
+    ) -> f64 {
         let begin = self.now;
         while !holds(self) {
-            assert!(self.now - begin < most, "{what} did not come within {most} s");
+            assert!(self.now - begin < max_seconds, "{what} did not happen within {max_seconds} s");
             self.step();
         }
         self.now - begin
     }
 
-    /// Every client acts on that version number.
+    /// Whether every client uses that version.
     pub fn all_act_on(&self, number: u64) -> bool {
         self.clients.values().all(|client| client.status(self.now).acts_on.number == number)
     }
