--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -1,7 +1,7 @@
 //! The callers' side: INVITE, ACK, CANCEL, BYE and OPTIONS as a user agent server (RFC 3261 sections 8.2,
 //! 9.2, 13.3, 15.1.2), and our BYE towards a caller.
 
-use crate::front::{Attach, CallerStream, Due, Front, Stage};
+use crate::front::{Attach, AttachStage, CallerStream, Front, TimerEvent};
 use crate::io::{Event, Outcome, Output, Source};
 use crate::router::RouterInput;
 use rand::Rng;
@@ -14,13 +14,13 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Header with a caller's patience in milliseconds, where whole seconds of Expires are too coarse.
-pub const PATIENCE: &str = "Attach-Patience-Ms";
+pub const PATIENCE_HEADER: &str = "Attach-Patience-Ms";
 /// Over the attaches in hand, so many times as many answered ones are kept to meet repeats.
-const KEPT_FOR_REPEATS: usize = 8;
+const ATTACHES_PER_PENDING: usize = 8;
 /// A 100 is sent to a caller whose attach has waited so long.
-const TRYING: f64 = 0.2;
+const TRYING_DELAY: f64 = 0.2;
 /// Longest time that part of a message may take to come.
-const PARTIAL: f64 = LONG / 4.0;
+const MAX_PARTIAL_AGE: f64 = LONG / 4.0;
 
 impl Front {
     pub(crate) fn caller_bytes(&mut self, now: f64, arrived: f64, stream: u64, bytes: &[u8]) {
@@ -35,7 +35,7 @@
                 }
                 Ok(None) => break,
                 Err(why) => {
-                    self.bad("caller's stream", why.to_string());
+                    self.bad_message("caller's stream", why.to_string());
                     self.outputs.push_back(Output::CloseCaller { stream });
                     self.caller_closed(now, stream);
                     return;
@@ -44,8 +44,8 @@
         }
         if caller.framer.held() > 0 {
             // Guards against peers that keep a connection for ever on one byte a second.
-            if now - *caller.partial_since.get_or_insert(now) > PARTIAL {
-                self.bad("caller's stream", "part of a message for too long".into());
+            if now - *caller.partial_since.get_or_insert(now) > MAX_PARTIAL_AGE {
+                self.bad_message("caller's stream", "part of a message for too long".into());
                 self.outputs.push_back(Output::CloseCaller { stream });
                 self.caller_closed(now, stream);
                 return;
@@ -62,12 +62,12 @@
             self.attaches.iter().filter(|(_, a)| a.source == from).map(|(k, _)| k).collect();
         for key in keys {
             match self.attaches[key].stage {
-                Stage::Pending => {
-                    self.left(now, key);
-                    self.forget(key);
+                AttachStage::Pending => {
+                    self.caller_left(now, key);
+                    self.remove_attach(key);
                 }
-                Stage::Standing => self.release(now, key, false, true, true),
-                Stage::Over => self.forget(key),
+                AttachStage::Established => self.release(now, key, false, true, true),
+                AttachStage::Ended => self.remove_attach(key),
             }
         }
     }
@@ -78,7 +78,7 @@
         }
         let message = match Message::parse(bytes) {
             Ok(message) => message,
-            Err(why) => return self.bad("caller", why.to_string()),
+            Err(why) => return self.bad_message("caller", why.to_string()),
         };
         let Some(method) = message.method() else {
             return self.caller_response(now, &message);
@@ -91,17 +91,17 @@
         let (via, cseq, _) = match needed() {
             Ok(parts) => parts,
             Err(why) => {
-                self.bad("caller", why.to_string());
+                self.bad_message("caller", why.to_string());
                 if method != Method::Ack && message.header("Via").is_some() {
-                    self.answer_once(source, &message, 400);
+                    self.answer_stateless(source, &message, 400);
                 }
                 return;
             }
         };
         if cseq.1 != method && method != Method::Other {
-            self.bad("caller", "CSeq names another method".into());
+            self.bad_message("caller", "CSeq names another method".into());
             if method != Method::Ack {
-                self.answer_once(source, &message, 400);
+                self.answer_stateless(source, &message, 400);
             }
             return;
         }
@@ -112,7 +112,7 @@
             Method::Cancel => self.cancel(now, source, &message, &transaction),
             Method::Bye => self.bye(now, source, &message),
             Method::Options => {
-                self.answer_once(source, &message, if self.is_shutting_down() { 503 } else { 200 })
+                self.answer_stateless(source, &message, if self.is_shutting_down() { 503 } else { 200 })
             }
             Method::Other => {
                 let head = ResponseHead::of(&message, &self.tag);
@@ -123,50 +123,50 @@
     }
 
     fn invite(&mut self, now: f64, arrived: f64, source: Source, message: &Message, transaction: String) {
-        if let Some(&key) = self.by_transaction.get(transaction.as_str()) {
+        if let Some(&key) = self.attach_by_transaction.get(transaction.as_str()) {
             self.counters.repeats += 1;
             let attach = &self.attaches[key];
-            if attach.last.is_empty() {
+            if attach.last_answer.is_empty() {
                 self.answer(key, 100, |w| w);
-            } else if attach.server.repeated() == Todo::Again {
-                let bytes = attach.last.clone();
+            } else if attach.invite_server.repeated() == Todo::Again {
+                let bytes = attach.last_answer.clone();
                 self.send_to_caller(source, bytes);
             }
             return;
         }
         if message.to().ok().and_then(tag).is_some() {
-            let status = if self.dialog(message).is_some() { 488 } else { 481 };
-            return self.answer_once(source, message, status);
+            let status = if self.find_dialog(message).is_some() { 488 } else { 481 };
+            return self.answer_stateless(source, message, status);
         }
-        let hops = message.header("Max-Forwards").and_then(|v| v.parse().ok()).unwrap_or(70u32);
-        if hops == 0 {
-            return self.answer_once(source, message, 483);
+        let max_forwards = message.header("Max-Forwards").and_then(|v| v.parse().ok()).unwrap_or(70u32);
+        if max_forwards == 0 {
+            return self.answer_stateless(source, message, 483);
         }
         let Some(called) = message.called() else {
-            return self.answer_once(source, message, 404);
+            return self.answer_stateless(source, message, 404);
         };
-        if self.attaches.len() >= KEPT_FOR_REPEATS * self.params.max_pending {
+        if self.attaches.len() >= ATTACHES_PER_PENDING * self.params.max_pending {
             // Guards memory against a flood: what is not taken is not owed an answer; callers repeat it.
             self.counters.door_refused += 1;
             return;
         }
-        let procedure = self.procedure(message);
+        let procedure = self.procedure_of(message);
         let first_choice = self.first_choice(called.trunk_group);
         let timer = self.params.deployment.procedures.get(procedure).map_or(0.0, |p| p.t_timer);
         let patience =
-            [message.expires(), message.millis(PATIENCE)].into_iter().flatten().fold(timer, f64::min);
+            [message.expires(), message.millis(PATIENCE_HEADER)].into_iter().flatten().fold(timer, f64::min);
         // Guards rule 1 in a front just started: what it sees first may be a copy of what its caller, asking a
         // dead front, has been sending for a while.
-        let under_way = match source {
+        let already_waited = match source {
             Source::Datagram(_) => oldest_copy(arrived - self.started, patience + self.params.answer_margin),
             Source::Stream(_) => 0.0,
         };
-        let gives_up_at = arrived - under_way + patience - self.params.answer_margin;
+        let gives_up_at = arrived - already_waited + patience - self.params.answer_margin;
 
-        let serial = self.serial();
+        let serial = self.new_serial();
         self.next_ue = self.next_ue.wrapping_add(1);
         let ue = self.next_ue;
-        let caller: Box<str> = message.from().unwrap_or_default().into();
+        let remote: Box<str> = message.from().unwrap_or_default().into();
         let own_tag = format!("{}-{:x}-{serial:x}", self.tag, self.attaches.vacant_key());
         let session = match message.session() {
             Some(session) => session.into(),
@@ -175,33 +175,33 @@
         let key = self.attaches.insert(Attach {
             serial,
             ue,
-            stage: Stage::Pending,
+            stage: AttachStage::Pending,
             source,
-            head: ResponseHead::of(message, &own_tag),
+            response_head: ResponseHead::of(message, &own_tag),
             call_id: message.call_id().unwrap_or_default().into(),
-            caller,
-            called: format!("{};tag={own_tag}", message.to().unwrap_or_default()).into_boxed_str(),
+            remote,
+            local: format!("{};tag={own_tag}", message.to().unwrap_or_default()).into_boxed_str(),
             contact: message.header("Contact").map(address).unwrap_or_default().into(),
-            number: called.number.into(),
+            called_number: called.number.into(),
             session,
-            relay: relayed(message),
+            relayed_headers: relayed_headers(message),
             body: message.body.into(),
-            hops,
-            arrived,
+            max_forwards,
+            arrived_at: arrived,
             gives_up_at,
-            stood_at: 0.0,
+            established_at: 0.0,
             leg: None,
             tries: 0,
             last_server: None,
-            server: InviteServer::new(matches!(source, Source::Stream(_))),
-            last: Vec::new(),
+            invite_server: InviteServer::new(matches!(source, Source::Stream(_))),
+            last_answer: Vec::new(),
             bye: None,
             remove_at: f64::INFINITY,
-            ticket: None,
+            level_ticket: None,
             transaction: transaction.clone().into_boxed_str(),
         });
-        self.by_transaction.insert(transaction.into_boxed_str(), key);
-        self.by_ue.insert(ue, key);
+        self.attach_by_transaction.insert(transaction.into_boxed_str(), key);
+        self.attach_by_ue.insert(ue, key);
         self.pending += 1;
         self.counters.offered += 1;
         if self.is_shutting_down() || self.pending > self.params.max_pending {
@@ -209,24 +209,24 @@
             let pause = self.params.deployment.max_pause;
             return self.final_answer(now, key, Outcome::Refused, 503, Some(pause).filter(|p| *p > 0.0));
         }
-        let number = number_called(called.number);
-        if let Some(pause) = self.refused_by_level(now, key, procedure, number) {
+        let number = number_as_u64(called.number);
+        if let Some(pause) = self.level_refusal(now, key, procedure, number) {
             return self.final_answer(now, key, Outcome::Refused, 503, Some(pause).filter(|p| *p > 0.0));
         }
         // RFC 3261 section 17.2.1: a 100 unless an answer follows within 200 ms, which it mostly does.
-        self.timers.set(now + TRYING, Due::Caller { key, serial });
+        self.timers.set(now + TRYING_DELAY, TimerEvent::CallerTransaction { key, serial });
         let new = NewAttach { ue, procedure, first_choice, called_number: number, gives_up_at };
         self.control.handle(now, RouterInput::AttachArrived(new));
     }
 
     /// What the level of reduced service says of an attach; the pause where it refuses.
-    fn refused_by_level(&mut self, now: f64, key: usize, procedure: usize, number: u64) -> Option<f64> {
+    fn level_refusal(&mut self, now: f64, key: usize, procedure: usize, number: u64) -> Option<f64> {
         let levels = self.levels.as_mut()?;
         let procedures = &self.params.deployment.procedures;
         let told = procedures.get(procedure)?;
         let highest = procedures.iter().fold(0.0, |top: f64, p| top.max(p.utility));
         let attach = &mut self.attaches[key];
-        let tenant = host(&attach.caller).and_then(|h| self.params.tenants.get(h).copied());
+        let tenant = host(&attach.remote).and_then(|h| self.params.tenants.get(h).copied());
         let ask = Ask {
             number,
             worth: told.utility / highest,
@@ -237,7 +237,7 @@
         };
         match levels.ask(now, &ask) {
             Door::Take(ticket) => {
-                attach.ticket = Some(ticket);
+                attach.level_ticket = Some(ticket);
                 None
             }
             Door::Refuse { pause, by } => {
@@ -250,7 +250,7 @@
         }
     }
 
-    fn procedure(&mut self, message: &Message) -> usize {
+    fn procedure_of(&mut self, message: &Message) -> usize {
         let Some(value) = message.header("Resource-Priority") else { return self.params.default_procedure };
         let known = value.split(',').find_map(|v| self.params.priorities.get(v.trim()).copied());
         self.counters.unknown_priority += u64::from(known.is_none());
@@ -258,14 +258,14 @@
     }
 
     /// The attach whose dialog a request of the caller's belongs to (RFC 3261 section 12.2.2).
-    fn dialog(&self, message: &Message) -> Option<usize> {
-        let (key, serial) = self.own_name(tag(message.to().ok()?)?)?;
+    fn find_dialog(&self, message: &Message) -> Option<usize> {
+        let (key, serial) = self.parse_own_id(tag(message.to().ok()?)?)?;
         let attach = self.attaches.get(key).filter(|a| a.serial == serial)?;
         (*attach.call_id == *message.call_id().ok()?).then_some(key)
     }
 
     /// Reads `tag-key-serial` back, where the tag is this front's own.
-    pub(crate) fn own_name(&self, text: &str) -> Option<(usize, u32)> {
+    pub(crate) fn parse_own_id(&self, text: &str) -> Option<(usize, u32)> {
         let rest = text.strip_prefix(self.tag.as_str())?.strip_prefix('-')?;
         let (key, serial) = rest.split_once('-')?;
         Some((usize::from_str_radix(key, 16).ok()?, u32::from_str_radix(serial, 16).ok()?))
@@ -273,49 +273,50 @@
 
     fn ack(&mut self, now: f64, message: &Message, transaction: &str) {
         // To a refusal it comes in the INVITE's transaction, to a 200 in one of its own (17.1.1.3, 13.2.2.4).
-        let known = self.by_transaction.get(transaction).copied().or_else(|| self.dialog(message));
+        let known =
+            self.attach_by_transaction.get(transaction).copied().or_else(|| self.find_dialog(message));
         let Some(key) = known else { return };
         let attach = &mut self.attaches[key];
-        attach.server.acknowledged(now);
-        let (due, serial) = (attach.server.due(), attach.serial);
-        self.timers.set(due, Due::Caller { key, serial });
+        attach.invite_server.acknowledged(now);
+        let (due, serial) = (attach.invite_server.due(), attach.serial);
+        self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
     }
 
     fn cancel(&mut self, now: f64, source: Source, message: &Message, transaction: &str) {
-        let Some(&key) = self.by_transaction.get(transaction) else {
-            return self.answer_once(source, message, 481);
+        let Some(&key) = self.attach_by_transaction.get(transaction) else {
+            return self.answer_stateless(source, message, 481);
         };
-        self.answer_once(source, message, 200);
-        if self.attaches[key].stage == Stage::Pending {
-            self.left(now, key);
+        self.answer_stateless(source, message, 200);
+        if self.attaches[key].stage == AttachStage::Pending {
+            self.caller_left(now, key);
             self.answer(key, 487, |w| w);
-            self.answered(now, key, false);
+            self.final_answer_sent(now, key, false);
         }
     }
 
     /// The caller went away before its answer.
-    fn left(&mut self, now: f64, key: usize) {
-        self.settled(now, key, Outcome::Abandoned, 487, 0.0);
+    fn caller_left(&mut self, now: f64, key: usize) {
+        self.record_outcome(now, key, Outcome::Abandoned, 487, 0.0);
         let attach = &mut self.attaches[key];
-        attach.stage = Stage::Over;
+        attach.stage = AttachStage::Ended;
         let ue = attach.ue;
         let leg = attach.leg.take();
-        self.by_ue.remove(&ue);
+        self.attach_by_ue.remove(&ue);
         self.control.handle(now, RouterInput::CallerLeft { ue });
         if let Some(leg) = leg {
-            self.give_up_leg(now, leg, shalespindle_control::interface::EndReason::Cancelled, true);
+            self.abandon_try(now, leg, shalespindle_control::interface::EndReason::Cancelled, true);
         }
     }
 
     fn bye(&mut self, now: f64, source: Source, message: &Message) {
-        let Some(key) = self.dialog(message) else {
-            if !self.ask_whose_call(now, source, message) {
-                self.answer_once(source, message, 481);
+        let Some(key) = self.find_dialog(message) else {
+            if !self.find_call_of_caller(now, source, message) {
+                self.answer_stateless(source, message, 481);
             }
             return;
         };
-        self.answer_once(source, message, 200);
-        if self.attaches[key].stage == Stage::Standing {
+        self.answer_stateless(source, message, 200);
+        if self.attaches[key].stage == AttachStage::Established {
             self.release(now, key, false, true, false);
         }
     }
@@ -325,13 +326,15 @@
         let Ok(via) = message.via() else { return };
         let Some(branch) = via.branch.strip_prefix("z9hG4bK") else { return };
         if let Some(name) = branch.strip_suffix("-y") {
-            return self.foreign_answered(name);
+            return self.foreign_bye_answered(name);
         }
-        let Some((key, serial)) = branch.strip_suffix("-c").and_then(|n| self.own_name(n)) else { return };
+        let Some((key, serial)) = branch.strip_suffix("-c").and_then(|n| self.parse_own_id(n)) else {
+            return;
+        };
         if let Some(attach) = self.attaches.get_mut(key).filter(|a| a.serial == serial) {
             if attach.bye.take().is_some() {
                 attach.remove_at = now;
-                self.timers.set(now, Due::Caller { key, serial });
+                self.timers.set(now, TimerEvent::CallerTransaction { key, serial });
             }
         }
     }
@@ -345,69 +348,72 @@
         status: u16,
         pause: Option<f64>,
     ) {
-        self.settled(now, key, outcome, status, 0.0);
+        self.record_outcome(now, key, outcome, status, 0.0);
         let attach = &mut self.attaches[key];
-        attach.stage = Stage::Over;
+        attach.stage = AttachStage::Ended;
         let ue = attach.ue;
-        self.by_ue.remove(&ue);
+        self.attach_by_ue.remove(&ue);
         self.answer(key, status, |w| match pause {
             Some(pause) => w.retry_after(pause),
             None => w,
         });
-        self.answered(now, key, false);
+        self.final_answer_sent(now, key, false);
     }
 
     /// Writes and sends an answer to the attach's INVITE.
     pub(crate) fn answer(&mut self, key: usize, status: u16, more: impl FnOnce(Writer) -> Writer) {
         let attach = &mut self.attaches[key];
-        let writer = Writer::response(status, &attach.head).with("Session-ID", &attach.session);
+        let writer = Writer::response(status, &attach.response_head).with("Session-ID", &attach.session);
         let bytes = more(writer).finish();
-        attach.last.clone_from(&bytes);
+        attach.last_answer.clone_from(&bytes);
         let source = attach.source;
         self.send_to_caller(source, bytes);
     }
 
-    pub(crate) fn answered(&mut self, now: f64, key: usize, success: bool) {
+    pub(crate) fn final_answer_sent(&mut self, now: f64, key: usize, success: bool) {
         let attach = &mut self.attaches[key];
-        attach.server.answered(now, success);
-        let (due, serial) = (attach.server.due(), attach.serial);
-        self.timers.set(due, Due::Caller { key, serial });
+        attach.invite_server.answered(now, success);
+        let (due, serial) = (attach.invite_server.due(), attach.serial);
+        self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
     }
 
-    pub(crate) fn caller_due(&mut self, now: f64, key: usize, serial: u32) {
+    pub(crate) fn on_caller_timer(&mut self, now: f64, key: usize, serial: u32) {
         let Some(attach) = self.attaches.get_mut(key).filter(|a| a.serial == serial) else { return };
         if now >= attach.remove_at {
-            return self.forget(key);
+            return self.remove_attach(key);
         }
         if attach.remove_at.is_finite() {
             // It stood and is released: its answer is not repeated any more.
             let due = attach.remove_at;
-            return self.timers.set(due, Due::Caller { key, serial });
+            return self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
         }
-        if attach.stage == Stage::Pending && attach.last.is_empty() && now >= attach.arrived + TRYING {
+        if attach.stage == AttachStage::Pending
+            && attach.last_answer.is_empty()
+            && now >= attach.arrived_at + TRYING_DELAY
+        {
             return self.answer(key, 100, |w| w);
         }
-        match attach.server.tick(now) {
+        match attach.invite_server.tick(now) {
             Todo::Again => {
-                let (source, bytes) = (attach.source, attach.last.clone());
-                let due = attach.server.due();
+                let (source, bytes) = (attach.source, attach.last_answer.clone());
+                let due = attach.invite_server.due();
                 self.send_to_caller(source, bytes);
-                self.timers.set(due, Due::Caller { key, serial });
+                self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
             }
-            Todo::GaveUp if attach.stage == Stage::Standing => {
+            Todo::GaveUp if attach.stage == AttachStage::Established => {
                 // RFC 3261 section 13.3.1.4: an answer never confirmed ends the call.
                 self.release(now, key, true, true, true);
             }
-            Todo::Over if attach.stage == Stage::Standing => {}
+            Todo::Over if attach.stage == AttachStage::Established => {}
             Todo::GaveUp | Todo::Over => {
                 if attach.bye.is_none() {
-                    self.forget(key);
+                    self.remove_attach(key);
                 }
             }
             Todo::Nothing => {
-                let due = attach.server.due().min(attach.remove_at);
-                if due > now && attach.stage != Stage::Standing {
-                    self.timers.set(due, Due::Caller { key, serial });
+                let due = attach.invite_server.due().min(attach.remove_at);
+                if due > now && attach.stage != AttachStage::Established {
+                    self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
                 }
             }
         }
@@ -416,22 +422,25 @@
     /// Ends a standing attach, towards its caller, its server, or both.
     pub(crate) fn release(&mut self, now: f64, key: usize, to_caller: bool, to_server: bool, cut: bool) {
         let attach = &mut self.attaches[key];
-        attach.stage = Stage::Over;
+        attach.stage = AttachStage::Ended;
         attach.remove_at = now + T4;
         let (serial, leg, ue) = (attach.serial, attach.leg.take(), attach.ue);
-        self.tell_call(key, None);
+        self.publish_call(key, None);
         let attach = &self.attaches[key];
-        let event =
-            Event::Released { session: attach.session.clone(), cut, established_for: now - attach.stood_at };
+        let event = Event::Released {
+            session: attach.session.clone(),
+            cut,
+            established_for: now - attach.established_at,
+        };
         self.established -= 1;
         self.counters.released += 1;
         self.counters.cut += u64::from(cut);
-        self.by_ue.remove(&ue);
+        self.attach_by_ue.remove(&ue);
         self.event(event);
         if to_caller {
             self.send_bye(now, key);
         } else {
-            self.timers.set(now + T4, Due::Caller { key, serial });
+            self.timers.set(now + T4, TimerEvent::CallerTransaction { key, serial });
         }
         if let (true, Some(leg)) = (to_server, leg) {
             self.release_leg(now, leg);
@@ -444,16 +453,16 @@
             Source::Datagram(_) => ("UDP", false),
             Source::Stream(_) => ("TCP", true),
         };
-        let uri = if attach.contact.is_empty() { address(&attach.caller) } else { &attach.contact };
+        let uri = if attach.contact.is_empty() { address(&attach.remote) } else { &attach.contact };
         let name = format_args!("{key:x}-{:x}-c", attach.serial);
-        let dialog = [uri, &attach.called, &attach.caller, &attach.call_id];
+        let dialog = [uri, &attach.local, &attach.remote, &attach.call_id];
         let bytes = self.caller_bye(transport, name, dialog).with("Session-ID", &attach.session).finish();
         let attach = &mut self.attaches[key];
         let client = Client::new(now, reliable);
         let (due, serial, source) = (client.due(), attach.serial, attach.source);
         attach.remove_at = now + LONG;
         attach.bye = Some((client, bytes.clone()));
-        self.timers.set(due, Due::Release { key, serial });
+        self.timers.set(due, TimerEvent::CallerBye { key, serial });
         self.send_to_caller(source, bytes);
     }
 
@@ -470,31 +479,31 @@
             .with("CSeq", "1 BYE")
     }
 
-    pub(crate) fn bye_due(&mut self, now: f64, key: usize, serial: u32) {
+    pub(crate) fn on_bye_timer(&mut self, now: f64, key: usize, serial: u32) {
         let Some(attach) = self.attaches.get_mut(key).filter(|a| a.serial == serial) else { return };
         let Some((client, bytes)) = &mut attach.bye else { return };
         match client.tick(now) {
             Todo::Again => {
                 let (bytes, due, source) = (bytes.clone(), client.due(), attach.source);
-                self.timers.set(due, Due::Release { key, serial });
+                self.timers.set(due, TimerEvent::CallerBye { key, serial });
                 self.send_to_caller(source, bytes);
             }
-            Todo::GaveUp | Todo::Over => self.forget(key),
+            Todo::GaveUp | Todo::Over => self.remove_attach(key),
             Todo::Nothing => {
                 let due = client.due();
-                self.timers.set(due, Due::Release { key, serial });
+                self.timers.set(due, TimerEvent::CallerBye { key, serial });
             }
         }
     }
 
-    fn forget(&mut self, key: usize) {
+    fn remove_attach(&mut self, key: usize) {
         let attach = self.attaches.remove(key);
-        self.by_transaction.remove(&attach.transaction);
-        self.by_ue.remove(&attach.ue);
+        self.attach_by_transaction.remove(&attach.transaction);
+        self.attach_by_ue.remove(&attach.ue);
     }
 
     /// An answer without state of its own.
-    fn answer_once(&mut self, source: Source, message: &Message, status: u16) {
+    fn answer_stateless(&mut self, source: Source, message: &Message, status: u16) {
         let head = ResponseHead::of(message, &self.tag);
         self.send_to_caller(source, Writer::response(status, &head).finish());
     }
@@ -508,7 +517,7 @@
 }
 
 /// Header lines that an attach's set-ups carry on to the server.
-fn relayed(message: &Message) -> Box<str> {
+fn relayed_headers(message: &Message) -> Box<str> {
     let mut lines = Writer::lines();
     for name in ["Resource-Priority", "Content-Type", "P-Asserted-Identity"] {
         if let Some(value) = message.header(name) {
@@ -519,7 +528,7 @@
 }
 
 /// The number called as the module's opaque 64 bits; 0 is kept for 'none told'.
-fn number_called(text: &str) -> u64 {
+fn number_as_u64(text: &str) -> u64 {
     let digits = text.strip_prefix('+').unwrap_or(text);
     if let Ok(number) = digits.parse::<u64>() {
         return number.max(1);
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -4,8 +4,8 @@
 use crate::links::{Frame, LegRef, Link, LinkState};
 use crate::params::Params;
 use crate::router::{RecordedRouter, Router, RouterInput};
-use crate::shared::Shared;
-use crate::sites::Narrowed;
+use crate::shared_calls::SharedCalls;
+use crate::sites::SiteRestriction;
 use crate::sources::Sources;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -21,28 +21,28 @@
 use std::net::SocketAddr;
 
 /// Bytes from which no further frame joins a write: well under what an idle socket takes.
-const TOGETHER: usize = 8 * 1024;
+const WRITE_BATCH_BYTES: usize = 8 * 1024;
 
 /// Least time between two looks at the levels for time's sake, seconds.
-const LEVELS_APART: f64 = 0.01;
+const MIN_LEVEL_INTERVAL: f64 = 0.01;
 /// Lateness from which this front itself, not its servers, was slow, seconds.
-const STOOD_STILL: f64 = 0.25;
+const STALL_THRESHOLD: f64 = 0.25;
 
 /// What falls due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Due {
+pub(crate) enum TimerEvent {
     /// The level of reduced service may move by time alone.
     Level,
     /// Resolver or membership module asked to be woken.
     Sources,
     /// The fleet is told what this front sees of sites.
-    Sight,
+    SiteReport,
     /// Nobody has said whose call that is.
-    Whose {
+    FindCall {
         ticket: u64,
     },
     /// A BYE towards the caller of another front's call.
-    Foreign {
+    ForeignBye {
         key: usize,
         serial: u32,
     },
@@ -54,17 +54,17 @@
         serial: u32,
     },
     /// The caller's transaction of that attach.
-    Caller {
+    CallerTransaction {
         key: usize,
         serial: u32,
     },
     /// A request of our own towards a caller, or a release towards a server.
-    Release {
+    CallerBye {
         key: usize,
         serial: u32,
     },
     /// The drain of that link's server is so old that nothing half sent may go on.
-    Drained {
+    DrainGrace {
         link: usize,
         connection: u64,
     },
@@ -73,53 +73,53 @@
         link: usize,
         connection: u64,
     },
-    End,
+    Shutdown,
 }
 
 /// What an attach is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
+pub(crate) enum AttachStage {
     /// No final answer yet.
     Pending,
-    Standing,
+    Established,
     /// Answered and over; kept only to meet repeats.
-    Over,
+    Ended,
 }
 
 /// One attach: its caller's side.
 pub(crate) struct Attach {
     pub serial: u32,
     pub ue: UeId,
-    pub stage: Stage,
+    pub stage: AttachStage,
     pub source: Source,
     pub transaction: Box<str>,
-    pub head: ResponseHead,
+    pub response_head: ResponseHead,
     pub call_id: Box<str>,
     /// The caller's From value, where our own requests to it go.
-    pub caller: Box<str>,
-    pub called: Box<str>,
+    pub remote: Box<str>,
+    pub local: Box<str>,
     pub contact: Box<str>,
-    pub number: Box<str>,
+    pub called_number: Box<str>,
     pub session: Box<str>,
     /// Header lines that go on to the server as they came.
-    pub relay: Box<str>,
+    pub relayed_headers: Box<str>,
     pub body: Box<[u8]>,
-    pub hops: u32,
-    pub arrived: f64,
+    pub max_forwards: u32,
+    pub arrived_at: f64,
     pub gives_up_at: f64,
-    pub stood_at: f64,
+    pub established_at: f64,
     /// The leg that is out or stands.
     pub leg: Option<LegRef>,
     pub tries: u32,
     pub last_server: Option<SocketAddr>,
-    pub server: InviteServer,
+    pub invite_server: InviteServer,
     /// The last answer, for repeats.
-    pub last: Vec<u8>,
+    pub last_answer: Vec<u8>,
     /// Our BYE to the caller.
     pub bye: Option<(Client, Vec<u8>)>,
     pub remove_at: f64,
     /// By which the levels judge how it ended.
-    pub ticket: Option<Ticket>,
+    pub level_ticket: Option<Ticket>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -127,10 +127,10 @@
     /// The INVITE waits for its socket.
     Queued,
     /// Sent, no final answer.
-    Out,
+    Sent,
     /// Given up by CANCEL; a late 200 is met with ACK and BYE.
     Cancelled,
-    Standing,
+    Established,
     /// BYE is on its way.
     Releasing,
 }
@@ -145,11 +145,11 @@
     pub setup_try: u32,
     pub sent_at: f64,
     /// Time-out of the try; later, when the leg is forgotten.
-    pub due: f64,
-    pub uri: Box<str>,
+    pub expires_at: f64,
+    pub request_uri: Box<str>,
     pub from: Box<str>,
     pub to: Box<str>,
-    pub target: Box<str>,
+    pub remote_target: Box<str>,
     /// Of another front's dialog with the server; none: this front's own.
     pub call_id: Option<Box<str>>,
 }
@@ -168,29 +168,29 @@
     pub(crate) started: f64,
     pub(crate) control: RecordedRouter,
     pub(crate) levels: Option<Levels>,
-    level_wake: f64,
+    level_timer_at: f64,
     pub(crate) rng: ChaCha8Rng,
     /// Tells this front's names of dialogs and transactions from another's.
     pub(crate) tag: String,
     pub(crate) sources: Sources,
     pub(crate) links: Vec<Link>,
-    pub(crate) by_pool: HashMap<PoolId, usize>,
+    pub(crate) link_by_pool: HashMap<PoolId, usize>,
     pub(crate) attaches: Slab<Attach>,
-    pub(crate) by_ue: HashMap<UeId, usize>,
-    pub(crate) by_transaction: HashMap<Box<str>, usize>,
+    pub(crate) attach_by_ue: HashMap<UeId, usize>,
+    pub(crate) attach_by_transaction: HashMap<Box<str>, usize>,
     pub(crate) legs: Slab<Leg>,
     pub(crate) streams: HashMap<u64, CallerStream>,
-    pub(crate) timers: Timers<Due>,
+    pub(crate) timers: Timers<TimerEvent>,
     pub(crate) outputs: VecDeque<Output>,
     pub(crate) counters: Counters,
     pub(crate) next_ue: UeId,
     pub(crate) next_serial: u32,
     pub(crate) pending: usize,
     pub(crate) established: usize,
-    pub(crate) shared: Shared,
-    pub(crate) narrowed: Narrowed,
+    pub(crate) shared_calls: SharedCalls,
+    pub(crate) site_restriction: SiteRestriction,
     /// Since when it takes nothing new.
-    ending: Option<f64>,
+    shutdown_started: Option<f64>,
 }
 
 impl Front {
@@ -198,15 +198,15 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // The module's chance is its own, so that what the front draws never shifts a decision.
         let control = Box::new(Control::new(rng.random(), params.deployment.clone(), now));
-        Front::made(params, rng, control, now)
+        Front::build(params, rng, control, now)
     }
 
     /// A front whose decisions come from something else: baselines and planted faults of the lab.
     pub fn with_router(params: Params, seed: u64, router: Box<dyn Router>, now: f64) -> Front {
-        Front::made(params, ChaCha8Rng::seed_from_u64(seed), router, now)
+        Front::build(params, ChaCha8Rng::seed_from_u64(seed), router, now)
     }
 
-    fn made(params: Params, mut rng: ChaCha8Rng, router: Box<dyn Router>, now: f64) -> Front {
+    fn build(params: Params, mut rng: ChaCha8Rng, router: Box<dyn Router>, now: f64) -> Front {
         let control = RecordedRouter::new(router);
         let tag = format!("{:012x}", rng.random::<u64>() >> 16);
         let levels = params.levels.clone().map(|params| Levels::new(rng.random(), params, now));
@@ -215,16 +215,16 @@
             params,
             started: now,
             levels,
-            level_wake: f64::INFINITY,
+            level_timer_at: f64::INFINITY,
             control,
             rng,
             tag,
             sources,
             links: Vec::new(),
-            by_pool: HashMap::new(),
+            link_by_pool: HashMap::new(),
             attaches: Slab::new(),
-            by_ue: HashMap::new(),
-            by_transaction: HashMap::new(),
+            attach_by_ue: HashMap::new(),
+            attach_by_transaction: HashMap::new(),
             legs: Slab::new(),
             streams: HashMap::new(),
             timers: Timers::default(),
@@ -234,11 +234,11 @@
             next_serial: 0,
             pending: 0,
             established: 0,
-            shared: Shared::default(),
-            narrowed: Narrowed::default(),
-            ending: None,
+            shared_calls: SharedCalls::default(),
+            site_restriction: SiteRestriction::default(),
+            shutdown_started: None,
         };
-        front.sees_sites(now);
+        front.report_sites(now);
         front
     }
 
@@ -285,11 +285,11 @@
 
     /// Asked to end, with nothing left in hand and no attach standing.
     pub fn is_done(&self) -> bool {
-        self.ending.is_some() && self.pending == 0 && self.established == 0
+        self.shutdown_started.is_some() && self.pending == 0 && self.established == 0
     }
 
     pub fn is_shutting_down(&self) -> bool {
-        self.ending.is_some()
+        self.shutdown_started.is_some()
     }
 
     /// Takes one report. `arrived` is when its bytes came at the latest known time before they were read:
@@ -298,12 +298,12 @@
         // Guards rule 1 where this front was held up: what is overdue counts before what comes late, so that
         // an answer past its try's time-out is a late one.
         let overdue = now - self.timers.next();
-        if overdue > STOOD_STILL || now - arrived > STOOD_STILL {
+        if overdue > STALL_THRESHOLD || now - arrived > STALL_THRESHOLD {
             if let Some(levels) = &mut self.levels {
                 levels.stood_still(now);
             }
         }
-        self.run_due(now);
+        self.run_timers(now);
         match input {
             Input::Datagram { from, bytes } => {
                 self.caller_message(now, arrived, Source::Datagram(from), bytes);
@@ -319,50 +319,50 @@
             Input::FeedBytes { bytes } => self.feed_bytes(now, bytes),
             Input::FeedLost => self.feed_lost(now),
             Input::Dns(report) => self.dns(now, report),
-            Input::ServerWarning(warning) => self.warned(now, warning),
-            Input::FindCallResult { ticket, known, call } => self.found(now, ticket, known, call),
+            Input::ServerWarning(warning) => self.server_warning(now, warning),
+            Input::FindCallResult { ticket, known, call } => self.find_call_result(now, ticket, known, call),
             Input::CallReleased { call } => self.released_elsewhere(now, call),
-            Input::SiteRestriction(narrowing) => self.narrow(now, narrowing),
+            Input::SiteRestriction(narrowing) => self.restrict_sites(now, narrowing),
             Input::ReleaseCall(call) => self.release_foreign(now, &call, true, true),
-            Input::Shutdown => self.end(now),
+            Input::Shutdown => self.begin_shutdown(now),
         }
     }
 
     /// Handles what is due and pulls decisions until there are none. Call it after reports, and at
     /// [`Front::wake_at`]; then pull outputs.
     pub fn turn(&mut self, now: f64) {
-        self.run_due(now);
-        self.heed_sources(now);
+        self.run_timers(now);
+        self.update_sources(now);
         self.decide(now);
-        self.heed_levels(now);
+        self.poll_levels(now);
     }
 
-    fn run_due(&mut self, now: f64) {
+    fn run_timers(&mut self, now: f64) {
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Control => self.control.handle(now, RouterInput::Wake),
-                Due::Leg { key, serial } => self.leg_due(now, LegRef { key, serial }),
-                Due::Caller { key, serial } => self.caller_due(now, key, serial),
-                Due::Release { key, serial } => self.bye_due(now, key, serial),
-                Due::Drained { link, connection } => self.drain_due(now, link, connection),
-                Due::Link { link, connection } => self.link_due(now, link, connection),
-                Due::Sources => self.sources_due(now),
-                Due::Sight => self.sees_sites(now),
-                Due::Level => {
-                    self.level_wake = f64::INFINITY;
+                TimerEvent::Control => self.control.handle(now, RouterInput::Wake),
+                TimerEvent::Leg { key, serial } => self.on_leg_timer(now, LegRef { key, serial }),
+                TimerEvent::CallerTransaction { key, serial } => self.on_caller_timer(now, key, serial),
+                TimerEvent::CallerBye { key, serial } => self.on_bye_timer(now, key, serial),
+                TimerEvent::DrainGrace { link, connection } => self.on_drain_timer(now, link, connection),
+                TimerEvent::Link { link, connection } => self.on_link_timer(now, link, connection),
+                TimerEvent::Sources => self.on_sources_timer(now),
+                TimerEvent::SiteReport => self.report_sites(now),
+                TimerEvent::Level => {
+                    self.level_timer_at = f64::INFINITY;
                     if let Some(levels) = &mut self.levels {
                         levels.tick(now);
                     }
                 }
-                Due::End => self.release_all(now),
-                Due::Whose { ticket } => self.found(now, ticket, false, None),
-                Due::Foreign { key, serial } => self.foreign_due(now, key, serial),
+                TimerEvent::Shutdown => self.release_established(now),
+                TimerEvent::FindCall { ticket } => self.find_call_result(now, ticket, false, None),
+                TimerEvent::ForeignBye { key, serial } => self.on_foreign_bye_timer(now, key, serial),
             }
         }
     }
 
     /// What the levels have to say since the last turn, and when they want to be asked again.
-    fn heed_levels(&mut self, now: f64) {
+    fn poll_levels(&mut self, now: f64) {
         let Some(levels) = &mut self.levels else { return };
         while let Some(change) = levels.next_change() {
             let admits = levels.takes_in_words(change.to);
@@ -370,10 +370,10 @@
             self.outputs.push_back(Output::Event(event));
         }
         let due = levels.due();
-        if due < self.level_wake {
-            self.level_wake = due;
+        if due < self.level_timer_at {
+            self.level_timer_at = due;
             // Never at once again: a turn must come to an end whatever the levels ask for.
-            self.timers.set(due.max(now + LEVELS_APART), Due::Level);
+            self.timers.set(due.max(now + MIN_LEVEL_INTERVAL), TimerEvent::Level);
         }
     }
 
@@ -415,49 +415,49 @@
         if let Some(output) = self.outputs.pop_front() {
             return Some(output);
         }
-        for place in 0..self.links.len() {
-            if let Some(bytes) = self.next_frames(now, place) {
-                return Some(Output::ToServer { id: self.links[place].id(place), bytes });
+        for link_index in 0..self.links.len() {
+            if let Some(bytes) = self.next_write(now, link_index) {
+                return Some(Output::ToServer { id: self.links[link_index].id(link_index), bytes });
             }
         }
         None
     }
 
     /// The frames that leave together: as many as fit into one write. None of them can be taken back after.
-    fn next_frames(&mut self, now: f64, place: usize) -> Option<Vec<u8>> {
-        let link = &mut self.links[place];
+    fn next_write(&mut self, now: f64, link_index: usize) -> Option<Vec<u8>> {
+        let link = &mut self.links[link_index];
         if link.blocked || link.state != LinkState::Up || link.queue.is_empty() {
             return None;
         }
-        link.last_set_ups.clear();
+        link.last_invites.clear();
         let mut out = Vec::new();
-        while out.len() < TOGETHER {
+        while out.len() < WRITE_BATCH_BYTES {
             let Some(frame) = link.queue.pop_front() else { break };
             let bytes = match frame {
                 Frame::Other(bytes) => {
                     if link.probe.is_some() {
-                        link.seen.owes(now);
+                        link.observations.expect_answer(now);
                     }
                     bytes
                 }
-                Frame::Release(at, bytes) => {
+                Frame::Bye(at, bytes) => {
                     if self.legs.get(at.key).is_none_or(|l| l.serial != at.serial) {
                         continue;
                     }
                     bytes
                 }
-                Frame::SetUp(at, bytes) => {
+                Frame::Invite(at, bytes) => {
                     let Some(leg) = self.legs.get_mut(at.key).filter(|l| l.serial == at.serial) else {
                         continue;
                     };
                     // Guards rules 1 and 3: taken back, or due to be, while it waited.
-                    if leg.stage != LegStage::Queued || now >= leg.due || !link.ready {
+                    if leg.stage != LegStage::Queued || now >= leg.expires_at || !link.ready {
                         continue;
                     }
-                    leg.stage = LegStage::Out;
+                    leg.stage = LegStage::Sent;
                     leg.sent_at = now;
-                    link.last_set_ups.push(at);
-                    link.seen.owes(now);
+                    link.last_invites.push(at);
+                    link.observations.expect_answer(now);
                     self.counters.setup_tries += 1;
                     bytes
                 }
@@ -477,7 +477,7 @@
         }
     }
 
-    pub(crate) fn serial(&mut self) -> u32 {
+    pub(crate) fn new_serial(&mut self) -> u32 {
         self.next_serial = self.next_serial.wrapping_add(1);
         self.next_serial
     }
@@ -486,25 +486,29 @@
         self.outputs.push_back(Output::Event(event));
     }
 
-    pub(crate) fn bad(&mut self, from: &'static str, why: String) {
+    pub(crate) fn bad_message(&mut self, from: &'static str, why: String) {
         self.counters.bad_messages += 1;
         self.event(Event::BadInput { from, why });
     }
 
     // ---- the end ----
 
-    fn end(&mut self, now: f64) {
-        if self.ending.is_none() {
-            self.ending = Some(now);
-            self.timers.set(now + self.params.shutdown_timeout, Due::End);
+    fn begin_shutdown(&mut self, now: f64) {
+        if self.shutdown_started.is_none() {
+            self.shutdown_started = Some(now);
+            self.timers.set(now + self.params.shutdown_timeout, TimerEvent::Shutdown);
             self.event(Event::ShuttingDown { pending: self.pending, established: self.established });
         }
     }
 
     /// Standing attaches have held up the end for long enough.
-    fn release_all(&mut self, now: f64) {
-        let keys: Vec<usize> =
-            self.attaches.iter().filter(|(_, a)| a.stage == Stage::Standing).map(|(k, _)| k).collect();
+    fn release_established(&mut self, now: f64) {
+        let keys: Vec<usize> = self
+            .attaches
+            .iter()
+            .filter(|(_, a)| a.stage == AttachStage::Established)
+            .map(|(k, _)| k)
+            .collect();
         for key in keys {
             self.release(now, key, true, true, true);
         }
@@ -513,20 +517,27 @@
     // ---- final answers ----
 
     /// The one final answer of an attach, for the log and the counts.
-    pub(crate) fn settled(&mut self, now: f64, key: usize, outcome: Outcome, status: u16, set_up_delay: f64) {
+    pub(crate) fn record_outcome(
+        &mut self,
+        now: f64,
+        key: usize,
+        outcome: Outcome,
+        status: u16,
+        set_up_delay: f64,
+    ) {
         let attach = &self.attaches[key];
         let answer = FinalAnswer {
             session: attach.session.clone(),
-            number: attach.number.clone(),
+            number: attach.called_number.clone(),
             outcome,
             status,
             last_server: attach.last_server,
             tries: attach.tries,
-            answered_after: now - attach.arrived,
+            answered_after: now - attach.arrived_at,
             set_up_delay,
         };
         self.pending -= 1;
-        if let (Some(levels), Some(ticket)) = (&mut self.levels, &self.attaches[key].ticket) {
+        if let (Some(levels), Some(ticket)) = (&mut self.levels, &self.attaches[key].level_ticket) {
             let ended = match outcome {
                 Outcome::Established => shalespindle_levels::Outcome::Stood,
                 Outcome::Refused | Outcome::Failed => shalespindle_levels::Outcome::Lost,
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -8,12 +8,12 @@
 mod front;
 pub mod io;
 pub mod links;
-pub mod outcome;
 pub mod params;
 pub mod pool_list;
 pub mod router;
+pub mod server_answer;
 mod servers;
-mod shared;
+mod shared_calls;
 mod sites;
 mod sources;
 
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Frame {
     /// An INVITE; void when its leg is no longer queued.
-    SetUp(LegRef, Vec<u8>),
+    Invite(LegRef, Vec<u8>),
     /// A BYE that is worth sending on the next connection too.
-    Release(LegRef, Vec<u8>),
+    Bye(LegRef, Vec<u8>),
     /// ACK, CANCEL, OPTIONS and answers: worth nothing on another connection.
     Other(Vec<u8>),
 }
@@ -52,9 +52,9 @@
     /// The host keeps the rest of the last frame.
     pub blocked: bool,
     /// The set-ups among the last frames that left together.
-    pub last_set_ups: Vec<LegRef>,
+    pub last_invites: Vec<LegRef>,
     /// Its server ended a connection that was up, and none has been up since.
-    pub cut_off: bool,
+    pub lost_by_server: bool,
     /// The last pause before a new connection.
     pub pause: f64,
     /// Legs bound to it, in any state.
@@ -62,56 +62,56 @@
     /// Serial number and time of the probe that is out.
     pub probe: Option<u32>,
     /// What the fleet is told of its server.
-    pub seen: Seen,
+    pub observations: ServerObservations,
 }
 
 /// What this front sees of a server, for the fleet's judging of sites.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct ServerObservations {
     /// Since when it owes an answer, or a connection.
-    pub owes_since: Option<f64>,
+    pub awaiting_since: Option<f64>,
     /// A connection was asked for at least once.
-    pub tried: bool,
+    pub connect_attempted: bool,
     /// Set-ups that stood there.
-    pub stood: u64,
+    pub established: u64,
     /// Connections that it ended.
-    pub cuts: u64,
+    pub lost_connections: u64,
     /// The wait that it told last.
-    pub wait: Option<f64>,
+    pub reported_wait: Option<f64>,
     /// What it owed when its connection came up, until it says something or the connection has lasted: what stands
     /// between may take connections for a server that is gone.
-    shelved: Option<f64>,
+    awaited_before_connect: Option<f64>,
     /// When the connection came up.
-    up_at: f64,
+    connected_at: f64,
 }
 
-impl Seen {
+impl ServerObservations {
     /// Something went out that it is to answer.
-    pub fn owes(&mut self, now: f64) {
-        self.owes_since.get_or_insert(now);
+    pub fn expect_answer(&mut self, now: f64) {
+        self.awaiting_since.get_or_insert(now);
     }
 
     /// It said something.
-    pub fn spoke(&mut self) {
-        (self.owes_since, self.shelved) = (None, None);
+    pub fn answered(&mut self) {
+        (self.awaiting_since, self.awaited_before_connect) = (None, None);
     }
 
     /// A connection is up: nothing is owed on it yet.
-    pub fn up(&mut self, now: f64) {
-        (self.shelved, self.up_at) = (self.owes_since.take(), now);
+    pub fn connected(&mut self, now: f64) {
+        (self.awaited_before_connect, self.connected_at) = (self.awaiting_since.take(), now);
     }
 
     /// The connection was lost, or never came up.
-    pub fn down(&mut self, now: f64) {
-        self.owes_since = self.shelved.take().or(self.owes_since).or(Some(now));
+    pub fn disconnected(&mut self, now: f64) {
+        self.awaiting_since = self.awaited_before_connect.take().or(self.awaiting_since).or(Some(now));
     }
 
     /// For how long it has owed a word or a connection, where it is to say something within `silent_after`.
-    pub fn owed(&mut self, now: f64, silent_after: f64) -> f64 {
-        if now - self.up_at >= silent_after {
-            self.shelved = None;
+    pub fn unanswered_for(&mut self, now: f64, silent_after: f64) -> f64 {
+        if now - self.connected_at >= silent_after {
+            self.awaited_before_connect = None;
         }
-        let since = match (self.shelved, self.owes_since) {
+        let since = match (self.awaited_before_connect, self.awaiting_since) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
@@ -132,12 +132,12 @@
             queue: VecDeque::new(),
             framer: Framer::default(),
             blocked: false,
-            last_set_ups: Vec::new(),
-            cut_off: false,
+            last_invites: Vec::new(),
+            lost_by_server: false,
             pause: 0.0,
             legs: 0,
             probe: None,
-            seen: Seen::default(),
+            observations: ServerObservations::default(),
         }
     }
 
@@ -146,23 +146,23 @@
     }
 
     /// May a frame be queued now: up or on the way, with room.
-    pub fn takes(&self, most: usize) -> bool {
-        !matches!(self.state, LinkState::Down { .. }) && self.queue.len() < most
+    pub fn can_queue(&self, max_queued: usize) -> bool {
+        !matches!(self.state, LinkState::Down { .. }) && self.queue.len() < max_queued
     }
 
     /// The pause before the next connection: doubled up to the longest, by `chance` in 0..1 between half
     /// and the whole of it. Guards a server that comes back against all fronts' connections at once.
-    pub fn back_off(&mut self, least: f64, longest: f64, chance: f64) -> f64 {
+    pub fn next_backoff(&mut self, least: f64, longest: f64, chance: f64) -> f64 {
         self.pause = (self.pause * 2.0).clamp(least, longest);
         self.pause * (0.5 + 0.5 * chance)
     }
 
     /// The connection is lost: forgets what is worth nothing on another one.
-    pub fn lost(&mut self) {
-        self.queue.retain(|f| matches!(f, Frame::Release(..)));
+    pub fn clear_connection_state(&mut self) {
+        self.queue.retain(|f| matches!(f, Frame::Bye(..)));
         self.framer = Framer::default();
         self.blocked = false;
-        self.last_set_ups.clear();
+        self.last_invites.clear();
         self.probe = None;
     }
 }
@@ -172,10 +172,10 @@
     use super::*;
 
     #[test]
-    fn back_off_doubles_to_its_longest_and_is_spread() {
+    fn backoff_doubles_up_to_its_maximum_and_is_randomized() {
         let mut link = Link::new(1, 0, "127.0.0.1:1".parse().unwrap());
-        let pauses: Vec<f64> = (0..6).map(|_| link.back_off(0.1, 1.0, 1.0)).collect();
+        let pauses: Vec<f64> = (0..6).map(|_| link.next_backoff(0.1, 1.0, 1.0)).collect();
         assert_eq!(pauses, [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]);
-        assert_eq!(link.back_off(0.1, 1.0, 0.0), 0.5);
+        assert_eq!(link.next_backoff(0.1, 1.0, 0.0), 0.5);
     }
 }
--- a/crates/front/src/pool_list.rs
+++ b/crates/front/src/pool_list.rs
@@ -168,7 +168,7 @@
     }
 
     #[test]
-    fn lines_become_what_is_listed() {
+    fn a_line_becomes_server_records() {
         let mut list = PoolList::default();
         let news = taken(&mut list, &line(1, 1, true, &[(1, "ready", 3), (2, "draining", 1)])).unwrap();
         let told: Vec<Told> = news.servers.iter().map(|s| s.told).collect();
@@ -177,7 +177,7 @@
     }
 
     #[test]
-    fn a_feed_that_repeats_or_goes_backwards_is_not_followed() {
+    fn repeated_and_outdated_lines_are_rejected() {
         let mut list = PoolList::default();
         taken(&mut list, &line(2, 5, true, &[(1, "ready", 1)])).unwrap();
         taken(&mut list, &line(2, 6, false, &[(1, "draining", 1)])).unwrap();
@@ -193,7 +193,7 @@
     }
 
     #[test]
-    fn nonsense_is_told_apart_and_bounded() {
+    fn invalid_lines_are_rejected_and_line_length_is_bounded() {
         let mut list = PoolList::default();
         for text in [
             "nonsense\n",
--- a/crates/front/src/outcome.rs
+++ b/crates/front/src/server_answer.rs
@@ -5,16 +5,16 @@
 use shalespindle_signalling::Message;
 
 /// Header with a processor's wait, milliseconds.
-pub const WAIT: &str = "Processor-Wait-Ms";
+pub const WAIT_HEADER: &str = "Processor-Wait-Ms";
 /// Header with the lines that are free now.
-pub const FREE: &str = "Free-Lines";
+pub const FREE_LINES_HEADER: &str = "Free-Lines";
 /// Header with all lines.
-pub const LINES: &str = "Lines";
+pub const LINES_HEADER: &str = "Lines";
 /// Q.850 cause 'no circuit/channel available'.
 const NO_CIRCUIT: u16 = 34;
 
 /// How the try ended that got this final answer other than 2xx.
-pub fn ended(status: u16, answer: &Message) -> EndReason {
+pub fn end_reason(status: u16, answer: &Message) -> EndReason {
     match status {
         // 480 and 503 with cause 34 say that no line is free; others of them, that the processor is too busy.
         480 | 503 if answer.q850_cause() == Some(NO_CIRCUIT) => EndReason::NoAgent,
@@ -26,8 +26,12 @@
 }
 
 /// What a server says of itself in any message.
-pub fn report(message: &Message) -> Report {
-    Report { free_agents: message.count(FREE), agents: message.count(LINES), wait: message.millis(WAIT) }
+pub fn load_report(message: &Message) -> Report {
+    Report {
+        free_agents: message.count(FREE_LINES_HEADER),
+        agents: message.count(LINES_HEADER),
+        wait: message.millis(WAIT_HEADER),
+    }
 }
 
 #[cfg(test)]
@@ -35,7 +39,7 @@
     use super::*;
 
     #[test]
-    fn each_row_of_the_table() {
+    fn each_status_maps_to_its_end_reason() {
         let rows = [
             (486, "", EndReason::Rejected),
             (480, "Reason: Q.850;cause=34\r\n", EndReason::NoAgent),
@@ -52,7 +56,7 @@
         for (status, lines, expected) in rows {
             let text = format!("SIP/2.0 {status} x\r\n{lines}\r\n");
             assert_eq!(
-                ended(status, &Message::parse(text.as_bytes()).unwrap()),
+                end_reason(status, &Message::parse(text.as_bytes()).unwrap()),
                 expected,
                 "{status} {lines}"
             );
@@ -60,10 +64,10 @@
     }
 
     #[test]
-    fn reports_are_read_and_nonsense_is_not() {
+    fn load_headers_are_read_and_invalid_values_ignored() {
         let read = |lines: &str| {
             let text = format!("SIP/2.0 200 OK\r\n{lines}\r\n");
-            let r = report(&Message::parse(text.as_bytes()).unwrap());
+            let r = load_report(&Message::parse(text.as_bytes()).unwrap());
             (r.free_agents, r.agents, r.wait)
         };
         assert_eq!(
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -1,11 +1,11 @@
 //! The servers' side: links, setup tries as a user agent client (RFC 3261 sections 9.1, 13.2, 17.1), what
 //! is taken back, and releases.
 
-use crate::front::{Due, Front, Leg, LegStage, Stage};
+use crate::front::{AttachStage, Front, Leg, LegStage, TimerEvent};
 use crate::io::{Event, LinkId, Outcome, Output};
 use crate::links::{Frame, LegRef, Link, LinkState};
-use crate::outcome;
 use crate::router::RouterInput;
+use crate::server_answer;
 use rand::Rng;
 use shalespindle_control::interface::{EndReason, Report};
 use shalespindle_membership::Change;
@@ -16,41 +16,41 @@
 impl Front {
     // ---- links ----
 
-    pub(crate) fn connect(&mut self, now: f64, place: usize) {
+    pub(crate) fn connect(&mut self, now: f64, link_index: usize) {
         let within = self.params.connect_timeout;
-        let link = &mut self.links[place];
+        let link = &mut self.links[link_index];
         link.connection += 1;
         link.state = LinkState::Connecting;
-        link.seen.tried = true;
-        link.seen.owes(now);
-        let (id, to) = (link.id(place), link.address);
-        self.timers.set(now + within, Due::Link { link: place, connection: id.connection });
+        link.observations.connect_attempted = true;
+        link.observations.expect_answer(now);
+        let (id, to) = (link.id(link_index), link.address);
+        self.timers.set(now + within, TimerEvent::Link { link: link_index, connection: id.connection });
         self.outputs.push_back(Output::Connect { id, to });
     }
 
     /// The link to a member, made when it is first heard of.
-    pub(crate) fn link_of(&mut self, change: &Change) -> usize {
-        if let Some(&place) = self.by_pool.get(&change.name) {
-            return place;
+    pub(crate) fn link_for(&mut self, change: &Change) -> usize {
+        if let Some(&link_index) = self.link_by_pool.get(&change.name) {
+            return link_index;
         }
         self.links.push(Link::new(change.name, change.pool, change.address));
-        self.by_pool.insert(change.name, self.links.len() - 1);
+        self.link_by_pool.insert(change.name, self.links.len() - 1);
         self.links.len() - 1
     }
 
     /// Connects to a server in service, unless a pause after a loss is still on.
-    pub(crate) fn connect_when_due(&mut self, now: f64, place: usize) {
-        if matches!(self.links[place].state, LinkState::Down { retry_at } if retry_at <= now) {
-            self.connect(now, place);
+    pub(crate) fn connect_if_allowed(&mut self, now: f64, link_index: usize) {
+        if matches!(self.links[link_index].state, LinkState::Down { retry_at } if retry_at <= now) {
+            self.connect(now, link_index);
         }
     }
 
     /// What is half written may go on inside the grace, not after it.
-    pub(crate) fn drain(&mut self, now: f64, place: usize) {
-        let link = &self.links[place];
+    pub(crate) fn start_drain_timer(&mut self, now: f64, link_index: usize) {
+        let link = &self.links[link_index];
         if link.blocked {
             let at = now + self.params.drain_grace / 2.0;
-            self.timers.set(at, Due::Drained { link: place, connection: link.connection });
+            self.timers.set(at, TimerEvent::DrainGrace { link: link_index, connection: link.connection });
         }
     }
 
@@ -61,12 +61,12 @@
         if link.state == LinkState::Connecting {
             link.state = LinkState::Up;
             link.pause = 0.0;
-            link.seen.up(now);
+            link.observations.connected(now);
             let server = link.address;
             // Guards rule 4: whatever ended the connection may have ended the processor, and a restart can be
             // quicker than any news of it.
-            if std::mem::take(&mut link.cut_off) {
-                self.came_back(now, server);
+            if std::mem::take(&mut link.lost_by_server) {
+                self.server_reconnected(now, server);
             }
             self.event(Event::LinkUp { server });
         }
@@ -82,39 +82,40 @@
         let (least, longest) = self.params.reconnect_pause;
         let link = &mut self.links[id.link];
         let cut = link.state == LinkState::Up && by_server;
-        link.cut_off |= cut;
-        link.seen.cuts += u64::from(cut);
-        link.seen.down(now);
-        let retry_after = link.back_off(least, longest, chance);
+        link.lost_by_server |= cut;
+        link.observations.lost_connections += u64::from(cut);
+        link.observations.disconnected(now);
+        let retry_after = link.next_backoff(least, longest, chance);
         link.state = LinkState::Down { retry_at: now + retry_after };
         // The next connection has another number, so that late reports of this one are told apart.
         link.connection += 1;
-        link.lost();
+        link.clear_connection_state();
         let (server, wanted) = (link.address, link.listed || link.legs > 0);
         if wanted {
-            let due = Due::Link { link: id.link, connection: link.connection };
+            let due = TimerEvent::Link { link: id.link, connection: link.connection };
             self.timers.set(now + retry_after, due);
         }
-        let cut = self.legs_lost(now, id.link);
+        let cut = self.end_legs_of_link(now, id.link);
         self.event(Event::LinkLost { server, cut, retry_after });
     }
 
     /// What a lost connection means for each of its legs; returns how many standing attaches it cut.
-    fn legs_lost(&mut self, now: f64, place: usize) -> usize {
+    fn end_legs_of_link(&mut self, now: f64, link_index: usize) -> usize {
         let mut cut = 0;
-        let keys: Vec<usize> = self.legs.iter().filter(|(_, l)| l.link == place).map(|(k, _)| k).collect();
+        let keys: Vec<usize> =
+            self.legs.iter().filter(|(_, l)| l.link == link_index).map(|(k, _)| k).collect();
         for key in keys {
             let leg = &self.legs[key];
             let at = LegRef { key, serial: leg.serial };
             match leg.stage {
                 // Nothing of it was written.
-                LegStage::Queued => self.try_over(now, at, EndReason::Unreached, Report::default()),
-                LegStage::Out => self.try_over(now, at, EndReason::Cut, Report::default()),
+                LegStage::Queued => self.end_try(now, at, EndReason::Unreached, Report::default()),
+                LegStage::Sent => self.end_try(now, at, EndReason::Cut, Report::default()),
                 // A late 200 can no longer come by this connection, and a new one has no such transaction.
                 LegStage::Cancelled => self.remove_leg(now, key),
-                LegStage::Standing => {
+                LegStage::Established => {
                     cut += 1;
-                    let (ue, pool) = (leg.ue, self.links[place].pool);
+                    let (ue, pool) = (leg.ue, self.links[link_index].pool);
                     let attach = leg.attach;
                     let report = Report::default();
                     self.control.handle(
@@ -131,35 +132,35 @@
         cut
     }
 
-    pub(crate) fn link_due(&mut self, now: f64, place: usize, connection: u64) {
-        let link = &self.links[place];
+    pub(crate) fn on_link_timer(&mut self, now: f64, link_index: usize, connection: u64) {
+        let link = &self.links[link_index];
         if link.connection != connection {
             return;
         }
         match link.state {
             LinkState::Connecting => {
-                let id = link.id(place);
+                let id = link.id(link_index);
                 self.outputs.push_back(Output::CloseLink { id, reset: false });
                 self.link_lost(now, id, false);
             }
-            LinkState::Down { .. } if link.listed || link.legs > 0 => self.connect(now, place),
+            LinkState::Down { .. } if link.listed || link.legs > 0 => self.connect(now, link_index),
             _ => {}
         }
     }
 
     /// A link that nobody names any more goes once nothing is left on it.
-    pub(crate) fn close_unused(&mut self, now: f64, place: usize) {
-        let link = &self.links[place];
+    pub(crate) fn close_unused(&mut self, now: f64, link_index: usize) {
+        let link = &self.links[link_index];
         if !link.listed && link.legs == 0 && !matches!(link.state, LinkState::Down { .. }) {
-            let id = link.id(place);
+            let id = link.id(link_index);
             self.outputs.push_back(Output::CloseLink { id, reset: false });
             self.link_lost(now, id, false);
         }
     }
 
     /// Guards rule 3: set-ups that wait for the socket of a server that drains or is gone do not leave.
-    pub(crate) fn take_back(&mut self, now: f64, place: usize) {
-        let is_queued = |l: &Leg| l.link == place && l.stage == LegStage::Queued;
+    pub(crate) fn withdraw_queued(&mut self, now: f64, link_index: usize) {
+        let is_queued = |l: &Leg| l.link == link_index && l.stage == LegStage::Queued;
         let queued: Vec<LegRef> = self
             .legs
             .iter()
@@ -168,24 +169,24 @@
             .collect();
         for at in &queued {
             self.counters.taken_back += 1;
-            self.try_over(now, *at, EndReason::Unreached, Report::default());
+            self.end_try(now, *at, EndReason::Unreached, Report::default());
         }
         if !queued.is_empty() {
-            let server = self.links[place].address;
+            let server = self.links[link_index].address;
             self.event(Event::SetUpsWithdrawn { server, count: queued.len() });
         }
     }
 
-    pub(crate) fn drain_due(&mut self, now: f64, place: usize, connection: u64) {
-        let link = &self.links[place];
+    pub(crate) fn on_drain_timer(&mut self, now: f64, link_index: usize, connection: u64) {
+        let link = &self.links[link_index];
         if link.connection == connection && link.blocked && !link.ready {
-            self.reset(now, place);
+            self.reset_link(now, link_index);
         }
     }
 
     /// Guards against set-ups that sit in a full socket: a reset throws away what was not sent.
-    fn reset(&mut self, now: f64, place: usize) {
-        let id = self.links[place].id(place);
+    fn reset_link(&mut self, now: f64, link_index: usize) {
+        let id = self.links[link_index].id(link_index);
         self.outputs.push_back(Output::CloseLink { id, reset: true });
         self.link_lost(now, id, false);
     }
@@ -196,25 +197,25 @@
     pub(crate) fn write_invite(&self, now: f64, at: LegRef) -> Vec<u8> {
         let leg = &self.legs[at.key];
         let attach = leg.attach.map(|(key, _)| &self.attaches[key]);
-        let mut writer = self.leg_request(Method::Invite, at, &leg.uri, "i", "1 INVITE");
+        let mut writer = self.leg_request(Method::Invite, at, &leg.request_uri, "i", "1 INVITE");
         writer = writer.with_args("Contact", format_args!("<sip:{};transport=tcp>", self.params.host));
         let Some(attach) = attach else { return writer.finish() };
-        let seconds = (leg.due - now).max(0.0).ceil();
+        let seconds = (leg.expires_at - now).max(0.0).ceil();
         writer
             .with_args("Expires", format_args!("{seconds}"))
             .with("Session-ID", &attach.session)
-            .with_lines(&attach.relay)
+            .with_lines(&attach.relayed_headers)
             .finish_with(&attach.body)
     }
 
-    /// A request on a leg; `mark` tells its transactions apart.
-    fn leg_request(&self, method: Method, at: LegRef, uri: &str, mark: &str, cseq: &str) -> Writer {
+    /// A request on a leg; `branch_suffix` tells its transactions apart.
+    fn leg_request(&self, method: Method, at: LegRef, uri: &str, branch_suffix: &str, cseq: &str) -> Writer {
         let leg = &self.legs[at.key];
         let (tag, host) = (&self.tag, &self.params.host);
         let name = format_args!("{:x}-{:x}", at.key, at.serial).to_string();
-        let hops = leg.attach.and_then(|(key, _)| self.attaches.get(key)).map_or(69, |a| a.hops - 1);
+        let hops = leg.attach.and_then(|(key, _)| self.attaches.get(key)).map_or(69, |a| a.max_forwards - 1);
         Writer::request(method, uri)
-            .with_args("Via", format_args!("SIP/2.0/TCP {host};branch=z9hG4bK{tag}-{name}-{mark}"))
+            .with_args("Via", format_args!("SIP/2.0/TCP {host};branch=z9hG4bK{tag}-{name}-{branch_suffix}"))
             .with_args("Max-Forwards", format_args!("{hops}"))
             .with("From", &leg.from)
             .with("To", &leg.to)
@@ -227,7 +228,7 @@
     }
 
     /// A setup try that is queued or out has ended; the module hears of it, the leg goes.
-    pub(crate) fn try_over(&mut self, now: f64, at: LegRef, ended: EndReason, report: Report) {
+    pub(crate) fn end_try(&mut self, now: f64, at: LegRef, ended: EndReason, report: Report) {
         let Some(leg) = self.leg(at) else { return };
         let (ue, pool, attach) = (leg.ue, self.links[leg.link].pool, leg.attach);
         if let Some(attach) =
@@ -242,30 +243,31 @@
     }
 
     /// Gives up a try: taken back if it has not left, else CANCEL. `finished`: its caller has gone.
-    pub(crate) fn give_up_leg(&mut self, now: f64, at: LegRef, ended: EndReason, finished: bool) {
+    pub(crate) fn abandon_try(&mut self, now: f64, at: LegRef, ended: EndReason, finished: bool) {
         let Some(leg) = self.leg(at) else { return };
-        let (ue, place, stage) = (leg.ue, leg.link, leg.stage);
-        let pool = self.links[place].pool;
+        let (ue, link_index, stage) = (leg.ue, leg.link, leg.stage);
+        let pool = self.links[link_index].pool;
         let ended = match stage {
             LegStage::Queued => {
                 self.counters.taken_back += 1;
                 self.remove_leg(now, at.key);
                 EndReason::Unreached
             }
-            LegStage::Out => {
-                let blocked = self.links[place].blocked && self.links[place].last_set_ups.contains(&at);
+            LegStage::Sent => {
+                let blocked =
+                    self.links[link_index].blocked && self.links[link_index].last_invites.contains(&at);
                 let leg = &mut self.legs[at.key];
                 leg.stage = LegStage::Cancelled;
                 leg.attach = None;
-                leg.due = now + LONG;
-                self.timers.set(now + LONG, Due::Leg { key: at.key, serial: at.serial });
+                leg.expires_at = now + LONG;
+                self.timers.set(now + LONG, TimerEvent::Leg { key: at.key, serial: at.serial });
                 if blocked {
                     // Half of it sits in a socket that takes no more: the rest must never be sent.
-                    self.reset(now, place);
+                    self.reset_link(now, link_index);
                 } else {
-                    let uri = self.legs[at.key].uri.clone();
+                    let uri = self.legs[at.key].request_uri.clone();
                     let cancel = self.leg_request(Method::Cancel, at, &uri, "i", "1 CANCEL").finish();
-                    self.links[place].queue.push_back(Frame::Other(cancel));
+                    self.links[link_index].queue.push_back(Frame::Other(cancel));
                 }
                 ended
             }
@@ -275,12 +277,12 @@
             .handle(now, RouterInput::TryEnded { ue, pool, ended, finished, report: Report::default() });
     }
 
-    pub(crate) fn leg_due(&mut self, now: f64, at: LegRef) {
-        let Some(leg) = self.leg(at).filter(|l| now >= l.due) else { return };
+    pub(crate) fn on_leg_timer(&mut self, now: f64, at: LegRef) {
+        let Some(leg) = self.leg(at).filter(|l| now >= l.expires_at) else { return };
         match leg.stage {
-            LegStage::Queued | LegStage::Out => {
+            LegStage::Queued | LegStage::Sent => {
                 let attach = leg.attach;
-                self.give_up_leg(now, at, EndReason::TimedOut, false);
+                self.abandon_try(now, at, EndReason::TimedOut, false);
                 if let Some(attach) =
                     attach.and_then(|(k, s)| self.attaches.get_mut(k).filter(|a| a.serial == s))
                 {
@@ -288,7 +290,7 @@
                 }
             }
             LegStage::Cancelled | LegStage::Releasing => self.remove_leg(now, at.key),
-            LegStage::Standing => {}
+            LegStage::Established => {}
         }
     }
 
@@ -302,16 +304,16 @@
         let Some(leg) = self.legs.get_mut(at.key).filter(|l| l.serial == at.serial) else { return };
         leg.stage = LegStage::Releasing;
         leg.attach = None;
-        leg.due = now + LONG;
-        self.timers.set(now + LONG, Due::Leg { key: at.key, serial: at.serial });
+        leg.expires_at = now + LONG;
+        self.timers.set(now + LONG, TimerEvent::Leg { key: at.key, serial: at.serial });
         self.queue_bye(at);
     }
 
     pub(crate) fn queue_bye(&mut self, at: LegRef) {
         let leg = &self.legs[at.key];
-        let (uri, place) = (leg.target.clone(), leg.link);
+        let (uri, link_index) = (leg.remote_target.clone(), leg.link);
         let bytes = self.leg_request(Method::Bye, at, &uri, "b", "2 BYE").finish();
-        self.links[place].queue.push_back(Frame::Release(at, bytes));
+        self.links[link_index].queue.push_back(Frame::Bye(at, bytes));
     }
 
     // ---- what servers send ----
@@ -320,7 +322,7 @@
         let Some(link) = self.links.get_mut(id.link).filter(|l| l.connection == id.connection) else {
             return;
         };
-        link.seen.spoke();
+        link.observations.answered();
         link.framer.push(bytes);
         loop {
             // A message can end in the loss of the link; what came after it then counts no more.
@@ -333,12 +335,12 @@
                     let parsed = Message::parse(&frame);
                     match parsed {
                         Ok(message) => self.server_message(now, id.link, &message),
-                        Err(why) => self.bad("server", why.to_string()),
+                        Err(why) => self.bad_message("server", why.to_string()),
                     }
                 }
                 Ok(None) => return,
                 Err(why) => {
-                    self.bad("server's stream", why.to_string());
+                    self.bad_message("server's stream", why.to_string());
                     self.outputs.push_back(Output::CloseLink { id, reset: false });
                     return self.link_lost(now, id, false);
                 }
@@ -346,34 +348,34 @@
         }
     }
 
-    fn server_message(&mut self, now: f64, place: usize, message: &Message) {
+    fn server_message(&mut self, now: f64, link_index: usize, message: &Message) {
         match message.start {
             shalespindle_signalling::Start::Response { status, .. } => {
-                self.server_response(now, place, status, message)
+                self.server_response(now, link_index, status, message)
             }
             shalespindle_signalling::Start::Request { method, .. } => {
-                self.server_request(now, place, method, message)
+                self.server_request(now, link_index, method, message)
             }
         }
     }
 
-    fn server_response(&mut self, now: f64, place: usize, status: u16, message: &Message) {
+    fn server_response(&mut self, now: f64, link_index: usize, status: u16, message: &Message) {
         let (Ok(via), Ok((_, method))) = (message.via(), message.cseq()) else {
-            return self.bad("server", "an answer without Via or CSeq".into());
+            return self.bad_message("server", "an answer without Via or CSeq".into());
         };
         let Some(name) = via.branch.strip_prefix("z9hG4bK") else { return };
         if let Some(name) = name.strip_suffix("-o") {
-            return self.probe_answered(now, place, name, status, message);
+            return self.probe_answered(now, link_index, name, status, message);
         }
         let Some((name, _)) = name.rsplit_once('-') else { return };
-        let Some((key, serial)) = self.own_name(name) else { return };
+        let Some((key, serial)) = self.parse_own_id(name) else { return };
         let at = LegRef { key, serial };
         // Only the server that a leg went to may speak for it.
-        let Some(leg) = self.leg(at).filter(|l| l.link == place) else { return };
+        let Some(leg) = self.leg(at).filter(|l| l.link == link_index) else { return };
         match (method, leg.stage) {
             (Method::Invite, _) if status < 200 => {}
-            (Method::Invite, LegStage::Out) if status < 300 => self.stands(now, at, message),
-            (Method::Invite, LegStage::Standing | LegStage::Releasing) if status < 300 => {
+            (Method::Invite, LegStage::Sent) if status < 300 => self.establish(now, at, message),
+            (Method::Invite, LegStage::Established | LegStage::Releasing) if status < 300 => {
                 self.acknowledge(at)
             }
             (Method::Invite, LegStage::Cancelled) if status < 300 => {
@@ -383,11 +385,11 @@
                 self.release_leg(now, at);
             }
             (Method::Invite, stage) => {
-                self.refused_by_server(at, message);
+                self.acknowledge_refusal(at, message);
                 match stage {
-                    LegStage::Out => {
-                        let report = outcome::report(message);
-                        self.try_over(now, at, outcome::ended(status, message), report);
+                    LegStage::Sent => {
+                        let report = server_answer::load_report(message);
+                        self.end_try(now, at, server_answer::end_reason(status, message), report);
                     }
                     LegStage::Cancelled => self.remove_leg(now, key),
                     _ => {}
@@ -398,8 +400,8 @@
                 self.remove_leg(now, key);
             }
             (Method::Bye, LegStage::Releasing) if status >= 200 => {
-                let (ue, pool) = (leg.ue, self.links[place].pool);
-                let (ended, report) = (EndReason::Released, outcome::report(message));
+                let (ue, pool) = (leg.ue, self.links[link_index].pool);
+                let (ended, report) = (EndReason::Released, server_answer::load_report(message));
                 self.control.handle(now, RouterInput::TryEnded { ue, pool, ended, finished: true, report });
                 self.remove_leg(now, key);
             }
@@ -414,59 +416,59 @@
             leg.to = to.into();
         }
         if let Some(contact) = message.header("Contact") {
-            leg.target = address(contact).into();
+            leg.remote_target = address(contact).into();
         }
         self.acknowledge(at);
     }
 
     fn acknowledge(&mut self, at: LegRef) {
-        let (uri, place) = (self.legs[at.key].target.clone(), self.legs[at.key].link);
+        let (uri, link_index) = (self.legs[at.key].remote_target.clone(), self.legs[at.key].link);
         let ack = self.leg_request(Method::Ack, at, &uri, "a", "1 ACK").finish();
-        self.links[place].queue.push_back(Frame::Other(ack));
+        self.links[link_index].queue.push_back(Frame::Other(ack));
     }
 
     /// The ACK to an answer other than 2xx belongs to the INVITE's transaction (17.1.1.3).
-    fn refused_by_server(&mut self, at: LegRef, message: &Message) {
+    fn acknowledge_refusal(&mut self, at: LegRef, message: &Message) {
         if let Ok(to) = message.to() {
             self.legs[at.key].to = to.into();
         }
-        let (uri, place) = (self.legs[at.key].uri.clone(), self.legs[at.key].link);
+        let (uri, link_index) = (self.legs[at.key].request_uri.clone(), self.legs[at.key].link);
         let ack = self.leg_request(Method::Ack, at, &uri, "i", "1 ACK").finish();
-        self.links[place].queue.push_back(Frame::Other(ack));
+        self.links[link_index].queue.push_back(Frame::Other(ack));
     }
 
-    fn stands(&mut self, now: f64, at: LegRef, message: &Message) {
+    fn establish(&mut self, now: f64, at: LegRef, message: &Message) {
         self.confirm(at, message);
         let leg = &mut self.legs[at.key];
-        leg.stage = LegStage::Standing;
+        leg.stage = LegStage::Established;
         let (ue, delay, attach) = (leg.ue, now - leg.sent_at, leg.attach);
         let link = &mut self.links[leg.link];
-        let (pool, report) = (link.pool, outcome::report(message));
-        link.seen.stood += 1;
-        link.seen.wait = report.wait.or(link.seen.wait);
+        let (pool, report) = (link.pool, server_answer::load_report(message));
+        link.observations.established += 1;
+        link.observations.reported_wait = report.wait.or(link.observations.reported_wait);
         self.control.handle(now, RouterInput::PoolReport { pool, probed: false, report });
         self.control.handle(now, RouterInput::AttachEstablished { ue, pool, delay });
         let Some((key, _)) = attach else { return };
-        self.settled(now, key, Outcome::Established, 200, delay);
+        self.record_outcome(now, key, Outcome::Established, 200, delay);
         self.established += 1;
         let attach = &mut self.attaches[key];
-        attach.stage = Stage::Standing;
-        attach.stood_at = now;
+        attach.stage = AttachStage::Established;
+        attach.established_at = now;
         let kind = message.header("Content-Type").unwrap_or_default();
-        let head = Writer::response(200, &attach.head)
+        let head = Writer::response(200, &attach.response_head)
             .with("Session-ID", &attach.session)
             .with_args("Contact", format_args!("<sip:{}>", self.params.host));
         let head = if kind.is_empty() { head } else { head.with("Content-Type", kind) };
-        attach.last = head.finish_with(message.body);
+        attach.last_answer = head.finish_with(message.body);
         // Only a try that is out needs it.
         attach.body = Box::default();
-        let (source, bytes) = (attach.source, attach.last.clone());
+        let (source, bytes) = (attach.source, attach.last_answer.clone());
         self.send_to_caller(source, bytes);
-        self.answered(now, key, true);
-        self.tell_call(key, Some(at));
+        self.final_answer_sent(now, key, true);
+        self.publish_call(key, Some(at));
     }
 
-    fn server_request(&mut self, now: f64, place: usize, method: Method, message: &Message) {
+    fn server_request(&mut self, now: f64, link_index: usize, method: Method, message: &Message) {
         if method == Method::Ack {
             return;
         }
@@ -478,24 +480,24 @@
         let leg = message
             .call_id()
             .ok()
-            .and_then(|id| self.own_name(id))
+            .and_then(|id| self.parse_own_id(id))
             .map(|(key, serial)| LegRef { key, serial });
-        let leg = leg.filter(|&at| self.leg(at).is_some_and(|l| l.link == place));
-        if method == Method::Bye && leg.is_none() && self.ask_whose_leg(now, place, message) {
+        let leg = leg.filter(|&at| self.leg(at).is_some_and(|l| l.link == link_index));
+        if method == Method::Bye && leg.is_none() && self.find_call_of_server(now, link_index, message) {
             return;
         }
         let status = if method == Method::Bye && leg.is_none() { 481 } else { status };
         let head = ResponseHead::of(message, &self.tag);
         let answer = Writer::response(status, &head).finish();
-        self.links[place].queue.push_back(Frame::Other(answer));
+        self.links[link_index].queue.push_back(Frame::Other(answer));
         let (Method::Bye, Some(at)) = (method, leg) else { return };
-        self.over_at_server(now, at, outcome::report(message), true);
+        self.ended_by_server(now, at, server_answer::load_report(message), true);
     }
 
     /// The server's side of a standing attach is over: so is the attach, and its caller is told if it is not known
     /// there.
-    pub(crate) fn over_at_server(&mut self, now: f64, at: LegRef, report: Report, tell_caller: bool) {
-        let Some(leg) = self.leg(at).filter(|l| l.stage == LegStage::Standing) else { return };
+    pub(crate) fn ended_by_server(&mut self, now: f64, at: LegRef, report: Report, tell_caller: bool) {
+        let Some(leg) = self.leg(at).filter(|l| l.stage == LegStage::Established) else { return };
         let (ue, pool, attach) = (leg.ue, self.links[leg.link].pool, leg.attach);
         self.control.handle(
             now,
@@ -510,12 +512,12 @@
     // ---- probes ----
 
     pub(crate) fn probe(&mut self, pool: shalespindle_control::interface::PoolId) {
-        let Some(&place) = self.by_pool.get(&pool) else { return };
-        let serial = self.serial();
+        let Some(&link_index) = self.link_by_pool.get(&pool) else { return };
+        let serial = self.new_serial();
         let most = self.params.max_queued_frames;
         let (tag, host) = (&self.tag, &self.params.host);
-        let link = &mut self.links[place];
-        if link.state != LinkState::Up || !link.takes(most) {
+        let link = &mut self.links[link_index];
+        if link.state != LinkState::Up || !link.can_queue(most) {
             return;
         }
         let to = link.address;
@@ -532,16 +534,16 @@
         self.counters.probes += 1;
     }
 
-    fn probe_answered(&mut self, now: f64, place: usize, name: &str, status: u16, message: &Message) {
+    fn probe_answered(&mut self, now: f64, link_index: usize, name: &str, status: u16, message: &Message) {
         let serial = name.strip_prefix(self.tag.as_str()).and_then(|n| n.strip_prefix('-'));
         let serial = serial.and_then(|s| u32::from_str_radix(s, 16).ok());
-        let link = &mut self.links[place];
+        let link = &mut self.links[link_index];
         if status < 200 || serial.is_none() || link.probe != serial {
             return;
         }
         link.probe = None;
-        let (pool, report) = (link.pool, outcome::report(message));
-        link.seen.wait = report.wait.or(link.seen.wait);
+        let (pool, report) = (link.pool, server_answer::load_report(message));
+        link.observations.reported_wait = report.wait.or(link.observations.reported_wait);
         let probed = (200..300).contains(&status);
         self.control.handle(now, RouterInput::PoolReport { pool, probed, report });
     }
--- a/crates/front/src/shared.rs
+++ b/crates/front/src/shared_calls.rs
@@ -2,7 +2,7 @@
 //! server says that they are over, or where their front died. Whose a call is, is decided elsewhere; here it is
 //! carried out.
 
-use crate::front::{Due, Front, Leg, LegStage, Stage};
+use crate::front::{AttachStage, Front, Leg, LegStage, TimerEvent};
 use crate::io::{Output, Source};
 use crate::links::{Frame, LegRef};
 use shalespindle_control::interface::Report;
@@ -15,12 +15,12 @@
 use std::net::SocketAddr;
 
 /// An answer on whose call it is comes within this, or the call is nobody's.
-const FOUND_WITHIN: f64 = 0.5;
+const FIND_CALL_TIMEOUT: f64 = 0.5;
 /// Questions out at once; past that a call that is not this front's is nobody's.
-const MOST_ASKED: usize = 4096;
+const MAX_PENDING_QUERIES: usize = 4096;
 
 /// Who waits to hear whose call it is.
-enum Asking {
+enum PendingQuery {
     Caller { source: Source, head: ResponseHead },
     Server { link: usize, connection: u64, head: ResponseHead },
 }
@@ -34,80 +34,86 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Shared {
-    asking: BTreeMap<u64, Asking>,
+pub(crate) struct SharedCalls {
+    pending_queries: BTreeMap<u64, PendingQuery>,
     last_ticket: u64,
-    byes: Slab<ForeignBye>,
+    foreign_byes: Slab<ForeignBye>,
     /// This front's own calls by the names that other fronts know them by.
-    own: HashMap<u64, usize>,
+    own_calls: HashMap<u64, usize>,
 }
 
 impl Front {
     /// Tells others of a call of this front: that it stands by that leg, or stands no more.
-    pub(crate) fn tell_call(&mut self, key: usize, leg: Option<LegRef>) {
+    pub(crate) fn publish_call(&mut self, key: usize, leg: Option<LegRef>) {
         if !self.params.has_peers {
             return;
         }
         let attach = &self.attaches[key];
-        let Some(own) = tag(&attach.called) else { return };
+        let Some(own) = tag(&attach.local) else { return };
         let call = dialog_name(own);
         let record = leg.and_then(|at| Some((at, self.leg(at)?))).map(|(at, leg)| {
             let caller = match attach.source {
                 Source::Datagram(from) => Some(from),
                 Source::Stream(_) => None,
             };
-            let target = if attach.contact.is_empty() { address(&attach.caller) } else { &attach.contact };
+            let target = if attach.contact.is_empty() { address(&attach.remote) } else { &attach.contact };
             Box::new(CallWord {
                 epoch: 1,
                 server: self.links[leg.link].address,
                 leg_call_id: format!("{}-{:x}-{:x}", self.tag, at.key, at.serial),
                 leg_from: leg.from.to_string(),
                 leg_to: leg.to.to_string(),
-                leg_target: leg.target.to_string(),
+                leg_target: leg.remote_target.to_string(),
                 call_id: attach.call_id.to_string(),
-                local: attach.called.to_string(),
-                remote: attach.caller.to_string(),
+                local: attach.local.to_string(),
+                remote: attach.remote.to_string(),
                 target: target.to_string(),
                 caller,
             })
         });
         match record {
-            Some(_) => self.shared.own.insert(call, key),
-            None => self.shared.own.remove(&call),
+            Some(_) => self.shared_calls.own_calls.insert(call, key),
+            None => self.shared_calls.own_calls.remove(&call),
         };
         self.outputs.push_back(Output::CallChanged { call, record });
     }
 
     /// A caller releases a call that is not this front's; false where nobody can be asked.
-    pub(crate) fn ask_whose_call(&mut self, now: f64, source: Source, message: &Message) -> bool {
+    pub(crate) fn find_call_of_caller(&mut self, now: f64, source: Source, message: &Message) -> bool {
         let Some(name) = message.to().ok().and_then(tag).map(dialog_name) else { return false };
         let head = ResponseHead::of(message, &self.tag);
-        self.ask_whose(now, name, false, Asking::Caller { source, head })
+        self.find_call(now, name, false, PendingQuery::Caller { source, head })
     }
 
     /// A server releases a call that is not this front's.
-    pub(crate) fn ask_whose_leg(&mut self, now: f64, link: usize, message: &Message) -> bool {
+    pub(crate) fn find_call_of_server(&mut self, now: f64, link: usize, message: &Message) -> bool {
         let Some(name) = message.call_id().ok().map(dialog_name) else { return false };
         let (connection, head) = (self.links[link].connection, ResponseHead::of(message, &self.tag));
-        self.ask_whose(now, name, true, Asking::Server { link, connection, head })
+        self.find_call(now, name, true, PendingQuery::Server { link, connection, head })
     }
 
-    fn ask_whose(&mut self, now: f64, name: u64, by_leg: bool, asking: Asking) -> bool {
-        if !self.params.has_peers || self.shared.asking.len() >= MOST_ASKED {
+    fn find_call(&mut self, now: f64, name: u64, by_leg: bool, asking: PendingQuery) -> bool {
+        if !self.params.has_peers || self.shared_calls.pending_queries.len() >= MAX_PENDING_QUERIES {
             return false;
         }
-        self.shared.last_ticket += 1;
-        let ticket = self.shared.last_ticket;
-        self.shared.asking.insert(ticket, asking);
-        self.timers.set(now + FOUND_WITHIN, Due::Whose { ticket });
+        self.shared_calls.last_ticket += 1;
+        let ticket = self.shared_calls.last_ticket;
+        self.shared_calls.pending_queries.insert(ticket, asking);
+        self.timers.set(now + FIND_CALL_TIMEOUT, TimerEvent::FindCall { ticket });
         self.outputs.push_back(Output::FindCall { ticket, name, by_leg });
         true
     }
 
     /// Whose call it is that a caller or a server has released. `known`: it is one of the fleet's; without `call` it
     /// has been released already.
-    pub(crate) fn found(&mut self, now: f64, ticket: u64, known: bool, call: Option<Box<CallWord>>) {
-        let Some(asking) = self.shared.asking.remove(&ticket) else {
+    pub(crate) fn find_call_result(
+        &mut self,
+        now: f64,
+        ticket: u64,
+        known: bool,
+        call: Option<Box<CallWord>>,
+    ) {
+        let Some(asking) = self.shared_calls.pending_queries.remove(&ticket) else {
             // Answered too late: whoever asked was told that it is nobody's, so both sides are released.
             if let Some(call) = call {
                 self.release_foreign(now, &call, true, true);
@@ -115,12 +121,12 @@
             return;
         };
         let status = if known { 200 } else { 481 };
-        let by_server = matches!(asking, Asking::Server { .. });
+        let by_server = matches!(asking, PendingQuery::Server { .. });
         match asking {
-            Asking::Caller { source, head } => {
+            PendingQuery::Caller { source, head } => {
                 self.send_to_caller(source, Writer::response(status, &head).finish());
             }
-            Asking::Server { link, connection, head } => {
+            PendingQuery::Server { link, connection, head } => {
                 if self.links[link].connection == connection {
                     let answer = Writer::response(status, &head).finish();
                     self.links[link].queue.push_back(Frame::Other(answer));
@@ -149,7 +155,7 @@
             self.counters.unknown_servers += 1;
             return;
         };
-        let serial = self.serial();
+        let serial = self.new_serial();
         let leg = Leg {
             serial,
             stage: LegStage::Releasing,
@@ -158,64 +164,66 @@
             link,
             setup_try: 0,
             sent_at: now,
-            due: now + LONG,
-            uri: call.leg_target.as_str().into(),
+            expires_at: now + LONG,
+            request_uri: call.leg_target.as_str().into(),
             from: call.leg_from.as_str().into(),
             to: call.leg_to.as_str().into(),
-            target: call.leg_target.as_str().into(),
+            remote_target: call.leg_target.as_str().into(),
             call_id: Some(call.leg_call_id.as_str().into()),
         };
         let key = self.legs.insert(leg);
         self.links[link].legs += 1;
-        self.timers.set(now + LONG, Due::Leg { key, serial });
+        self.timers.set(now + LONG, TimerEvent::Leg { key, serial });
         self.queue_bye(LegRef { key, serial });
         // It may not be connected to a server that drains; the release waits for the link.
-        self.connect_when_due(now, link);
+        self.connect_if_allowed(now, link);
     }
 
     fn release_foreign_caller(&mut self, now: f64, call: &CallWord, to: SocketAddr) {
-        let (serial, key) = (self.serial(), self.shared.byes.vacant_key());
+        let (serial, key) = (self.new_serial(), self.shared_calls.foreign_byes.vacant_key());
         let dialog = [&*call.target, &call.local, &call.remote, &call.call_id];
         let bytes = self.caller_bye("UDP", format_args!("{key:x}-{serial:x}-y"), dialog).finish();
         let client = Client::new(now, false);
         let due = client.due();
-        self.shared.byes.insert(ForeignBye { serial, client, to, bytes: bytes.clone() });
-        self.timers.set(due, Due::Foreign { key, serial });
+        self.shared_calls.foreign_byes.insert(ForeignBye { serial, client, to, bytes: bytes.clone() });
+        self.timers.set(due, TimerEvent::ForeignBye { key, serial });
         self.outputs.push_back(Output::Datagram { to, bytes });
     }
 
-    pub(crate) fn foreign_due(&mut self, now: f64, key: usize, serial: u32) {
-        let Some(bye) = self.shared.byes.get_mut(key).filter(|b| b.serial == serial) else { return };
+    pub(crate) fn on_foreign_bye_timer(&mut self, now: f64, key: usize, serial: u32) {
+        let Some(bye) = self.shared_calls.foreign_byes.get_mut(key).filter(|b| b.serial == serial) else {
+            return;
+        };
         match bye.client.tick(now) {
             Todo::Again => {
                 self.outputs.push_back(Output::Datagram { to: bye.to, bytes: bye.bytes.clone() });
             }
-            Todo::GaveUp | Todo::Over => drop(self.shared.byes.remove(key)),
+            Todo::GaveUp | Todo::Over => drop(self.shared_calls.foreign_byes.remove(key)),
             Todo::Nothing => {}
         }
-        if let Some(bye) = self.shared.byes.get(key) {
+        if let Some(bye) = self.shared_calls.foreign_byes.get(key) {
             let due = bye.client.due();
-            self.timers.set(due, Due::Foreign { key, serial });
+            self.timers.set(due, TimerEvent::ForeignBye { key, serial });
         }
     }
 
     /// A caller's answer to such a BYE.
-    pub(crate) fn foreign_answered(&mut self, name: &str) {
-        let Some((key, serial)) = self.own_name(name) else { return };
-        if self.shared.byes.get(key).is_some_and(|b| b.serial == serial) {
-            self.shared.byes.remove(key);
+    pub(crate) fn foreign_bye_answered(&mut self, name: &str) {
+        let Some((key, serial)) = self.parse_own_id(name) else { return };
+        if self.shared_calls.foreign_byes.get(key).is_some_and(|b| b.serial == serial) {
+            self.shared_calls.foreign_byes.remove(key);
         }
     }
 
     /// Another front has released a call of this one in both directions: nothing is left to say.
     pub(crate) fn released_elsewhere(&mut self, now: f64, call: u64) {
-        let Some(&key) = self.shared.own.get(&call) else { return };
-        if self.attaches.get(key).is_none_or(|a| a.stage != Stage::Standing) {
+        let Some(&key) = self.shared_calls.own_calls.get(&call) else { return };
+        if self.attaches.get(key).is_none_or(|a| a.stage != AttachStage::Established) {
             return;
         }
         self.counters.released_by_others += 1;
         if let Some(at) = self.attaches[key].leg {
-            self.over_at_server(now, at, Report::default(), false);
+            self.ended_by_server(now, at, Report::default(), false);
         }
     }
 }
--- a/crates/front/src/sources.rs
+++ b/crates/front/src/sources.rs
@@ -1,7 +1,7 @@
 //! The two sources of servers, as a front follows them: lines of the pool list and look-ups of SRV names go
 //! to the membership module; what it rules goes to the decision module and to the links.
 
-use crate::front::{Due, Front};
+use crate::front::{Front, TimerEvent};
 use crate::io::{Event, Output};
 use crate::params::{DnsParams, FirstChoice, Params};
 use crate::pool_list::{PoolList, RejectedLine};
@@ -17,7 +17,7 @@
 const NO_POOL: u16 = u16::MAX;
 
 /// Pools that DNS alone may number.
-const MOST_NUMBERED: usize = 1024;
+const MAX_DNS_POOLS: usize = 1024;
 
 /// What a front keeps of its sources.
 pub(crate) struct Sources {
@@ -25,10 +25,10 @@
     pub members: Membership,
     dns: Option<Dns>,
     /// First choices of the trunk groups that DNS deals, by their places; dealt anew at each ruling.
-    dealt: Vec<u16>,
-    wake: f64,
+    dns_first_choices: Vec<u16>,
+    timer_at: f64,
     /// Something was reported since the last ruling.
-    stirred: bool,
+    changed: bool,
 }
 
 struct Dns {
@@ -36,7 +36,7 @@
     numbers: Numbers,
     names: Vec<String>,
     /// What the last look-up of each name came to, and when.
-    last: Vec<Option<(f64, &'static str)>>,
+    last_results: Vec<Option<(f64, &'static str)>>,
 }
 
 /// A name that is looked up, for operators.
@@ -57,9 +57,9 @@
             list: PoolList::default(),
             members,
             dns,
-            dealt: Vec::new(),
-            wake: f64::INFINITY,
-            stirred: true,
+            dns_first_choices: Vec::new(),
+            timer_at: f64::INFINITY,
+            changed: true,
         }
     }
 }
@@ -68,9 +68,9 @@
     fn new(params: &DnsParams, seed: u64, now: f64) -> Dns {
         Dns {
             resolver: Resolver::new(params.resolver.clone(), seed, now),
-            numbers: Numbers::new(params.pools.clone(), params.first_pool, MOST_NUMBERED),
+            numbers: Numbers::new(params.pools.clone(), params.first_pool, MAX_DNS_POOLS),
             names: params.resolver.names.iter().map(|n| n.to_string()).collect(),
-            last: vec![None; params.resolver.names.len()],
+            last_results: vec![None; params.resolver.names.len()],
         }
     }
 
@@ -97,7 +97,7 @@
 impl Front {
     /// What the last run knew, `age` seconds ago. Call it before the first report.
     pub fn restore(&mut self, now: f64, age: f64, remembered: &[Remembered]) {
-        self.sources.stirred = true;
+        self.sources.changed = true;
         self.sources.members.restore(now, age, remembered);
     }
 
@@ -126,14 +126,14 @@
         let Some(dns) = &self.sources.dns else { return Vec::new() };
         let one = |(place, name): (usize, &String)| NameStatus {
             name: name.clone(),
-            last: dns.last[place].map(|(at, what)| (what, now - at)),
+            last: dns.last_results[place].map(|(at, what)| (what, now - at)),
             next_in: dns.resolver.next_lookup(place).map_or(f64::INFINITY, |at| at - now),
         };
         dns.names.iter().enumerate().map(one).collect()
     }
 
     pub(crate) fn feed_bytes(&mut self, now: f64, bytes: &[u8]) {
-        self.sources.stirred = true;
+        self.sources.changed = true;
         if !self.sources.list.push(bytes) {
             self.counters.bad_list_lines += 1;
             self.sources.list.connected();
@@ -161,38 +161,39 @@
         }
     }
 
-    pub(crate) fn warned(&mut self, now: f64, warning: Warning) {
-        self.sources.stirred = true;
+    pub(crate) fn server_warning(&mut self, now: f64, warning: Warning) {
+        self.sources.changed = true;
         self.sources.members.warned(now, warning);
     }
 
     pub(crate) fn feed_lost(&mut self, now: f64) {
-        self.sources.stirred = true;
+        self.sources.changed = true;
         self.sources.members.feed_lost(now);
         self.event(Event::Feed { what: "lost", detail: "the last known list stands".into() });
     }
 
     /// A server that ended its connection is up again.
-    pub(crate) fn came_back(&mut self, now: f64, server: SocketAddr) {
-        self.sources.stirred = true;
+    pub(crate) fn server_reconnected(&mut self, now: f64, server: SocketAddr) {
+        self.sources.changed = true;
         self.sources.members.came_back(now, server);
     }
 
     pub(crate) fn dns(&mut self, now: f64, report: In) {
-        self.sources.stirred = true;
+        self.sources.changed = true;
         if let Some(dns) = &mut self.sources.dns {
             dns.resolver.take(now, report);
         }
     }
 
     /// Pulls what the resolver and the membership module have to say until there is nothing more.
-    pub(crate) fn heed_sources(&mut self, now: f64) {
-        if !std::mem::take(&mut self.sources.stirred) {
+    pub(crate) fn update_sources(&mut self, now: f64) {
+        if !std::mem::take(&mut self.sources.changed) {
             return;
         }
-        self.heed_resolver(now);
+        self.poll_resolver(now);
         self.sources.members.settle(now);
-        self.sources.dealt = first_choices(self.sources.members.members(), self.params.dns_groups);
+        self.sources.dns_first_choices =
+            first_choices(self.sources.members.members(), self.params.dns_groups);
         let mut entries = Vec::new();
         let mut changes = Vec::new();
         while let Some(change) = self.sources.members.next_change() {
@@ -200,7 +201,7 @@
                 id: change.name,
                 number: change.pool,
                 started: change.started,
-                ready: change.verdict == Verdict::In && !self.narrowed.leaves_alone(change.name),
+                ready: change.verdict == Verdict::In && !self.site_restriction.excludes(change.name),
             });
             changes.push(change);
         }
@@ -208,27 +209,27 @@
             self.control.handle(now, RouterInput::PoolsListed { entries, whole: false });
         }
         for change in changes {
-            self.listed(now, &change);
+            self.apply_change(now, &change);
         }
         // A server that the list has just named may be of a site that is out.
-        self.leave_alone(now);
+        self.update_excluded(now);
         let resolver = self.sources.dns.as_ref().map_or(f64::INFINITY, |dns| dns.resolver.due());
         let due = resolver.min(self.sources.members.due(now));
-        if due < self.sources.wake {
-            self.sources.wake = due;
-            self.timers.set(due, Due::Sources);
+        if due < self.sources.timer_at {
+            self.sources.timer_at = due;
+            self.timers.set(due, TimerEvent::Sources);
         }
     }
 
-    pub(crate) fn sources_due(&mut self, now: f64) {
-        self.sources.wake = f64::INFINITY;
-        self.sources.stirred = true;
+    pub(crate) fn on_sources_timer(&mut self, now: f64) {
+        self.sources.timer_at = f64::INFINITY;
+        self.sources.changed = true;
         if let Some(dns) = &mut self.sources.dns {
             dns.resolver.tick(now);
         }
     }
 
-    fn heed_resolver(&mut self, now: f64) {
+    fn poll_resolver(&mut self, now: f64) {
         let Some(dns) = &mut self.sources.dns else { return };
         while let Some(out) = dns.resolver.next_out() {
             match out {
@@ -242,7 +243,7 @@
                         Outcome::Empty => "empty",
                         Outcome::Failed => "failed",
                     };
-                    dns.last[name] = Some((now, what));
+                    dns.last_results[name] = Some((now, what));
                     let answer = dns.answer(outcome);
                     self.sources.members.answered(now, name, &answer);
                 }
@@ -262,7 +263,9 @@
         let Some(group) = group else { return NO_POOL };
         match self.params.trunk_groups.get(group) {
             Some(FirstChoice::Pool(pool)) => *pool,
-            Some(FirstChoice::Dns(place)) => self.sources.dealt.get(*place).copied().unwrap_or(NO_POOL),
+            Some(FirstChoice::Dns(place)) => {
+                self.sources.dns_first_choices.get(*place).copied().unwrap_or(NO_POOL)
+            }
             None => {
                 self.counters.unknown_trunk_group += 1;
                 NO_POOL
@@ -271,19 +274,19 @@
     }
 
     /// A server's verdict changed: its link follows.
-    fn listed(&mut self, now: f64, change: &Change) {
-        let place = self.link_of(change);
+    fn apply_change(&mut self, now: f64, change: &Change) {
+        let place = self.link_for(change);
         let link = &mut self.links[place];
         link.number = change.pool;
-        link.ready = change.verdict == Verdict::In && !self.narrowed.leaves_alone(change.name);
+        link.ready = change.verdict == Verdict::In && !self.site_restriction.excludes(change.name);
         link.listed = change.verdict != Verdict::Out;
         let is_in = change.verdict == Verdict::In;
         self.event(Event::ServerChanged { change: *change, age: age(now, change.started) });
         if is_in {
-            return self.connect_when_due(now, place);
+            return self.connect_if_allowed(now, place);
         }
-        self.take_back(now, place);
-        self.drain(now, place);
+        self.withdraw_queued(now, place);
+        self.start_drain_timer(now, place);
         self.close_unused(now, place);
     }
 }
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub const GUARD: f64 = 0.5;
-pub const GRACE: f64 = 0.25;
+pub const RELEASE_GUARD: f64 = 0.5;
+pub const DRAIN_GRACE: f64 = 0.25;
 
 pub fn params() -> Params {
     Params {
@@ -26,7 +26,7 @@
             may_probe: true,
             may_cancel: true,
             max_tries: 4,
-            release_guard: GUARD,
+            release_guard: RELEASE_GUARD,
             max_pause: 2.0,
             cold: ColdStart {
                 start_capacity: 0.3,
@@ -51,7 +51,7 @@
         max_queued_frames: 16,
         connect_timeout: 0.5,
         reconnect_pause: (0.1, 2.0),
-        drain_grace: GRACE,
+        drain_grace: DRAIN_GRACE,
         shutdown_timeout: 10.0,
     }
 }
@@ -65,7 +65,7 @@
 }
 
 /// A front and what came out of it.
-pub struct Bench {
+pub struct Harness {
     pub front: Front,
     pub now: f64,
     /// What callers got, oldest first.
@@ -78,26 +78,26 @@
     /// Servers that refuse connections.
     pub refusing: Vec<SocketAddr>,
     /// Servers whose next frame does not fit.
-    pub full: Vec<SocketAddr>,
+    pub full_sockets: Vec<SocketAddr>,
     /// Questions to name servers: ticket, to whom, over TCP, bytes.
     pub questions: Vec<(u64, SocketAddr, bool, Vec<u8>)>,
     sequence: u64,
 }
 
-impl Bench {
+impl Harness {
     /// A front with three servers listed and connected.
-    pub fn new(seed: u64) -> Bench {
-        let mut bench = Bench::bare(Front::new(params(), seed, 1000.0));
-        bench.front.record();
-        bench.list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
+    pub fn new(seed: u64) -> Harness {
+        let mut harness = Harness::without_servers(Front::new(params(), seed, 1000.0));
+        harness.front.record();
+        harness.send_list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
         // Past the time in which a first copy may be an old one.
-        bench.pass(10.0);
-        bench.frames.clear();
-        bench
+        harness.advance(10.0);
+        harness.frames.clear();
+        harness
     }
 
-    pub fn bare(front: Front) -> Bench {
-        Bench {
+    pub fn without_servers(front: Front) -> Harness {
+        Harness {
             front,
             now: 1000.0,
             answers: Vec::new(),
@@ -106,13 +106,13 @@
             closed: Vec::new(),
             events: Vec::new(),
             refusing: Vec::new(),
-            full: Vec::new(),
+            full_sockets: Vec::new(),
             questions: Vec::new(),
             sequence: 0,
         }
     }
 
-    pub fn list(&mut self, whole: bool, servers: &[(u16, &str)]) {
+    pub fn send_list(&mut self, whole: bool, servers: &[(u16, &str)]) {
         self.sequence += 1;
         let rows: Vec<String> = servers
             .iter()
@@ -125,15 +125,15 @@
             self.sequence,
             rows.join(",")
         );
-        self.take(Input::FeedBytes { bytes: line.as_bytes() });
+        self.input(Input::FeedBytes { bytes: line.as_bytes() });
     }
 
-    pub fn take(&mut self, input: Input) {
+    pub fn input(&mut self, input: Input) {
         self.front.take(self.now, self.now, input);
-        self.pull();
+        self.collect_outputs();
     }
 
-    pub fn pull(&mut self) {
+    pub fn collect_outputs(&mut self) {
         self.front.turn(self.now);
         while let Some(output) = self.front.next_output(self.now) {
             match output {
@@ -157,7 +157,7 @@
                 }
                 Output::ToServer { id, bytes } => {
                     let to = *self.links.iter().find(|l| *l.1 == id).expect("a link that is up").0;
-                    if self.full.contains(&to) {
+                    if self.full_sockets.contains(&to) {
                         self.front.take(self.now, self.now, Input::Blocked { id });
                     }
                     let mut framer = shalespindle_signalling::Framer::default();
@@ -178,14 +178,14 @@
     }
 
     /// Moves the clock; what is due comes when it is due.
-    pub fn pass(&mut self, seconds: f64) {
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.front.wake_at() <= until {
             self.now = self.front.wake_at().max(self.now);
-            self.pull();
+            self.collect_outputs();
         }
         self.now = until;
-        self.pull();
+        self.collect_outputs();
     }
 
     pub fn invite(&mut self, call: &str, group: &str, patience_ms: u32) {
@@ -194,20 +194,20 @@
     }
 
     pub fn caller_sends(&mut self, text: &str) {
-        self.take(Input::Datagram { from: caller(), bytes: text.as_bytes() });
+        self.input(Input::Datagram { from: caller(), bytes: text.as_bytes() });
     }
 
     pub fn server_sends(&mut self, n: u16, text: &str) {
         let id = self.links[&server(n)];
-        self.take(Input::LinkBytes { id, bytes: text.as_bytes() });
+        self.input(Input::LinkBytes { id, bytes: text.as_bytes() });
     }
 
     /// The last INVITE that left, and to which server.
-    pub fn last_set_up(&self) -> (SocketAddr, String) {
+    pub fn last_invite_sent(&self) -> (SocketAddr, String) {
         self.frames.iter().rfind(|f| f.1.starts_with("INVITE")).expect("an INVITE").clone()
     }
 
-    pub fn set_ups(&self) -> usize {
+    pub fn invites_sent(&self) -> usize {
         self.count("INVITE")
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Statuses of the answers to INVITEs, 100 left out.
-    pub fn finals(&self) -> Vec<u16> {
+    pub fn final_statuses(&self) -> Vec<u16> {
         let status = |text: &String| {
             let m = Message::parse(text.as_bytes()).unwrap();
             let invite = m.cseq().unwrap().1 == shalespindle_signalling::Method::Invite;
@@ -248,7 +248,7 @@
 }
 
 /// A caller's request inside its transaction or dialog, after the answer `answer`.
-pub fn within(answer: &str, method: &str, branch: &str) -> String {
+pub fn in_dialog_request(answer: &str, method: &str, branch: &str) -> String {
     let m = Message::parse(answer.as_bytes()).unwrap();
     format!(
         "{method} sip:front SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:5070;rport;branch=z9hG4bK{branch}\r\n\
--- /dev/null
+++ b/crates/front/tests/dns.rs
@@ -0,0 +1,173 @@
+//! A front whose servers DNS names.
+
+mod common;
+
+use common::*;
+use shalespindle_front::params::{DnsParams, FirstChoice};
+use shalespindle_front::{Front, Input, Params};
+use shalespindle_membership::Verdict;
+use shalespindle_srv::{In, Name, ResolverParams};
+use shalespindle_standin::nameserver::{Entry, NameServer, Script};
+use std::net::SocketAddr;
+
+fn name(text: &str) -> Name {
+    Name::from_ascii(text).unwrap()
+}
+
+fn service() -> Name {
+    name("_sip._tcp.auth.example.org.")
+}
+
+fn with_dns() -> Params {
+    Params {
+        // Groups 0 and 1 are dealt by the records.
+        trunk_groups: [
+            ("tg-0".to_string(), FirstChoice::Dns(0)),
+            ("tg-1".to_string(), FirstChoice::Dns(1)),
+            ("tg-2".to_string(), FirstChoice::Pool(2)),
+        ]
+        .into(),
+        dns_groups: 2,
+        dns: Some(DnsParams {
+            resolver: ResolverParams {
+                upstreams: vec![SocketAddr::from(([127, 0, 0, 1], 53))],
+                names: vec![service()],
+                try_within: 1.0,
+                tries: 3,
+                lifetime: (2.0, 600.0),
+                negative_longest: 5.0,
+                early: 0.3,
+                pause: (1.0, 8.0),
+                start_spread: 0.0,
+                udp_size: 1232,
+                most_records: 100,
+            },
+            pools: [("s0.example.org.".to_string(), 0), ("s1.example.org.".to_string(), 1)].into(),
+            first_pool: 2,
+        }),
+        ..params()
+    }
+}
+
+/// Targets by number, at the addresses of the harness's servers; each with its priority.
+fn publish(name_server: &mut NameServer, targets: &[(u16, u16, u16)]) {
+    let entry = |&(n, at, priority): &(u16, u16, u16)| Entry {
+        target: name(&format!("s{n}.example.org.")),
+        port: server(at).port(),
+        priority,
+        weight: 10,
+    };
+    let entries: Vec<Entry> = targets.iter().map(entry).collect();
+    name_server.publish(&service(), &entries, 10);
+    for entry in &entries {
+        name_server.addresses(&entry.target, &[server(0).ip()], 10);
+    }
+}
+
+/// Answers what the front asks until it asks nothing.
+fn answer_queries(harness: &mut Harness, name_server: &mut NameServer) {
+    while let Some((ticket, to, tcp, bytes)) = harness.questions.pop() {
+        let question = if tcp { &bytes[2..] } else { &bytes[..] };
+        for reply in name_server.ask(harness.now, question, tcp) {
+            if tcp {
+                let framed = [&(reply.bytes.len() as u16).to_be_bytes()[..], &reply.bytes].concat();
+                harness.input(Input::Dns(In::Stream { ticket, bytes: &framed }));
+            } else {
+                harness.input(Input::Dns(In::Datagram { ticket, from: to, bytes: &reply.bytes }));
+            }
+        }
+    }
+}
+
+/// Passes time in small steps, answering questions.
+fn advance(harness: &mut Harness, name_server: &mut NameServer, seconds: f64) {
+    for _ in 0..(seconds * 10.0).round() as usize {
+        harness.advance(0.1);
+        answer_queries(harness, name_server);
+    }
+}
+
+fn started_front(targets: &[(u16, u16, u16)]) -> (Harness, NameServer) {
+    let mut name_server = NameServer::new(name("example.org."), 3);
+    publish(&mut name_server, targets);
+    let mut harness = Harness::without_servers(Front::new(with_dns(), 1, 1000.0));
+    // What DNS alone names is cold at first: past that.
+    advance(&mut harness, &mut name_server, 20.0);
+    harness.frames.clear();
+    (harness, name_server)
+}
+
+fn verdict(harness: &Harness, at: u16) -> Option<Verdict> {
+    harness.front.members().find(|m| m.address() == server(at)).map(|m| m.verdict())
+}
+
+fn accept(harness: &mut Harness, at: u16, invite_sent: &str) {
+    harness.server_sends(at, &reply(invite_sent, 200, "Contact: <sip:x@10.0.0.1>\r\n"));
+}
+
+#[test]
+fn dns_alone_provides_servers_and_first_choices_by_priority() {
+    let (mut harness, _core) = started_front(&[(0, 0, 20), (1, 1, 10)]);
+    harness.invite("1", "tg-0", 3000);
+    assert_eq!(
+        harness.last_invite_sent().0,
+        server(1),
+        "the lower priority is the first choice of every group"
+    );
+    harness.invite("2", "tg-1", 3000);
+    assert_eq!(harness.last_invite_sent().0, server(1));
+}
+
+#[test]
+fn a_call_survives_an_address_change_of_its_target() {
+    let (mut harness, mut name_server) = started_front(&[(0, 0, 10), (1, 1, 20)]);
+    harness.invite("1", "tg-0", 3000);
+    let (to, invite_sent) = harness.last_invite_sent();
+    assert_eq!(to, server(0));
+    accept(&mut harness, 0, &invite_sent);
+    assert_eq!(harness.front.established(), 1);
+    let answered = harness.answers.last().unwrap().clone();
+    harness.caller_sends(&in_dialog_request(&answered, "ACK", "a"));
+    // The same name, another address.
+    publish(&mut name_server, &[(0, 2, 10), (1, 1, 20)]);
+    advance(&mut harness, &mut name_server, 11.0);
+    assert_eq!((verdict(&harness, 0), verdict(&harness, 2)), (Some(Verdict::Draining), Some(Verdict::In)));
+    // It is cold where it is now; then it is the first choice again.
+    advance(&mut harness, &mut name_server, 20.0);
+    harness.frames.clear();
+    harness.invite("2", "tg-0", 3000);
+    assert_eq!(harness.last_invite_sent().0, server(2), "new ones go where it is now");
+    assert_eq!(harness.front.established(), 1, "what stood stands");
+    harness.caller_sends(&in_dialog_request(&answered, "BYE", "b"));
+    let bye = harness.frames.iter().find(|f| f.1.starts_with("BYE")).expect("released where it stands");
+    assert_eq!(bye.0, server(0));
+}
+
+#[test]
+fn truncated_answers_are_read_over_tcp_while_the_list_drains_a_server() {
+    let (mut harness, mut name_server) = started_front(&[(0, 0, 10), (1, 1, 10)]);
+    name_server.script = Script::Truncates;
+    harness.send_list(true, &[(0, "ready"), (1, "ready")]);
+    advance(&mut harness, &mut name_server, 5.0);
+    harness.send_list(false, &[(0, "draining")]);
+    harness.frames.clear();
+    for n in 0..20 {
+        advance(&mut harness, &mut name_server, 0.5);
+        harness.invite(&format!("{}", 100 + n), "tg-0", 3000);
+        let (to, invite_sent) = harness.last_invite_sent();
+        assert_eq!(to, server(1), "DNS over TCP still names the other, but the list drains it");
+        accept(&mut harness, 1, &invite_sent);
+    }
+    assert!(name_server.asked.len() > 4 && verdict(&harness, 0) == Some(Verdict::Draining));
+}
+
+#[test]
+fn a_silent_name_server_removes_no_server() {
+    let (mut harness, mut name_server) = started_front(&[(0, 0, 10), (1, 1, 10)]);
+    name_server.script = Script::Silent;
+    advance(&mut harness, &mut name_server, 100.0);
+    assert_eq!((verdict(&harness, 0), verdict(&harness, 1)), (Some(Verdict::In), Some(Verdict::In)));
+    assert!(harness.front.members().all(|m| m.warned()), "with a warning by now");
+    harness.invite("1", "tg-0", 3000);
+    assert_eq!(harness.invites_sent(), 1);
+}
--- a/crates/front/tests/fuzz.rs
+++ b/crates/front/tests/fuzz.rs
@@ -40,34 +40,34 @@
 }
 
 /// Requests of callers and answers of servers that belong to attaches this front has in hand.
-fn seeds(b: &mut Bench) -> Vec<String> {
+fn seeds(harness: &mut Harness) -> Vec<String> {
     let mut all = Vec::new();
     for call in 0..8 {
         let text = invite(&format!("{call}"), "tg-0", 8000);
-        b.caller_sends(&text);
+        harness.caller_sends(&text);
         // Its 100 comes after 200 ms and names the dialog.
-        b.pass(0.25);
-        let (_, set_up) = b.last_set_up();
+        harness.advance(0.25);
+        let (_, invite_sent) = harness.last_invite_sent();
         for status in [100, 180, 200, 480, 486, 487, 503] {
             all.push(reply(
-                &set_up,
+                &invite_sent,
                 status,
                 "Retry-After: 1;ms=20\r\nReason: Q.850;cause=34\r\nFree-Lines: 3\r\n",
             ));
         }
         all.push(text.replace("INVITE sip", "CANCEL sip").replace("1 INVITE", "1 CANCEL"));
-        all.push(within(b.answers.last().unwrap(), "BYE", "x"));
-        all.push(within(b.answers.last().unwrap(), "ACK", "y"));
+        all.push(in_dialog_request(harness.answers.last().unwrap(), "BYE", "x"));
+        all.push(in_dialog_request(harness.answers.last().unwrap(), "ACK", "y"));
         all.push(text);
     }
     all
 }
 
 #[test]
-fn a_million_mutated_messages_do_no_harm() {
+fn a_million_mutated_messages_cause_no_panic_and_no_memory_growth() {
     let mut rng = ChaCha8Rng::seed_from_u64(20261201);
-    let mut b = Bench::new(1);
-    let seeds = seeds(&mut b);
+    let mut harness = Harness::new(1);
+    let seeds = seeds(&mut harness);
     let (mut read, mut most) = (0u32, (0, 0));
     for round in 0..1_000_000u32 {
         let bytes = mutated(&seeds, &mut rng);
@@ -79,36 +79,39 @@
         }
         // The front gets every tenth, by each way in, and now and then time.
         match round % 40 {
-            0 => b.take(Input::Datagram { from: caller(), bytes: &bytes }),
-            10 => b.take(Input::CallerBytes { stream: u64::from(round % 7), bytes: &bytes }),
+            0 => harness.input(Input::Datagram { from: caller(), bytes: &bytes }),
+            10 => harness.input(Input::CallerBytes { stream: u64::from(round % 7), bytes: &bytes }),
             20 => {
-                if let Some(&id) = b.links.get(&server((round / 40 % 3) as u16)) {
-                    b.take(Input::LinkBytes { id, bytes: &bytes });
+                if let Some(&id) = harness.links.get(&server((round / 40 % 3) as u16)) {
+                    harness.input(Input::LinkBytes { id, bytes: &bytes });
                 }
             }
-            30 => b.take(Input::FeedBytes { bytes: &bytes }),
+            30 => harness.input(Input::FeedBytes { bytes: &bytes }),
             _ => {}
         }
         if round % 4000 == 0 {
-            b.pass(0.5);
-            let held = b.front.record_counts();
+            harness.advance(0.5);
+            let held = harness.front.record_counts();
             most = (most.0.max(held.0), most.1.max(held.1));
-            b.answers.clear();
-            b.frames.clear();
-            b.events.clear();
+            harness.answers.clear();
+            harness.frames.clear();
+            harness.events.clear();
         }
     }
     assert!(read > 100_000, "enough of them are still messages: {read}");
     assert!(most.0 <= 8 * 200 && most.1 <= 8 * 200, "{most:?}");
-    b.pass(100.0);
-    assert_eq!(b.front.pending(), 0, "all were answered");
-    b.take(Input::FeedConnected);
-    b.list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
-    assert_eq!(b.front.members().filter(|m| m.verdict() == Verdict::In).count(), 3);
-    b.pass(5.0);
-    let offered = b.front.counters().offered;
-    b.answers.clear();
-    b.invite("77777", "tg-0", 3000);
-    b.pass(3.0);
-    assert!(b.front.counters().offered == offered + 1 && !b.finals().is_empty(), "and it still serves");
+    harness.advance(100.0);
+    assert_eq!(harness.front.pending(), 0, "all were answered");
+    harness.input(Input::FeedConnected);
+    harness.send_list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
+    assert_eq!(harness.front.members().filter(|m| m.verdict() == Verdict::In).count(), 3);
+    harness.advance(5.0);
+    let offered = harness.front.counters().offered;
+    harness.answers.clear();
+    harness.invite("77777", "tg-0", 3000);
+    harness.advance(3.0);
+    assert!(
+        harness.front.counters().offered == offered + 1 && !harness.final_statuses().is_empty(),
+        "and it still serves"
+    );
 }
