--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -1,4 +1,4 @@
-//! The front's state and its turn: reports in, due times, decisions pulled until none is left, outputs out.
+//! The front's state and its event loop step: inputs, expired timers, decisions and outputs.
 
 use crate::io::{Counters, Event, FinalAnswer, Input, LinkId, Outcome, Output, Source};
 use crate::links::{Frame, LegRef, Link, LinkState};
@@ -20,73 +20,54 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Bytes from which no further frame joins a write: well under what an idle socket takes.
+/// A write of this many bytes takes no further frames; an idle socket accepts far more at once.
 const WRITE_BATCH_BYTES: usize = 8 * 1024;
 
-/// Least time between two looks at the levels for time's sake, seconds.
+/// Minimum interval between two timer-driven updates of the levels, seconds.
 const MIN_LEVEL_INTERVAL: f64 = 0.01;
-/// Lateness from which this front itself, not its servers, was slow, seconds.
+/// Delay in handling from which this front itself, not its servers, counts as slow, seconds.
 const STALL_THRESHOLD: f64 = 0.25;
 
-/// What falls due.
+/// What a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerEvent {
-    /// The level of reduced service may move by time alone.
+    /// The level of reduced service may change by time alone.
     Level,
-    /// Resolver or membership module asked to be woken.
+    /// The resolver or the membership module asked to be called.
     Sources,
-    /// The fleet is told what this front sees of sites.
+    /// Report observations of sites to the fleet.
     SiteReport,
-    /// Nobody has said whose call that is.
-    FindCall {
-        ticket: u64,
-    },
-    /// A BYE towards the caller of another front's call.
-    ForeignBye {
-        key: usize,
-        serial: u32,
-    },
-    /// The decision module asked to be woken.
+    /// No front has answered [`Output::FindCall`] in time.
+    FindCall { ticket: u64 },
+    /// Retransmission or timeout of a BYE towards the caller of another front's call.
+    ForeignBye { key: usize, serial: u32 },
+    /// The decision module asked to be called.
     Control,
-    /// The time-out of the leg with that key and serial number.
-    Leg {
-        key: usize,
-        serial: u32,
-    },
-    /// The caller's transaction of that attach.
-    CallerTransaction {
-        key: usize,
-        serial: u32,
-    },
-    /// A request of our own towards a caller, or a release towards a server.
-    CallerBye {
-        key: usize,
-        serial: u32,
-    },
-    /// The drain of that link's server is so old that nothing half sent may go on.
-    DrainGrace {
-        link: usize,
-        connection: u64,
-    },
-    /// Connect again, or give a connection up.
-    Link {
-        link: usize,
-        connection: u64,
-    },
+    /// Timeout of the leg with that key and serial number.
+    Leg { key: usize, serial: u32 },
+    /// The INVITE transaction with the caller of that attach.
+    CallerTransaction { key: usize, serial: u32 },
+    /// Retransmission or timeout of this front's BYE to the caller of that attach.
+    CallerBye { key: usize, serial: u32 },
+    /// A half-written frame must not be continued: the drain of that link's server began too long ago.
+    DrainGrace { link: usize, connection: u64 },
+    /// Reconnect, or give up a connection attempt.
+    Link { link: usize, connection: u64 },
+    /// A graceful shutdown has waited long enough for established attaches.
     Shutdown,
 }
 
-/// What an attach is doing.
+/// State of an attach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttachStage {
     /// No final answer yet.
     Pending,
     Established,
-    /// Answered and over; kept only to meet repeats.
+    /// Answered and ended; remembered only to answer retransmissions.
     Ended,
 }
 
-/// One attach: its caller's side.
+/// One attach, as seen from its caller's side.
 pub(crate) struct Attach {
     pub serial: u32,
     pub ue: UeId,
@@ -95,47 +76,49 @@
     pub transaction: Box<str>,
     pub response_head: ResponseHead,
     pub call_id: Box<str>,
-    /// The caller's From value, where our own requests to it go.
+    /// The caller's From value, to which this front's own requests go.
     pub remote: Box<str>,
+    /// The caller's To value with this front's tag.
     pub local: Box<str>,
     pub contact: Box<str>,
     pub called_number: Box<str>,
     pub session: Box<str>,
-    /// Header lines that go on to the server as they came.
+    /// Header lines that are forwarded to the server unchanged.
     pub relayed_headers: Box<str>,
     pub body: Box<[u8]>,
     pub max_forwards: u32,
     pub arrived_at: f64,
+    /// End of the caller's patience, less the margin for the answer's way back.
     pub gives_up_at: f64,
     pub established_at: f64,
-    /// The leg that is out or stands.
+    /// The leg of the current try, or of the established call.
     pub leg: Option<LegRef>,
     pub tries: u32,
     pub last_server: Option<SocketAddr>,
     pub invite_server: InviteServer,
-    /// The last answer, for repeats.
+    /// The last answer, for retransmissions.
     pub last_answer: Vec<u8>,
-    /// Our BYE to the caller.
+    /// This front's BYE to the caller.
     pub bye: Option<(Client, Vec<u8>)>,
     pub remove_at: f64,
-    /// By which the levels judge how it ended.
+    /// Identifies the attach to the levels, which evaluate how it ended.
     pub level_ticket: Option<Ticket>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LegStage {
-    /// The INVITE waits for its socket.
+    /// The INVITE waits for its socket and can still be withdrawn.
     Queued,
-    /// Sent, no final answer.
+    /// The INVITE was sent and has no final answer.
     Sent,
-    /// Given up by CANCEL; a late 200 is met with ACK and BYE.
+    /// Given up with CANCEL; a late 200 is answered with ACK and BYE.
     Cancelled,
     Established,
-    /// BYE is on its way.
+    /// The BYE is queued or sent.
     Releasing,
 }
 
-/// One setup try, and the server's side of the attach that stands by it.
+/// One setup try and, if it succeeds, the server's side of the established attach.
 pub(crate) struct Leg {
     pub serial: u32,
     pub stage: LegStage,
@@ -144,13 +127,13 @@
     pub link: usize,
     pub setup_try: u32,
     pub sent_at: f64,
-    /// Time-out of the try; later, when the leg is forgotten.
+    /// Timeout of the try; once it has ended, the time at which the leg is removed.
     pub expires_at: f64,
     pub request_uri: Box<str>,
     pub from: Box<str>,
     pub to: Box<str>,
     pub remote_target: Box<str>,
-    /// Of another front's dialog with the server; none: this front's own.
+    /// Call-ID of another front's dialog with the server; none: a dialog of this front.
     pub call_id: Option<Box<str>>,
 }
 
@@ -158,11 +141,11 @@
 #[derive(Default)]
 pub(crate) struct CallerStream {
     pub framer: Framer,
-    /// Since when part of a message is held.
+    /// Since when an incomplete message has been buffered.
     pub partial_since: Option<f64>,
 }
 
-/// One front. See the crate's page for how it is driven.
+/// One front. The crate's documentation says how it is driven.
 pub struct Front {
     pub(crate) params: Params,
     pub(crate) started: f64,
@@ -170,7 +153,7 @@
     pub(crate) levels: Option<Levels>,
     level_timer_at: f64,
     pub(crate) rng: ChaCha8Rng,
-    /// Tells this front's names of dialogs and transactions from another's.
+    /// Prefix of all tags, branches and Call-IDs of this front, which distinguishes them from another front's.
     pub(crate) tag: String,
     pub(crate) sources: Sources,
     pub(crate) links: Vec<Link>,
@@ -189,19 +172,19 @@
     pub(crate) established: usize,
     pub(crate) shared_calls: SharedCalls,
     pub(crate) site_restriction: SiteRestriction,
-    /// Since when it takes nothing new.
+    /// Since when new attaches have been refused.
     shutdown_started: Option<f64>,
 }
 
 impl Front {
     pub fn new(params: Params, seed: u64, now: f64) -> Front {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // The module's chance is its own, so that what the front draws never shifts a decision.
+        // The decision module has its own random generator, so that the front's draws never change a decision.
         let control = Box::new(Control::new(rng.random(), params.deployment.clone(), now));
         Front::build(params, rng, control, now)
     }
 
-    /// A front whose decisions come from something else: baselines and planted faults of the lab.
+    /// Creates a front whose decisions come from another router: the lab's baselines and faulty routers.
     pub fn with_router(params: Params, seed: u64, router: Box<dyn Router>, now: f64) -> Front {
         Front::build(params, ChaCha8Rng::seed_from_u64(seed), router, now)
     }
@@ -242,12 +225,12 @@
         front
     }
 
-    /// The seed that the decision module of a front made with `seed` gets, for replays.
+    /// Returns the seed of the decision module in a front created with `seed`, for replays.
     pub fn control_seed(seed: u64) -> u64 {
         ChaCha8Rng::seed_from_u64(seed).random()
     }
 
-    /// Keeps all that the module is told from now on.
+    /// Records all inputs to the decision module from now on.
     pub fn record(&mut self) {
         self.control.record();
     }
@@ -260,7 +243,7 @@
         self.counters
     }
 
-    /// Its name in Via and Contact.
+    /// The front's host name in Via and Contact.
     pub fn host(&self) -> &str {
         &self.params.host
     }
@@ -269,21 +252,22 @@
         self.started
     }
 
-    /// Attaches without a final answer.
+    /// Number of attaches without a final answer.
     pub fn pending(&self) -> usize {
         self.pending
     }
 
+    /// Number of established attaches.
     pub fn established(&self) -> usize {
         self.established
     }
 
-    /// Legs and attaches held in any state, for bounds on memory.
+    /// Number of attaches and legs in memory, in any stage.
     pub fn record_counts(&self) -> (usize, usize) {
         (self.attaches.len(), self.legs.len())
     }
 
-    /// Asked to end, with nothing left in hand and no attach standing.
+    /// A shutdown was requested, and no attach is pending or established.
     pub fn is_done(&self) -> bool {
         self.shutdown_started.is_some() && self.pending == 0 && self.established == 0
     }
@@ -292,11 +276,11 @@
         self.shutdown_started.is_some()
     }
 
-    /// Takes one report. `arrived` is when its bytes came at the latest known time before they were read:
-    /// the same as `now` unless the host was held up, see docs/design-notes/front.md.
+    /// Takes one input. `arrived` is the latest time by which its bytes are known to have arrived: the same as
+    /// `now` unless the host was stalled, see docs/design-notes/front.md.
     pub fn take(&mut self, now: f64, arrived: f64, input: Input) {
-        // Guards rule 1 where this front was held up: what is overdue counts before what comes late, so that
-        // an answer past its try's time-out is a late one.
+        // Rule 1 after a stall of this front: expired timers run before the input, so that an answer that comes
+        // after its try's timeout is treated as late.
         let overdue = now - self.timers.next();
         if overdue > STALL_THRESHOLD || now - arrived > STALL_THRESHOLD {
             if let Some(levels) = &mut self.levels {
@@ -328,8 +312,8 @@
         }
     }
 
-    /// Handles what is due and pulls decisions until there are none. Call it after reports, and at
-    /// [`Front::wake_at`]; then pull outputs.
+    /// Runs expired timers and carries out decisions until there are none. Call it after inputs and at
+    /// [`Front::wake_at`], then pull outputs.
     pub fn turn(&mut self, now: f64) {
         self.run_timers(now);
         self.update_sources(now);
@@ -361,7 +345,7 @@
         }
     }
 
-    /// What the levels have to say since the last turn, and when they want to be asked again.
+    /// Logs changes of the level since the last turn and sets the timer for the next update.
     fn poll_levels(&mut self, now: f64) {
         let Some(levels) = &mut self.levels else { return };
         while let Some(change) = levels.next_change() {
@@ -372,45 +356,45 @@
         let due = levels.due();
         if due < self.level_timer_at {
             self.level_timer_at = due;
-            // Never at once again: a turn must come to an end whatever the levels ask for.
+            // Not immediately: a turn must end whatever time the levels ask for.
             self.timers.set(due.max(now + MIN_LEVEL_INTERVAL), TimerEvent::Level);
         }
     }
 
-    /// Level of reduced service now, with its reason; none where levels are off.
+    /// Returns the level of reduced service and a description of what it admits; none if levels are off.
     pub fn level(&mut self, now: f64) -> Option<(Status, String)> {
         let levels = self.levels.as_mut()?;
         let status = levels.status(now);
         Some((status, levels.takes_in_words(status.level)))
     }
 
-    /// Holds a level for so many seconds, or with `None` ends a pin; false where there is no such level.
-    /// Call [`Front::turn`] after it.
+    /// Pins a level for the given seconds, or with `None` removes the pin. Returns false if there is no such
+    /// level, or no pin to remove. Call [`Front::turn`] after it.
     pub fn pin_level(&mut self, now: f64, pin: Option<(usize, f64)>) -> bool {
         let Some(levels) = &mut self.levels else { return false };
-        let held = match pin {
+        let done = match pin {
             Some((level, seconds)) => levels.pin(now, level, now + seconds),
             None => levels.unpin(now),
         };
-        if held {
+        if done {
             let (level, seconds) = pin.map_or((None, 0.0), |(level, seconds)| (Some(level), seconds));
             self.event(Event::LevelPinned { level, seconds });
         }
-        held
+        done
     }
 
-    /// How many levels there are beside full service.
+    /// Number of the deepest level; 0 is full service.
     pub fn deepest_level(&self) -> usize {
         self.params.levels.as_ref().map_or(0, |levels| levels.steps.len())
     }
 
-    /// When [`Front::turn`] must be called at the latest; infinite when nothing is due.
+    /// Returns when [`Front::turn`] must be called at the latest; infinite if no timer is set.
     pub fn wake_at(&self) -> f64 {
         self.timers.next()
     }
 
-    /// The next thing for the host to do. Frames to servers come last, those of one link together: after a
-    /// write that does not fit, report [`Input::Blocked`] before the next pull.
+    /// Returns the next output for the host. Frames to servers come last, those of one link in one write. After
+    /// a write that does not fit into its socket, report [`Input::Blocked`] before the next pull.
     pub fn next_output(&mut self, now: f64) -> Option<Output> {
         if let Some(output) = self.outputs.pop_front() {
             return Some(output);
@@ -423,7 +407,7 @@
         None
     }
 
-    /// The frames that leave together: as many as fit into one write. None of them can be taken back after.
+    /// Takes the frames of one write from a link's queue. They cannot be withdrawn afterwards.
     fn next_write(&mut self, now: f64, link_index: usize) -> Option<Vec<u8>> {
         let link = &mut self.links[link_index];
         if link.blocked || link.state != LinkState::Up || link.queue.is_empty() {
@@ -450,7 +434,7 @@
                     let Some(leg) = self.legs.get_mut(at.key).filter(|l| l.serial == at.serial) else {
                         continue;
                     };
-                    // Guards rules 1 and 3: taken back, or due to be, while it waited.
+                    // Rules 1 and 3: the set-up was withdrawn, timed out or lost its server while it waited.
                     if leg.stage != LegStage::Queued || now >= leg.expires_at || !link.ready {
                         continue;
                     }
@@ -491,7 +475,7 @@
         self.event(Event::BadInput { from, why });
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
     fn begin_shutdown(&mut self, now: f64) {
         if self.shutdown_started.is_none() {
@@ -501,7 +485,7 @@
         }
     }
 
-    /// Standing attaches have held up the end for long enough.
+    /// Releases all established attaches when the shutdown timeout has expired.
     fn release_established(&mut self, now: f64) {
         let keys: Vec<usize> = self
             .attaches
@@ -516,7 +500,7 @@
 
     // ---- final answers ----
 
-    /// The one final answer of an attach, for the log and the counts.
+    /// Records the one final answer of an attach in the log, the counters and the levels.
     pub(crate) fn record_outcome(
         &mut self,
         now: f64,
--- a/crates/front/src/io.rs
+++ b/crates/front/src/io.rs
@@ -1,4 +1,4 @@
-//! What goes into a front and what comes out of it.
+//! Inputs, outputs and log events of a front, and its counters.
 
 use serde::{Deserialize, Serialize};
 use shalespindle_levels::Why;
@@ -8,23 +8,24 @@
 use shalespindle_srv::{In, Step, Ticket};
 use std::net::SocketAddr;
 
-/// Where a caller's message came from, and where its answers go.
+/// Transport address that a caller's message came from and that its answers go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
     Datagram(SocketAddr),
-    /// A caller's connection, by the host's number for it; a number is not used twice.
+    /// A caller's connection, by the number that the host gave it. Numbers are not reused.
     Stream(u64),
 }
 
-/// One connection to one server; a link that is connected again has a new `connection`.
+/// One connection to one server. Each reconnect of a link gets a new `connection` number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LinkId {
+    /// Index of the link within the front.
     pub link: usize,
     pub connection: u64,
 }
 
-/// What the host reports. Reports only update what is known; the host then calls [`crate::Front::turn`]
-/// and pulls outputs until there are none.
+/// What the host reports. An input only updates the front's state; the host then calls
+/// [`crate::Front::turn`] and pulls outputs until there are none.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
     Datagram {
@@ -49,11 +50,11 @@
         id: LinkId,
         bytes: &'a [u8],
     },
-    /// The last frame pulled for this link did not fit into its socket; the host keeps the rest.
+    /// The last write pulled for this link did not fit into its socket; the host buffers the rest.
     Blocked {
         id: LinkId,
     },
-    /// All that was kept is written.
+    /// Everything that the host had buffered for this link is written.
     Writable {
         id: LinkId,
     },
@@ -62,26 +63,26 @@
         bytes: &'a [u8],
     },
     FeedLost,
-    /// What became of a question to a name server.
+    /// An answer to a DNS query, or the loss of its socket.
     Dns(In<'a>),
-    /// What other fronts' lists come to for a server.
+    /// The combined state that other fronts' lists report for a server.
     ServerWarning(Warning),
-    /// What became of a question for a call that another front set up.
+    /// The answer to [`Output::FindCall`].
     FindCallResult {
         ticket: u64,
-        /// It is one of the fleet's; without `call` it has been released already.
+        /// The call belongs to the fleet. If `call` is absent as well, it has been released already.
         known: bool,
         call: Option<Box<CallWord>>,
     },
-    /// A call of this front was released by another, in both directions.
+    /// Another front has released a call of this front, towards both the caller and the server.
     CallReleased {
         call: u64,
     },
-    /// What the fleet's word on sites leaves this front.
+    /// The restrictions that follow for this front from the fleet's decisions on sites.
     SiteRestriction(Narrowing),
-    /// A call of a front that died is to be released in both directions.
+    /// A call of a front that died must be released towards both the caller and the server.
     ReleaseCall(Box<CallWord>),
-    /// Take no new attaches, answer those in hand, then be done.
+    /// Graceful shutdown: refuse new attaches, answer the pending ones, then be done.
     Shutdown,
 }
 
@@ -107,44 +108,44 @@
         id: LinkId,
         bytes: Vec<u8>,
     },
-    /// Close at once and forget what is not written: `reset` asks for a reset, so that nothing written but
-    /// not yet sent leaves either.
+    /// Close at once and discard unwritten bytes. `reset` asks for a TCP reset, which also discards bytes that
+    /// were written to the socket but not sent yet.
     CloseLink {
         id: LinkId,
         reset: bool,
     },
-    /// Ask a name server: on a socket of its own, with a fresh port.
+    /// Send a DNS query from a socket of its own on a fresh port.
     DnsQuery {
         ticket: Ticket,
         to: SocketAddr,
         tcp: bool,
         bytes: Vec<u8>,
     },
-    /// Close that question's socket.
+    /// Close the socket of that DNS query.
     DnsClose {
         ticket: Ticket,
     },
-    /// This front's list told of a server: for other fronts, where there are any.
+    /// A server's state in this front's list, to be forwarded to other fronts.
     ServerListed(Listed),
-    /// What this front sees of sites: for the fleet.
+    /// This front's observations of sites, to be forwarded to the fleet.
     SitesObserved(Observed),
-    /// A call stands here, or stands no more: for other fronts.
+    /// A call of this front was established (`record` is present) or has ended, to be forwarded to other fronts.
     CallChanged {
         call: u64,
         record: Option<Box<CallWord>>,
     },
-    /// Which call is meant that another front may have set up: by the name of its dialog with the caller, or with
-    /// the server. [`Input::FindCallResult`] is due within half a second.
+    /// Look up a call that another front may have set up. `name` is the hashed name of its dialog with the
+    /// caller, or with the server if `by_leg`. [`Input::FindCallResult`] is expected within half a second.
     FindCall {
         ticket: u64,
         name: u64,
         by_leg: bool,
     },
-    /// For the log; carries nothing to do.
+    /// For the log only.
     Event(Event),
 }
 
-/// How an attach ended for its caller, one of the rule's final answers, or its caller left first.
+/// How an attach ended for its caller: one of the three final answers, or the caller abandoned it first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
     Established,
@@ -154,6 +155,7 @@
 }
 
 impl Outcome {
+    /// The name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Established => "stands",
@@ -164,38 +166,41 @@
     }
 }
 
-/// One final answer, with what an operator asks first.
+/// One final answer and the details that the log gives of it.
 #[derive(Clone, Debug)]
 pub struct FinalAnswer {
     pub session: Box<str>,
+    /// The called number.
     pub number: Box<str>,
     pub outcome: Outcome,
     pub status: u16,
     /// The server of the last setup try.
     pub last_server: Option<SocketAddr>,
     pub tries: u32,
-    /// Seconds from its arrival to this answer.
+    /// Seconds from the attach's arrival to this answer.
     pub answered_after: f64,
-    /// Seconds of its last setup try, where that stood.
+    /// Seconds that the last setup try took if it succeeded, else 0.
     pub set_up_delay: f64,
 }
 
-/// What is worth a line in the log.
+/// An event for the log.
 #[derive(Clone, Debug)]
 pub enum Event {
     FinalAnswer(FinalAnswer),
-    /// A standing attach has ended; `cut` when its server's connection was lost or a side never confirmed.
+    /// An established attach has ended. `cut`: the server's or the caller's connection was lost, the caller never
+    /// sent an ACK, or the front shut down.
     Released {
         session: Box<str>,
         cut: bool,
+        /// Seconds.
         established_for: f64,
     },
-    /// A server's verdict changed; `age` is its processor's, seconds.
+    /// A server's status changed. `age` is the time since its processor started, seconds.
     ServerChanged {
         change: Change,
         age: f64,
     },
-    /// A step of a look-up; `trouble`: not an ordinary one.
+    /// A step of a DNS look-up. `unusual`: not part of every ordinary look-up.
     DnsStep {
         step: Step,
         unusual: bool,
@@ -205,10 +210,12 @@
     },
     LinkLost {
         server: SocketAddr,
+        /// Established attaches that ended with the connection.
         cut: usize,
+        /// Seconds.
         retry_after: f64,
     },
-    /// Set-ups taken back before they left.
+    /// Set-ups that were withdrawn before they were sent.
     SetUpsWithdrawn {
         server: SocketAddr,
         count: usize,
@@ -217,14 +224,14 @@
         what: &'static str,
         detail: String,
     },
-    /// The level of reduced service changed.
+    /// The level of reduced service changed. `admits` describes what the new level admits.
     LevelChanged {
         from: usize,
         to: usize,
         why: Why,
         admits: String,
     },
-    /// An operator holds a level for so many seconds, or lets it go.
+    /// An operator pinned a level for `seconds`, or removed the pin.
     LevelPinned {
         level: Option<usize>,
         seconds: f64,
@@ -233,52 +240,66 @@
         from: &'static str,
         why: String,
     },
-    /// The fleet's word on sites leaves this front less, or all again: pools of servers that it leaves alone, and
-    /// attaches a second by procedure.
+    /// The restrictions from the fleet's decisions on sites changed.
     SitesRestricted {
+        /// Pool numbers of the excluded servers.
         pools: Vec<u16>,
+        /// Attaches per second that this front may take, by procedure; none: not limited.
         rates: Vec<Option<f64>>,
     },
+    /// A graceful shutdown begins with so many pending and established attaches.
     ShuttingDown {
         pending: usize,
         established: usize,
     },
 }
 
-/// Counts since the front was made.
+/// Counts since the front was created. The field names are the names in the JSON output and in metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
+    /// Attaches that arrived.
     pub offered: u64,
+    /// Attaches answered by 200.
     pub stands: u64,
+    /// Attaches refused with 503.
     pub refused: u64,
+    /// Attaches answered by 480.
     pub fails: u64,
+    /// Attaches that their callers abandoned before the final answer.
     pub left: u64,
+    /// INVITEs sent to servers.
     pub setup_tries: u64,
+    /// Set-ups withdrawn before they were sent.
     pub taken_back: u64,
+    /// OPTIONS probes queued for servers.
     pub probes: u64,
-    /// Repeats of a message that was already seen.
+    /// Retransmissions of an INVITE that was already received.
     pub repeats: u64,
-    /// Late 200s met with ACK and BYE.
+    /// 200s that came after the try was cancelled, answered with ACK and BYE.
     pub late_answers: u64,
+    /// Established attaches that ended.
     pub released: u64,
+    /// Those of `released` that were cut, see [`Event::Released`].
     pub cut: u64,
     pub bad_messages: u64,
     pub bad_list_lines: u64,
+    /// INVITEs whose Resource-Priority matches no procedure.
     pub unknown_priority: u64,
     pub unknown_trunk_group: u64,
-    /// Refused at the door: too many in hand, or the front is ending.
+    /// Refused at admission: too many attaches pending, or the front is shutting down.
     pub door_refused: u64,
     /// Refused by the level of reduced service.
     pub level_refused: u64,
-    /// Refused by the fleet's plan for a site that is out.
+    /// Refused by the fleet's plan for a lost site.
     #[serde(default)]
     pub plan_refused: u64,
-    /// Calls of other fronts that a caller or a server released here, calls of this front released by others, and
-    /// releases that could not go out, since this front does not know the server.
+    /// Calls of other fronts that a caller or a server released through this front.
     #[serde(default)]
     pub released_for_others: u64,
+    /// Calls of this front that other fronts released.
     #[serde(default)]
     pub released_by_others: u64,
+    /// Releases that could not be sent because this front does not know the server.
     #[serde(default)]
     pub unknown_servers: u64,
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,7 +1,7 @@
-//! One front as a library, without I/O: a [`Front`] owns one decision module, every attach in hand, its
-//! setup tries, dialogs and timers, and the pool list. It is driven by bytes and time and yields frames to
-//! send; it has no sockets, threads or clock, so dropping it leaves nothing running and two of them share
-//! nothing. The shape is in docs/design-notes/front.md, the wire in docs/wire.md.
+//! One front as a library, without I/O. A [`Front`] owns one decision module, every pending attach, its setup
+//! tries, dialogs and timers, and the pool list. It is driven by bytes and time and yields frames to send. It
+//! has no sockets, threads or clock, so dropping it leaves nothing running and two fronts share no state. The
+//! design is in docs/design-notes/front.md, the wire protocol in docs/wire.md.
 
 mod callers;
 mod decisions;
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -1,6 +1,6 @@
-//! One connection to one server: what waits for its socket, when it is tried again, what may still be
-//! taken back. A frame leaves the queue only when the host asks for it and its socket has room, so a set-up
-//! that waits here has provably not been sent.
+//! The connection to one server: its queue of frames, reconnects and observations for the fleet. A frame leaves
+//! the queue only when the host pulls it and the socket accepts writes, so a set-up that is queued here has
+//! provably not been sent and can be withdrawn.
 
 use crate::io::LinkId;
 use shalespindle_control::interface::PoolId;
@@ -8,27 +8,27 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// A leg, by its place and its serial number.
+/// A leg, by its slab key and its serial number. Keys are reused, serial numbers tell the legs apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LegRef {
     pub key: usize,
     pub serial: u32,
 }
 
-/// What waits for a socket.
+/// A frame that waits for a socket.
 #[derive(Clone, Debug)]
 pub(crate) enum Frame {
-    /// An INVITE; void when its leg is no longer queued.
+    /// An INVITE; skipped if its leg is no longer queued.
     Invite(LegRef, Vec<u8>),
-    /// A BYE that is worth sending on the next connection too.
+    /// A BYE; it is kept for the next connection when this one is lost.
     Bye(LegRef, Vec<u8>),
-    /// ACK, CANCEL, OPTIONS and answers: worth nothing on another connection.
+    /// ACK, CANCEL, OPTIONS and answers; they are meaningless on another connection.
     Other(Vec<u8>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum LinkState {
-    /// Not connected; not tried before.
+    /// Not connected, and no attempt before `retry_at`.
     Down {
         retry_at: f64,
     },
@@ -43,60 +43,59 @@
     pub address: SocketAddr,
     pub connection: u64,
     pub state: LinkState,
-    /// The list last said ready.
+    /// The server is in service and not excluded: set-ups may be sent.
     pub ready: bool,
-    /// The list names it; else it is closed once nothing is left on it.
+    /// A source of servers still names it. Otherwise the link is closed when its last leg is gone.
     pub listed: bool,
     pub queue: VecDeque<Frame>,
     pub framer: Framer,
-    /// The host keeps the rest of the last frame.
+    /// The host buffers the rest of the last write.
     pub blocked: bool,
-    /// The set-ups among the last frames that left together.
+    /// The INVITEs in the last write.
     pub last_invites: Vec<LegRef>,
-    /// Its server ended a connection that was up, and none has been up since.
+    /// The server ended a connection that was up, and none has been up since.
     pub lost_by_server: bool,
-    /// The last pause before a new connection.
+    /// Upper bound of the last pause before a reconnect, seconds; doubled by each failure.
     pub pause: f64,
-    /// Legs bound to it, in any state.
+    /// Number of legs on this link, in any stage.
     pub legs: usize,
-    /// Serial number and time of the probe that is out.
+    /// Serial number of the unanswered probe.
     pub probe: Option<u32>,
-    /// What the fleet is told of its server.
     pub observations: ServerObservations,
 }
 
-/// What this front sees of a server, for the fleet's judging of sites.
+/// This front's observations of a server, from which the fleet evaluates sites.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServerObservations {
-    /// Since when it owes an answer, or a connection.
+    /// Since when an answer or a connection has been awaited.
     pub awaiting_since: Option<f64>,
-    /// A connection was asked for at least once.
+    /// A connection was attempted at least once.
     pub connect_attempted: bool,
-    /// Set-ups that stood there.
+    /// Number of attaches established there.
     pub established: u64,
-    /// Connections that it ended.
+    /// Number of connections that the server ended.
     pub lost_connections: u64,
-    /// The wait that it told last.
+    /// The processor wait that it reported last, seconds.
     pub reported_wait: Option<f64>,
-    /// What it owed when its connection came up, until it says something or the connection has lasted: what stands
-    /// between may take connections for a server that is gone.
+    /// `awaiting_since` from before the connection came up, kept until the server sends something or the connection
+    /// has lasted for `silent_after`: a middlebox may accept connections for a server that is gone.
     awaited_before_connect: Option<f64>,
     /// When the connection came up.
     connected_at: f64,
 }
 
 impl ServerObservations {
-    /// Something went out that it is to answer.
+    /// Something that the server must answer was sent.
     pub fn expect_answer(&mut self, now: f64) {
         self.awaiting_since.get_or_insert(now);
     }
 
-    /// It said something.
+    /// The server sent something.
     pub fn answered(&mut self) {
         (self.awaiting_since, self.awaited_before_connect) = (None, None);
     }
 
-    /// A connection is up: nothing is owed on it yet.
+    /// A connection came up; nothing is awaited on it yet.
     pub fn connected(&mut self, now: f64) {
         (self.awaited_before_connect, self.connected_at) = (self.awaiting_since.take(), now);
     }
@@ -106,7 +105,8 @@
         self.awaiting_since = self.awaited_before_connect.take().or(self.awaiting_since).or(Some(now));
     }
 
-    /// For how long it has owed a word or a connection, where it is to say something within `silent_after`.
+    /// Seconds for which an answer or a connection has been awaited. A connection that has been up for
+    /// `silent_after` ends the wait from before it.
     pub fn unanswered_for(&mut self, now: f64, silent_after: f64) -> f64 {
         if now - self.connected_at >= silent_after {
             self.awaited_before_connect = None;
@@ -145,19 +145,20 @@
         LinkId { link, connection: self.connection }
     }
 
-    /// May a frame be queued now: up or on the way, with room.
+    /// Whether a frame can be queued: the link is up or connecting, and the queue is not full.
     pub fn can_queue(&self, max_queued: usize) -> bool {
         !matches!(self.state, LinkState::Down { .. }) && self.queue.len() < max_queued
     }
 
-    /// The pause before the next connection: doubled up to the longest, by `chance` in 0..1 between half
-    /// and the whole of it. Guards a server that comes back against all fronts' connections at once.
-    pub fn next_backoff(&mut self, least: f64, longest: f64, chance: f64) -> f64 {
-        self.pause = (self.pause * 2.0).clamp(least, longest);
-        self.pause * (0.5 + 0.5 * chance)
+    /// Returns the pause before the next connection, seconds. Its upper bound doubles from `min` to `max`; `random`
+    /// in 0..1 places the pause between half of the bound and the whole. This keeps all fronts from reconnecting
+    /// at once to a server that has returned.
+    pub fn next_backoff(&mut self, min: f64, max: f64, random: f64) -> f64 {
+        self.pause = (self.pause * 2.0).clamp(min, max);
+        self.pause * (0.5 + 0.5 * random)
     }
 
-    /// The connection is lost: forgets what is worth nothing on another one.
+    /// The connection was lost: drops all state that is meaningless on another one.
     pub fn clear_connection_state(&mut self) {
         self.queue.retain(|f| matches!(f, Frame::Bye(..)));
         self.framer = Framer::default();
--- a/crates/front/src/params.rs
+++ b/crates/front/src/params.rs
@@ -1,4 +1,4 @@
-//! What a front must know at start.
+//! Start-up parameters of a front.
 
 use shalespindle_control::interface::Deployment;
 use shalespindle_levels::LevelParams;
@@ -7,64 +7,65 @@
 use shalespindle_srv::ResolverParams;
 use std::collections::{BTreeMap, HashMap};
 
-/// Start-up values of one front. Times are seconds.
+/// Start-up parameters of one front. Times are seconds.
 #[derive(Clone, Debug)]
 pub struct Params {
-    /// What the decision module is told of the deployment.
+    /// Parameters of the decision module.
     pub deployment: Deployment,
-    /// Resource-Priority value (RFC 4412) to procedure, by its place in `deployment.procedures`.
+    /// Resource-Priority value (RFC 4412) to the index of its procedure in `deployment.procedures`.
     pub priorities: HashMap<String, usize>,
     /// Trunk groups (RFC 4904) and their first choices.
     pub trunk_groups: HashMap<String, FirstChoice>,
-    /// How many of them are dealt by DNS.
+    /// Number of trunk groups whose first choice comes from DNS.
     pub dns_groups: usize,
     pub membership: MembershipParams,
-    /// Other fronts are told what the list tells.
+    /// There are other fronts, to which this front forwards list entries and calls.
     pub has_peers: bool,
-    /// Sites whose loss the fleet decides on; none: nothing is seen for it, nothing narrowed.
+    /// Sites whose loss the fleet decides on; none: no observations are reported, no site is restricted.
     pub sites: Option<SiteParams>,
     /// DNS as a second source of servers; none: the pool list alone.
     pub dns: Option<DnsParams>,
-    /// Tenants by the host of a caller's address, to their places in `levels.tenant_shares`.
+    /// Host part of a caller's address to the index of its tenant in `levels.tenant_shares`.
     pub tenants: HashMap<String, usize>,
     /// Levels of reduced service; none: full service always.
     pub levels: Option<LevelParams>,
-    /// Procedure of an INVITE without Resource-Priority, or with one that no procedure names.
+    /// Procedure of an INVITE without Resource-Priority, or whose Resource-Priority matches no procedure.
     pub default_procedure: usize,
-    /// The front's host as it names itself in Via and Contact.
+    /// The host name of this front in Via and Contact.
     pub host: String,
-    /// So long before the caller's time is up its answer is sent: what the way back may take.
+    /// Time before the end of the caller's patience at which its answer is sent, to allow for the way back.
     pub answer_margin: f64,
-    /// Attaches in hand past which new ones are refused unseen.
+    /// Pending attaches beyond which new ones are refused without asking the decision module.
     pub max_pending: usize,
     /// Frames that may wait for one server's socket.
     pub max_queued_frames: usize,
-    /// A connection not up after this is given up.
+    /// A connection attempt that takes longer is given up.
     pub connect_timeout: f64,
-    /// Least and longest pause before a lost connection is tried again.
+    /// Minimum and maximum pause before a lost connection is tried again.
     pub reconnect_pause: (f64, f64),
-    /// Time after the news of a drain within which nothing new may leave for that server (rule 3).
+    /// Time after the report of a drain within which nothing new may be sent to that server (rule 3).
     pub drain_grace: f64,
-    /// Longest time that standing attaches hold up an orderly end.
+    /// Maximum time that a graceful shutdown waits for established attaches to end.
     pub shutdown_timeout: f64,
 }
 
 /// The pool that is a trunk group's first choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstChoice {
-    /// The one of that number.
+    /// The pool of that number.
     Pool(u16),
-    /// By priority and weight of DNS; its place among the groups dealt so.
+    /// Chosen by priority and weight of the DNS records; the index among the trunk groups of this kind.
     Dns(usize),
 }
 
-/// What a front must know of sites.
+/// What a front needs to know of sites.
 #[derive(Clone, Debug)]
 pub struct SiteParams {
     pub table: Table,
-    /// Between two sights told.
+    /// Interval between two reports of observations, seconds.
     pub report_interval: f64,
-    /// A server that owes an answer for so long, or is not connected for so long, does not answer.
+    /// A server that has not answered for so long, or has not been connected for so long, is unreachable;
+    /// seconds.
     pub silent_after: f64,
 }
 
@@ -72,8 +73,8 @@
 #[derive(Clone, Debug)]
 pub struct DnsParams {
     pub resolver: ResolverParams,
-    /// Pool numbers of targets that the settings list.
+    /// Pool numbers of the targets that the settings name.
     pub pools: BTreeMap<String, u16>,
-    /// Other targets are numbered from here.
+    /// First number for the pools of all other targets.
     pub first_pool: u16,
 }
--- a/crates/front/src/router.rs
+++ b/crates/front/src/router.rs
@@ -1,10 +1,10 @@
-//! The decision module behind a tap: every call that the front makes of it can be kept, so that a run is
-//! replayed against the module alone and must give the same decisions.
+//! The interface to the decision module. Every call that the front makes of it can be recorded; replaying the
+//! recording against the module alone must give the same decisions.
 
 use shalespindle_control::control::Control;
 use shalespindle_control::interface::*;
 
-/// One call of the module, with its time.
+/// One call of the decision module.
 #[derive(Clone, Debug)]
 pub enum RouterInput {
     PoolsListed {
@@ -15,12 +15,14 @@
     AttachEstablished {
         ue: UeId,
         pool: PoolId,
+        /// Seconds that the setup try took.
         delay: f64,
     },
     TryEnded {
         ue: UeId,
         pool: PoolId,
         ended: EndReason,
+        /// The attach itself has ended, too; no other try follows.
         finished: bool,
         report: Report,
     },
@@ -29,69 +31,70 @@
     },
     PoolReport {
         pool: PoolId,
+        /// The report is the answer to a probe.
         probed: bool,
         report: Report,
     },
     Wake,
-    /// A pull, and what it gave.
+    /// The front asked for the next decision and got this one.
     DecisionPulled(Option<Decision>),
 }
 
-/// What takes calls and gives decisions: the decision module in every front in service; baselines and
-/// planted faults in the lab.
+/// Takes inputs and makes decisions: the decision module in every front in service; baselines and deliberately
+/// faulty routers in the lab.
 pub trait Router: Send {
-    fn handle(&mut self, now: f64, told: &RouterInput);
+    fn handle(&mut self, now: f64, input: &RouterInput);
     fn next_decision(&mut self, now: f64) -> Option<Decision>;
 }
 
 impl Router for Control {
-    fn handle(&mut self, now: f64, told: &RouterInput) {
-        apply(self, now, told);
+    fn handle(&mut self, now: f64, input: &RouterInput) {
+        apply(self, now, input);
     }
     fn next_decision(&mut self, now: f64) -> Option<Decision> {
         Control::next_decision(self, now)
     }
 }
 
-/// The module of one front.
+/// The router of one front, with an optional recording of all its calls.
 pub struct RecordedRouter {
     router: Box<dyn Router>,
-    tape: Option<Vec<(f64, RouterInput)>>,
+    recording: Option<Vec<(f64, RouterInput)>>,
 }
 
 impl RecordedRouter {
     pub fn new(router: Box<dyn Router>) -> RecordedRouter {
-        RecordedRouter { router, tape: None }
+        RecordedRouter { router, recording: None }
     }
 
-    /// Keeps every call from now on; for tests and short captures, since nothing bounds it.
+    /// Records every call from now on. The recording is not bounded: for tests and short captures only.
     pub fn record(&mut self) {
-        self.tape.get_or_insert_default();
+        self.recording.get_or_insert_default();
     }
 
     pub fn recording(&self) -> &[(f64, RouterInput)] {
-        self.tape.as_deref().unwrap_or_default()
+        self.recording.as_deref().unwrap_or_default()
     }
 
-    /// Makes the call and keeps it.
-    pub fn handle(&mut self, now: f64, told: RouterInput) {
-        self.router.handle(now, &told);
-        if let Some(tape) = &mut self.tape {
-            tape.push((now, told));
+    /// Makes the call and records it.
+    pub fn handle(&mut self, now: f64, input: RouterInput) {
+        self.router.handle(now, &input);
+        if let Some(recording) = &mut self.recording {
+            recording.push((now, input));
         }
     }
 
     pub fn next_decision(&mut self, now: f64) -> Option<Decision> {
         let decision = self.router.next_decision(now);
-        if let Some(tape) = &mut self.tape {
-            tape.push((now, RouterInput::DecisionPulled(decision)));
+        if let Some(recording) = &mut self.recording {
+            recording.push((now, RouterInput::DecisionPulled(decision)));
         }
         decision
     }
 }
 
-fn apply(control: &mut Control, now: f64, told: &RouterInput) {
-    match told {
+fn apply(control: &mut Control, now: f64, input: &RouterInput) {
+    match input {
         RouterInput::PoolsListed { entries, whole } => control.pools_listed(now, entries, *whole),
         RouterInput::AttachArrived(new) => control.attach_arrived(now, *new),
         RouterInput::AttachEstablished { ue, pool, delay } => {
@@ -109,25 +112,25 @@
     }
 }
 
-/// Replays a tape against a fresh module made at `started`; the place and both decisions where they first
-/// differ.
+/// Replays a recording against a new decision module created at `started`. Returns the number of decisions, or
+/// the position and both decisions (recorded, replayed) where they first differ.
 pub fn replay(
     seed: u64,
     deployment: Deployment,
     started: f64,
-    tape: &[(f64, RouterInput)],
+    recording: &[(f64, RouterInput)],
 ) -> Result<usize, (usize, Option<Decision>, Option<Decision>)> {
     let mut control = Control::new(seed, deployment, started);
     let mut decisions = 0;
-    for (place, (now, told)) in tape.iter().enumerate() {
-        if let RouterInput::DecisionPulled(expected) = told {
-            let got = control.next_decision(*now);
-            if got != *expected {
-                return Err((place, *expected, got));
+    for (position, (now, input)) in recording.iter().enumerate() {
+        if let RouterInput::DecisionPulled(expected) = input {
+            let replayed = control.next_decision(*now);
+            if replayed != *expected {
+                return Err((position, *expected, replayed));
             }
-            decisions += usize::from(got.is_some());
+            decisions += usize::from(replayed.is_some());
         }
-        apply(&mut control, *now, told);
+        apply(&mut control, *now, input);
     }
     Ok(decisions)
 }
--- a/crates/front/src/server_answer.rs
+++ b/crates/front/src/server_answer.rs
@@ -1,31 +1,32 @@
-//! The written table from a server's SIP answer to the module's word for how a setup try ended; the same
-//! table, with its reasons, stands in docs/wire.md.
+//! Maps a server's SIP answer to the decision module's reason for the end of a setup try. The same table, with
+//! its reasons, is in docs/wire.md.
 
 use shalespindle_control::interface::{EndReason, Report};
 use shalespindle_signalling::Message;
 
-/// Header with a processor's wait, milliseconds.
+/// Header with the waiting time of a processor's queue, milliseconds.
 pub const WAIT_HEADER: &str = "Processor-Wait-Ms";
-/// Header with the lines that are free now.
+/// Header with the number of lines that are free now.
 pub const FREE_LINES_HEADER: &str = "Free-Lines";
-/// Header with all lines.
+/// Header with the total number of lines.
 pub const LINES_HEADER: &str = "Lines";
 /// Q.850 cause 'no circuit/channel available'.
 const NO_CIRCUIT: u16 = 34;
 
-/// How the try ended that got this final answer other than 2xx.
+/// Returns the end reason of a setup try that got this final answer other than 2xx.
 pub fn end_reason(status: u16, answer: &Message) -> EndReason {
     match status {
-        // 480 and 503 with cause 34 say that no line is free; others of them, that the processor is too busy.
+        // With cause 34, 480 and 503 mean that no line is free. Without it, 503 means that the processor is
+        // overloaded and 480 is an ordinary rejection.
         480 | 503 if answer.q850_cause() == Some(NO_CIRCUIT) => EndReason::NoAgent,
         503 => EndReason::Throttled { wait: answer.retry_after() },
-        // The server ended it after our CANCEL, or by its own timer: what it held may stay taken.
+        // Ended by this front's CANCEL or by the server's own timer; what the server reserved may stay occupied.
         487 | 408 => EndReason::Cancelled,
         _ => EndReason::Rejected,
     }
 }
 
-/// What a server says of itself in any message.
+/// Reads the load that a server reports in any message.
 pub fn load_report(message: &Message) -> Report {
     Report {
         free_agents: message.count(FREE_LINES_HEADER),
@@ -67,8 +68,8 @@
     fn load_headers_are_read_and_invalid_values_ignored() {
         let read = |lines: &str| {
             let text = format!("SIP/2.0 200 OK\r\n{lines}\r\n");
-            let r = load_report(&Message::parse(text.as_bytes()).unwrap());
-            (r.free_agents, r.agents, r.wait)
+            let report = load_report(&Message::parse(text.as_bytes()).unwrap());
+            (report.free_agents, report.agents, report.wait)
         };
         assert_eq!(
             read("Processor-Wait-Ms: 12.5\r\nFree-Lines: 3\r\nLines: 40\r\n"),
