--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -1,5 +1,5 @@
 //! The callers' side: INVITE, ACK, CANCEL, BYE and OPTIONS as a user agent server (RFC 3261 sections 8.2,
-//! 9.2, 13.3, 15.1.2), and our BYE towards a caller.
+//! 9.2, 13.3, 15.1.2), and this front's BYE to a caller.
 
 use crate::front::{Attach, AttachStage, CallerStream, Front, TimerEvent};
 use crate::io::{Event, Outcome, Output, Source};
@@ -13,13 +13,15 @@
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Header with a caller's patience in milliseconds, where whole seconds of Expires are too coarse.
+/// Header with a caller's patience in milliseconds, for callers that need finer steps than the seconds of
+/// Expires.
 pub const PATIENCE_HEADER: &str = "Attach-Patience-Ms";
-/// Over the attaches in hand, so many times as many answered ones are kept to meet repeats.
+/// Bound on attaches in memory as a multiple of `max_pending`. It leaves space for answered attaches, which
+/// are remembered to answer retransmissions.
 const ATTACHES_PER_PENDING: usize = 8;
-/// A 100 is sent to a caller whose attach has waited so long.
+/// Delay after which a caller without a final answer gets a 100, seconds.
 const TRYING_DELAY: f64 = 0.2;
-/// Longest time that part of a message may take to come.
+/// Maximum time in which an incomplete message must become complete, seconds.
 const MAX_PARTIAL_AGE: f64 = LONG / 4.0;
 
 impl Front {
@@ -43,7 +45,7 @@
             }
         }
         if caller.framer.held() > 0 {
-            // Guards against peers that keep a connection for ever on one byte a second.
+            // Otherwise a caller could hold a connection forever by sending one byte a second.
             if now - *caller.partial_since.get_or_insert(now) > MAX_PARTIAL_AGE {
                 self.bad_message("caller's stream", "part of a message for too long".into());
                 self.outputs.push_back(Output::CloseCaller { stream });
@@ -54,7 +56,7 @@
         self.streams.insert(stream, caller);
     }
 
-    /// A caller's connection is lost: its attaches in hand are left, those that stand are released.
+    /// A caller's connection was lost: its pending attaches are abandoned, its established ones released.
     pub(crate) fn caller_closed(&mut self, now: f64, stream: u64) {
         self.streams.remove(&stream);
         let from = Source::Stream(stream);
@@ -146,7 +148,7 @@
             return self.answer_stateless(source, message, 404);
         };
         if self.attaches.len() >= ATTACHES_PER_PENDING * self.params.max_pending {
-            // Guards memory against a flood: what is not taken is not owed an answer; callers repeat it.
+            // Bounds memory under a flood. The INVITE is dropped without an answer; callers retransmit it.
             self.counters.door_refused += 1;
             return;
         }
@@ -155,8 +157,8 @@
         let timer = self.params.deployment.procedures.get(procedure).map_or(0.0, |p| p.t_timer);
         let patience =
             [message.expires(), message.millis(PATIENCE_HEADER)].into_iter().flatten().fold(timer, f64::min);
-        // Guards rule 1 in a front just started: what it sees first may be a copy of what its caller, asking a
-        // dead front, has been sending for a while.
+        // Rule 1 in a front that has just started: the first INVITE that it receives may be a retransmission
+        // of one that the caller has been sending for a while to a front that died.
         let already_waited = match source {
             Source::Datagram(_) => oldest_copy(arrived - self.started, patience + self.params.answer_margin),
             Source::Stream(_) => 0.0,
@@ -213,25 +215,26 @@
         if let Some(pause) = self.level_refusal(now, key, procedure, number) {
             return self.final_answer(now, key, Outcome::Refused, 503, Some(pause).filter(|p| *p > 0.0));
         }
-        // RFC 3261 section 17.2.1: a 100 unless an answer follows within 200 ms, which it mostly does.
+        // RFC 3261 section 17.2.1: a 100 is sent unless an answer follows within 200 ms, which it mostly
+        // does.
         self.timers.set(now + TRYING_DELAY, TimerEvent::CallerTransaction { key, serial });
         let new = NewAttach { ue, procedure, first_choice, called_number: number, gives_up_at };
         self.control.handle(now, RouterInput::AttachArrived(new));
     }
 
-    /// What the level of reduced service says of an attach; the pause where it refuses.
+    /// Asks the level of reduced service to admit an attach. Returns the pause for the caller if it refuses.
     fn level_refusal(&mut self, now: f64, key: usize, procedure: usize, number: u64) -> Option<f64> {
         let levels = self.levels.as_mut()?;
         let procedures = &self.params.deployment.procedures;
-        let told = procedures.get(procedure)?;
+        let spec = procedures.get(procedure)?;
         let highest = procedures.iter().fold(0.0, |top: f64, p| top.max(p.utility));
         let attach = &mut self.attaches[key];
         let tenant = host(&attach.remote).and_then(|h| self.params.tenants.get(h).copied());
         let ask = Ask {
             number,
-            worth: told.utility / highest,
-            late_share: told.late_share,
-            latency_target: told.latency_target,
+            worth: spec.utility / highest,
+            late_share: spec.late_share,
+            latency_target: spec.latency_target,
             tenant,
             procedure,
         };
@@ -250,6 +253,7 @@
         }
     }
 
+    /// Returns the index of the procedure that the message's Resource-Priority selects.
     fn procedure_of(&mut self, message: &Message) -> usize {
         let Some(value) = message.header("Resource-Priority") else { return self.params.default_procedure };
         let known = value.split(',').find_map(|v| self.params.priorities.get(v.trim()).copied());
@@ -257,14 +261,14 @@
         known.unwrap_or(self.params.default_procedure)
     }
 
-    /// The attach whose dialog a request of the caller's belongs to (RFC 3261 section 12.2.2).
+    /// Returns the attach to whose dialog a caller's request belongs (RFC 3261 section 12.2.2).
     fn find_dialog(&self, message: &Message) -> Option<usize> {
         let (key, serial) = self.parse_own_id(tag(message.to().ok()?)?)?;
         let attach = self.attaches.get(key).filter(|a| a.serial == serial)?;
         (*attach.call_id == *message.call_id().ok()?).then_some(key)
     }
 
-    /// Reads `tag-key-serial` back, where the tag is this front's own.
+    /// Parses `tag-key-serial` if the tag is this front's own.
     pub(crate) fn parse_own_id(&self, text: &str) -> Option<(usize, u32)> {
         let rest = text.strip_prefix(self.tag.as_str())?.strip_prefix('-')?;
         let (key, serial) = rest.split_once('-')?;
@@ -272,7 +276,8 @@
     }
 
     fn ack(&mut self, now: f64, message: &Message, transaction: &str) {
-        // To a refusal it comes in the INVITE's transaction, to a 200 in one of its own (17.1.1.3, 13.2.2.4).
+        // The ACK to a refusal belongs to the INVITE's transaction, the ACK to a 200 has a transaction of its
+        // own (17.1.1.3, 13.2.2.4).
         let known =
             self.attach_by_transaction.get(transaction).copied().or_else(|| self.find_dialog(message));
         let Some(key) = known else { return };
@@ -294,7 +299,7 @@
         }
     }
 
-    /// The caller went away before its answer.
+    /// The caller abandoned its attach before the final answer.
     fn caller_left(&mut self, now: f64, key: usize) {
         self.record_outcome(now, key, Outcome::Abandoned, 487, 0.0);
         let attach = &mut self.attaches[key];
@@ -321,7 +326,7 @@
         }
     }
 
-    /// A caller's answer to our BYE.
+    /// A caller's answer to this front's BYE.
     fn caller_response(&mut self, now: f64, message: &Message) {
         let Ok(via) = message.via() else { return };
         let Some(branch) = via.branch.strip_prefix("z9hG4bK") else { return };
@@ -339,7 +344,7 @@
         }
     }
 
-    /// Sends the one final answer of an attach in hand that does not stand, or whose caller is refused.
+    /// Sends the one final answer of a pending attach that failed or is refused.
     pub(crate) fn final_answer(
         &mut self,
         now: f64,
@@ -370,6 +375,7 @@
         self.send_to_caller(source, bytes);
     }
 
+    /// Starts the INVITE transaction's timers after a final answer.
     pub(crate) fn final_answer_sent(&mut self, now: f64, key: usize, success: bool) {
         let attach = &mut self.attaches[key];
         attach.invite_server.answered(now, success);
@@ -383,7 +389,7 @@
             return self.remove_attach(key);
         }
         if attach.remove_at.is_finite() {
-            // It stood and is released: its answer is not repeated any more.
+            // It was established and is released: its answer is no longer retransmitted.
             let due = attach.remove_at;
             return self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
         }
@@ -401,7 +407,7 @@
                 self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
             }
             Todo::GaveUp if attach.stage == AttachStage::Established => {
-                // RFC 3261 section 13.3.1.4: an answer never confirmed ends the call.
+                // RFC 3261 section 13.3.1.4: a 200 that gets no ACK ends the call.
                 self.release(now, key, true, true, true);
             }
             Todo::Over if attach.stage == AttachStage::Established => {}
@@ -419,7 +425,7 @@
         }
     }
 
-    /// Ends a standing attach, towards its caller, its server, or both.
+    /// Ends an established attach and sends BYE to its caller, its server, both or neither.
     pub(crate) fn release(&mut self, now: f64, key: usize, to_caller: bool, to_server: bool, cut: bool) {
         let attach = &mut self.attaches[key];
         attach.stage = AttachStage::Ended;
@@ -466,8 +472,8 @@
         self.send_to_caller(source, bytes);
     }
 
-    /// A BYE of ours to a caller: the name of its transaction after this front's tag; where it goes, this side's and
-    /// the caller's names, and the Call-ID.
+    /// Begins a BYE from this front to a caller. `name` completes the branch after this front's tag. `dialog`
+    /// holds the request URI, the local and the remote address, and the Call-ID.
     pub(crate) fn caller_bye(&self, transport: &str, name: fmt::Arguments, dialog: [&str; 4]) -> Writer {
         let ([uri, local, remote, call_id], tag, host) = (dialog, &self.tag, &self.params.host);
         Writer::request(Method::Bye, uri)
@@ -502,7 +508,7 @@
         self.attach_by_ue.remove(&attach.ue);
     }
 
-    /// An answer without state of its own.
+    /// Sends an answer without creating a transaction.
     fn answer_stateless(&mut self, source: Source, message: &Message, status: u16) {
         let head = ResponseHead::of(message, &self.tag);
         self.send_to_caller(source, Writer::response(status, &head).finish());
@@ -516,7 +522,7 @@
     }
 }
 
-/// Header lines that an attach's set-ups carry on to the server.
+/// Returns the header lines that are forwarded to the server with every setup try.
 fn relayed_headers(message: &Message) -> Box<str> {
     let mut lines = Writer::lines();
     for name in ["Resource-Priority", "Content-Type", "P-Asserted-Identity"] {
@@ -527,13 +533,13 @@
     lines.into_lines()
 }
 
-/// The number called as the module's opaque 64 bits; 0 is kept for 'none told'.
+/// Maps the called number to the 64 bits that the decision module uses; 0 is reserved for 'none given'.
 fn number_as_u64(text: &str) -> u64 {
     let digits = text.strip_prefix('+').unwrap_or(text);
     if let Ok(number) = digits.parse::<u64>() {
         return number.max(1);
     }
-    // Fixed keys: the same text is the same number in every front and run.
+    // The hasher's keys are fixed: a text maps to the same number in every front and run.
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
     hasher.finish().max(1)
--- a/crates/front/src/decisions.rs
+++ b/crates/front/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decision module decides. Nothing here chooses.
+//! Carries out the decisions of the decision module, without choices of its own.
 
 use crate::front::{Front, Leg, LegStage, TimerEvent};
 use crate::io::Outcome;
@@ -42,7 +42,7 @@
         attach.tries += 1;
         attach.leg = Some(at);
         attach.last_server = Some(to);
-        // Guards rule 1 whatever the time-out: no try outlives what its caller waits.
+        // Rule 1, whatever the timeout: no try lasts longer than its caller waits.
         let expires_at = (now + timeout).min(attach.gives_up_at);
         let uri = format!("sip:{}@{to}", attach.called_number).into_boxed_str();
         self.legs.insert(Leg {
@@ -62,8 +62,8 @@
         });
         self.links[link_index].legs += 1;
         if let LinkState::Down { retry_at } = self.links[link_index].state {
-            // Guards against a storm of connections to a server that refuses them: the back-off holds for
-            // set-ups too, which have not been sent and may go elsewhere at once.
+            // The backoff applies to set-ups, too, or a server that refuses connections would be flooded with
+            // them. The set-up was not sent and may go to another server at once.
             if retry_at > now {
                 return self.end_try(now, at, EndReason::Unreached, Report::default());
             }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -153,7 +153,8 @@
     pub(crate) levels: Option<Levels>,
     level_timer_at: f64,
     pub(crate) rng: ChaCha8Rng,
-    /// Prefix of all tags, branches and Call-IDs of this front, which distinguishes them from another front's.
+    /// Prefix of all tags, branches and Call-IDs of this front, which distinguishes them from another
+    /// front's.
     pub(crate) tag: String,
     pub(crate) sources: Sources,
     pub(crate) links: Vec<Link>,
@@ -179,7 +180,8 @@
 impl Front {
     pub fn new(params: Params, seed: u64, now: f64) -> Front {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // The decision module has its own random generator, so that the front's draws never change a decision.
+        // The decision module has its own random generator, so that the front's draws never change a
+        // decision.
         let control = Box::new(Control::new(rng.random(), params.deployment.clone(), now));
         Front::build(params, rng, control, now)
     }
@@ -276,11 +278,11 @@
         self.shutdown_started.is_some()
     }
 
-    /// Takes one input. `arrived` is the latest time by which its bytes are known to have arrived: the same as
-    /// `now` unless the host was stalled, see docs/design-notes/front.md.
+    /// Takes one input. `arrived` is the latest time by which its bytes are known to have arrived: the same
+    /// as `now` unless the host was stalled, see docs/design-notes/front.md.
     pub fn take(&mut self, now: f64, arrived: f64, input: Input) {
-        // Rule 1 after a stall of this front: expired timers run before the input, so that an answer that comes
-        // after its try's timeout is treated as late.
+        // Rule 1 after a stall of this front: expired timers run before the input, so that an answer that
+        // comes after its try's timeout is treated as late.
         let overdue = now - self.timers.next();
         if overdue > STALL_THRESHOLD || now - arrived > STALL_THRESHOLD {
             if let Some(levels) = &mut self.levels {
@@ -393,8 +395,8 @@
         self.timers.next()
     }
 
-    /// Returns the next output for the host. Frames to servers come last, those of one link in one write. After
-    /// a write that does not fit into its socket, report [`Input::Blocked`] before the next pull.
+    /// Returns the next output for the host. Frames to servers come last, those of one link in one write.
+    /// After a write that does not fit into its socket, report [`Input::Blocked`] before the next pull.
     pub fn next_output(&mut self, now: f64) -> Option<Output> {
         if let Some(output) = self.outputs.pop_front() {
             return Some(output);
--- a/crates/front/src/io.rs
+++ b/crates/front/src/io.rs
@@ -108,8 +108,8 @@
         id: LinkId,
         bytes: Vec<u8>,
     },
-    /// Close at once and discard unwritten bytes. `reset` asks for a TCP reset, which also discards bytes that
-    /// were written to the socket but not sent yet.
+    /// Close at once and discard unwritten bytes. `reset` asks for a TCP reset, which also discards bytes
+    /// that were written to the socket but not sent yet.
     CloseLink {
         id: LinkId,
         reset: bool,
@@ -129,7 +129,8 @@
     ServerListed(Listed),
     /// This front's observations of sites, to be forwarded to the fleet.
     SitesObserved(Observed),
-    /// A call of this front was established (`record` is present) or has ended, to be forwarded to other fronts.
+    /// A call of this front was established (`record` is present) or has ended, to be forwarded to other
+    /// fronts.
     CallChanged {
         call: u64,
         record: Option<Box<CallWord>>,
@@ -187,8 +188,8 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     FinalAnswer(FinalAnswer),
-    /// An established attach has ended. `cut`: the server's or the caller's connection was lost, the caller never
-    /// sent an ACK, or the front shut down.
+    /// An established attach has ended. `cut`: the server's or the caller's connection was lost, the caller
+    /// never sent an ACK, or the front shut down.
     Released {
         session: Box<str>,
         cut: bool,
--- a/crates/front/src/links.rs
+++ b/crates/front/src/links.rs
@@ -1,6 +1,6 @@
-//! The connection to one server: its queue of frames, reconnects and observations for the fleet. A frame leaves
-//! the queue only when the host pulls it and the socket accepts writes, so a set-up that is queued here has
-//! provably not been sent and can be withdrawn.
+//! The connection to one server: its queue of frames, reconnects and observations for the fleet. A frame
+//! leaves the queue only when the host pulls it and the socket accepts writes, so a set-up that is queued
+//! here has provably not been sent and can be withdrawn.
 
 use crate::io::LinkId;
 use shalespindle_control::interface::PoolId;
@@ -77,8 +77,9 @@
     pub lost_connections: u64,
     /// The processor wait that it reported last, seconds.
     pub reported_wait: Option<f64>,
-    /// `awaiting_since` from before the connection came up, kept until the server sends something or the connection
-    /// has lasted for `silent_after`: a middlebox may accept connections for a server that is gone.
+    /// `awaiting_since` from before the connection came up, kept until the server sends something or the
+    /// connection has lasted for `silent_after`: a middlebox may accept connections for a server that is
+    /// gone.
     awaited_before_connect: Option<f64>,
     /// When the connection came up.
     connected_at: f64,
@@ -150,9 +151,9 @@
         !matches!(self.state, LinkState::Down { .. }) && self.queue.len() < max_queued
     }
 
-    /// Returns the pause before the next connection, seconds. Its upper bound doubles from `min` to `max`; `random`
-    /// in 0..1 places the pause between half of the bound and the whole. This keeps all fronts from reconnecting
-    /// at once to a server that has returned.
+    /// Returns the pause before the next connection, seconds. Its upper bound doubles from `min` to `max`;
+    /// `random` in 0..1 places the pause between half of the bound and the whole. This keeps all fronts from
+    /// reconnecting at once to a server that has returned.
     pub fn next_backoff(&mut self, min: f64, max: f64, random: f64) -> f64 {
         self.pause = (self.pause * 2.0).clamp(min, max);
         self.pause * (0.5 + 0.5 * random)
--- a/crates/front/src/pool_list.rs
+++ b/crates/front/src/pool_list.rs
@@ -1,9 +1,9 @@
 //! The pool list of a front. The feed sends JSON lines (schema by `shalespindle schema --feed`), each a whole
 //! list or a set of changes, which become entries for the membership module.
 //!
-//! The feed may stop, repeat itself, send invalid lines or go backwards. Lines older than the last accepted one
-//! are rejected, invalid lines are counted, and without a feed the last known list stays in use. Ages are relative
-//! (`age_ms`), so clocks need not agree. A restarted server has a higher `incarnation`.
+//! The feed may stop, repeat itself, send invalid lines or go backwards. Lines older than the last accepted
+//! one are rejected, invalid lines are counted, and without a feed the last known list stays in use. Ages are
+//! relative (`age_ms`), so clocks need not agree. A restarted server has a higher `incarnation`.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -114,8 +114,8 @@
             )));
         }
         let position = (line.epoch, line.sequence);
-        // An outdated line could undo a drain. A whole list at the same position is the ordinary first line after
-        // a reconnect and brings no change.
+        // An outdated line could undo a drain. A whole list at the same position is the ordinary first line
+        // after a reconnect and brings no change.
         if self.last_position.is_some_and(|last| position <= last) {
             return Err(RejectedLine::Outdated { epoch: line.epoch, sequence: line.sequence });
         }
--- a/crates/front/src/router.rs
+++ b/crates/front/src/router.rs
@@ -31,7 +31,7 @@
     },
     PoolReport {
         pool: PoolId,
-        /// The report is the answer to a probe.
+        /// A probe was answered with 2xx; false for reports in other messages.
         probed: bool,
         report: Report,
     },
@@ -40,8 +40,8 @@
     DecisionPulled(Option<Decision>),
 }
 
-/// Takes inputs and makes decisions: the decision module in every front in service; baselines and deliberately
-/// faulty routers in the lab.
+/// Takes inputs and makes decisions: the decision module in every front in service; baselines and
+/// deliberately faulty routers in the lab.
 pub trait Router: Send {
     fn handle(&mut self, now: f64, input: &RouterInput);
     fn next_decision(&mut self, now: f64) -> Option<Decision>;
@@ -112,8 +112,8 @@
     }
 }
 
-/// Replays a recording against a new decision module created at `started`. Returns the number of decisions, or
-/// the position and both decisions (recorded, replayed) where they first differ.
+/// Replays a recording against a new decision module created at `started`. Returns the number of decisions,
+/// or the position and both decisions (recorded, replayed) where they first differ.
 pub fn replay(
     seed: u64,
     deployment: Deployment,
--- a/crates/front/src/server_answer.rs
+++ b/crates/front/src/server_answer.rs
@@ -1,5 +1,5 @@
-//! Maps a server's SIP answer to the decision module's reason for the end of a setup try. The same table, with
-//! its reasons, is in docs/wire.md.
+//! Maps a server's SIP answer to the decision module's reason for the end of a setup try. The same table,
+//! with its reasons, is in docs/wire.md.
 
 use shalespindle_control::interface::{EndReason, Report};
 use shalespindle_signalling::Message;
@@ -20,7 +20,8 @@
         // overloaded and 480 is an ordinary rejection.
         480 | 503 if answer.q850_cause() == Some(NO_CIRCUIT) => EndReason::NoAgent,
         503 => EndReason::Throttled { wait: answer.retry_after() },
-        // Ended by this front's CANCEL or by the server's own timer; what the server reserved may stay occupied.
+        // Ended by this front's CANCEL or by the server's own timer; what the server reserved may stay
+        // occupied.
         487 | 408 => EndReason::Cancelled,
         _ => EndReason::Rejected,
     }
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -1,5 +1,5 @@
-//! The servers' side: links, setup tries as a user agent client (RFC 3261 sections 9.1, 13.2, 17.1), what
-//! is taken back, and releases.
+//! The servers' side: links, setup tries as a user agent client (RFC 3261 sections 9.1, 13.2, 17.1), their
+//! withdrawal, and releases.
 
 use crate::front::{AttachStage, Front, Leg, LegStage, TimerEvent};
 use crate::io::{Event, LinkId, Outcome, Output};
@@ -28,7 +28,7 @@
         self.outputs.push_back(Output::Connect { id, to });
     }
 
-    /// The link to a member, made when it is first heard of.
+    /// Returns the index of the link to a server, which is created at the server's first change.
     pub(crate) fn link_for(&mut self, change: &Change) -> usize {
         if let Some(&link_index) = self.link_by_pool.get(&change.name) {
             return link_index;
@@ -38,14 +38,14 @@
         self.links.len() - 1
     }
 
-    /// Connects to a server in service, unless a pause after a loss is still on.
+    /// Connects to a server, unless the pause after a lost connection has not passed yet.
     pub(crate) fn connect_if_allowed(&mut self, now: f64, link_index: usize) {
         if matches!(self.links[link_index].state, LinkState::Down { retry_at } if retry_at <= now) {
             self.connect(now, link_index);
         }
     }
 
-    /// What is half written may go on inside the grace, not after it.
+    /// A half-written frame may be continued within the drain's grace, not after it.
     pub(crate) fn start_drain_timer(&mut self, now: f64, link_index: usize) {
         let link = &self.links[link_index];
         if link.blocked {
@@ -63,8 +63,8 @@
             link.pause = 0.0;
             link.observations.connected(now);
             let server = link.address;
-            // Guards rule 4: whatever ended the connection may have ended the processor, and a restart can be
-            // quicker than any news of it.
+            // Rule 4: what ended the connection may have ended the processor, too, and the server may have
+            // restarted before any report of it arrived.
             if std::mem::take(&mut link.lost_by_server) {
                 self.server_reconnected(now, server);
             }
@@ -72,22 +72,22 @@
         }
     }
 
-    /// `by_server`: not of this front's own doing.
+    /// `by_server`: the connection was not closed by this front.
     pub(crate) fn link_lost(&mut self, now: f64, id: LinkId, by_server: bool) {
         let known = self.links.get(id.link).filter(|l| l.connection == id.connection);
         if known.is_none_or(|l| matches!(l.state, LinkState::Down { .. })) {
             return;
         }
-        let chance = self.rng.random();
-        let (least, longest) = self.params.reconnect_pause;
+        let random = self.rng.random();
+        let (min_pause, max_pause) = self.params.reconnect_pause;
         let link = &mut self.links[id.link];
-        let cut = link.state == LinkState::Up && by_server;
-        link.lost_by_server |= cut;
-        link.observations.lost_connections += u64::from(cut);
+        let ended_by_server = link.state == LinkState::Up && by_server;
+        link.lost_by_server |= ended_by_server;
+        link.observations.lost_connections += u64::from(ended_by_server);
         link.observations.disconnected(now);
-        let retry_after = link.next_backoff(least, longest, chance);
+        let retry_after = link.next_backoff(min_pause, max_pause, random);
         link.state = LinkState::Down { retry_at: now + retry_after };
-        // The next connection has another number, so that late reports of this one are told apart.
+        // The next connection gets a new number, so that late reports of this one are ignored.
         link.connection += 1;
         link.clear_connection_state();
         let (server, wanted) = (link.address, link.listed || link.legs > 0);
@@ -99,7 +99,7 @@
         self.event(Event::LinkLost { server, cut, retry_after });
     }
 
-    /// What a lost connection means for each of its legs; returns how many standing attaches it cut.
+    /// Handles each leg of a lost connection. Returns how many established attaches were cut.
     fn end_legs_of_link(&mut self, now: f64, link_index: usize) -> usize {
         let mut cut = 0;
         let keys: Vec<usize> =
@@ -108,10 +108,10 @@
             let leg = &self.legs[key];
             let at = LegRef { key, serial: leg.serial };
             match leg.stage {
-                // Nothing of it was written.
+                // Nothing of the INVITE was written.
                 LegStage::Queued => self.end_try(now, at, EndReason::Unreached, Report::default()),
                 LegStage::Sent => self.end_try(now, at, EndReason::Cut, Report::default()),
-                // A late 200 can no longer come by this connection, and a new one has no such transaction.
+                // A late 200 can no longer arrive: a new connection does not have this transaction.
                 LegStage::Cancelled => self.remove_leg(now, key),
                 LegStage::Established => {
                     cut += 1;
@@ -148,7 +148,7 @@
         }
     }
 
-    /// A link that nobody names any more goes once nothing is left on it.
+    /// Closes a link that no source of servers names any more once it has no legs.
     pub(crate) fn close_unused(&mut self, now: f64, link_index: usize) {
         let link = &self.links[link_index];
         if !link.listed && link.legs == 0 && !matches!(link.state, LinkState::Down { .. }) {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Guards rule 3: set-ups that wait for the socket of a server that drains or is gone do not leave.
+    /// Rule 3: withdraws the set-ups that wait for the socket of a server that drains or was removed.
     pub(crate) fn withdraw_queued(&mut self, now: f64, link_index: usize) {
         let is_queued = |l: &Leg| l.link == link_index && l.stage == LegStage::Queued;
         let queued: Vec<LegRef> = self
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Guards against set-ups that sit in a full socket: a reset throws away what was not sent.
+    /// Resets a connection, which discards set-ups that were written to a full socket but not sent.
     fn reset_link(&mut self, now: f64, link_index: usize) {
         let id = self.links[link_index].id(link_index);
         self.outputs.push_back(Output::CloseLink { id, reset: true });
@@ -193,7 +193,8 @@
 
     // ---- setup tries ----
 
-    /// The INVITE of a leg, its transaction and dialog named by its place and serial number.
+    /// Writes the INVITE of a leg. Its branch and Call-ID consist of this front's tag and the leg's key and
+    /// serial number.
     pub(crate) fn write_invite(&self, now: f64, at: LegRef) -> Vec<u8> {
         let leg = &self.legs[at.key];
         let attach = leg.attach.map(|(key, _)| &self.attaches[key]);
@@ -208,7 +209,7 @@
             .finish_with(&attach.body)
     }
 
-    /// A request on a leg; `branch_suffix` tells its transactions apart.
+    /// Begins a request on a leg. `branch_suffix` distinguishes the leg's transactions.
     fn leg_request(&self, method: Method, at: LegRef, uri: &str, branch_suffix: &str, cseq: &str) -> Writer {
         let leg = &self.legs[at.key];
         let (tag, host) = (&self.tag, &self.params.host);
@@ -227,7 +228,7 @@
         self.legs.get(at.key).filter(|l| l.serial == at.serial)
     }
 
-    /// A setup try that is queued or out has ended; the module hears of it, the leg goes.
+    /// A queued or sent setup try has ended: removes its leg and reports the end to the decision module.
     pub(crate) fn end_try(&mut self, now: f64, at: LegRef, ended: EndReason, report: Report) {
         let Some(leg) = self.leg(at) else { return };
         let (ue, pool, attach) = (leg.ue, self.links[leg.link].pool, leg.attach);
@@ -242,7 +243,8 @@
         self.control.handle(now, RouterInput::TryEnded { ue, pool, ended, finished: false, report });
     }
 
-    /// Gives up a try: taken back if it has not left, else CANCEL. `finished`: its caller has gone.
+    /// Gives up a try: withdraws its INVITE if it was not sent, else sends CANCEL. `finished`: its caller has
+    /// abandoned the attach.
     pub(crate) fn abandon_try(&mut self, now: f64, at: LegRef, ended: EndReason, finished: bool) {
         let Some(leg) = self.leg(at) else { return };
         let (ue, link_index, stage) = (leg.ue, leg.link, leg.stage);
@@ -262,7 +264,7 @@
                 leg.expires_at = now + LONG;
                 self.timers.set(now + LONG, TimerEvent::Leg { key: at.key, serial: at.serial });
                 if blocked {
-                    // Half of it sits in a socket that takes no more: the rest must never be sent.
+                    // The INVITE may be half written to a full socket; the rest must never be sent.
                     self.reset_link(now, link_index);
                 } else {
                     let uri = self.legs[at.key].request_uri.clone();
@@ -325,7 +327,7 @@
         link.observations.answered();
         link.framer.push(bytes);
         loop {
-            // A message can end in the loss of the link; what came after it then counts no more.
+            // Handling a message can lose the link; the messages after it are then ignored.
             let Some(link) = self.links.get_mut(id.link).filter(|l| l.connection == id.connection) else {
                 return;
             };
@@ -370,7 +372,7 @@
         let Some((name, _)) = name.rsplit_once('-') else { return };
         let Some((key, serial)) = self.parse_own_id(name) else { return };
         let at = LegRef { key, serial };
-        // Only the server that a leg went to may speak for it.
+        // Only the server of a leg may answer for it.
         let Some(leg) = self.leg(at).filter(|l| l.link == link_index) else { return };
         match (method, leg.stage) {
             (Method::Invite, _) if status < 200 => {}
@@ -379,7 +381,7 @@
                 self.acknowledge(at)
             }
             (Method::Invite, LegStage::Cancelled) if status < 300 => {
-                // Guards against a call left standing that the caller was told had failed.
+                // Otherwise a call would stay established whose caller was told that it failed.
                 self.counters.late_answers += 1;
                 self.confirm(at, message);
                 self.release_leg(now, at);
@@ -395,7 +397,7 @@
                     _ => {}
                 }
             }
-            // Of another front's call the decision module knows nothing.
+            // The decision module does not know another front's call.
             (Method::Bye, LegStage::Releasing) if status >= 200 && leg.call_id.is_some() => {
                 self.remove_leg(now, key);
             }
@@ -409,7 +411,7 @@
         }
     }
 
-    /// Takes a 200's tag and Contact into the dialog and sends its ACK (13.2.2.4).
+    /// Stores a 200's tag and Contact in the dialog and sends its ACK (13.2.2.4).
     fn confirm(&mut self, at: LegRef, message: &Message) {
         let leg = &mut self.legs[at.key];
         if let Ok(to) = message.to() {
@@ -427,7 +429,7 @@
         self.links[link_index].queue.push_back(Frame::Other(ack));
     }
 
-    /// The ACK to an answer other than 2xx belongs to the INVITE's transaction (17.1.1.3).
+    /// Sends the ACK to an answer other than 2xx, which belongs to the INVITE's transaction (17.1.1.3).
     fn acknowledge_refusal(&mut self, at: LegRef, message: &Message) {
         if let Ok(to) = message.to() {
             self.legs[at.key].to = to.into();
@@ -437,6 +439,7 @@
         self.links[link_index].queue.push_back(Frame::Other(ack));
     }
 
+    /// A try's 200 has come: establishes the call and answers the caller.
     fn establish(&mut self, now: f64, at: LegRef, message: &Message) {
         self.confirm(at, message);
         let leg = &mut self.legs[at.key];
@@ -460,7 +463,7 @@
             .with_args("Contact", format_args!("<sip:{}>", self.params.host));
         let head = if kind.is_empty() { head } else { head.with("Content-Type", kind) };
         attach.last_answer = head.finish_with(message.body);
-        // Only a try that is out needs it.
+        // Only setup tries need the body.
         attach.body = Box::default();
         let (source, bytes) = (attach.source, attach.last_answer.clone());
         self.send_to_caller(source, bytes);
@@ -494,9 +497,8 @@
         self.ended_by_server(now, at, server_answer::load_report(message), true);
     }
 
-    /// The server's side of a standing attach is over: so is the attach, and its caller is told if it is not known
-    /// there.
-    pub(crate) fn ended_by_server(&mut self, now: f64, at: LegRef, report: Report, tell_caller: bool) {
+    /// An established attach has ended at its server. Releases it, with a BYE to the caller if `send_bye`.
+    pub(crate) fn ended_by_server(&mut self, now: f64, at: LegRef, report: Report, send_bye: bool) {
         let Some(leg) = self.leg(at).filter(|l| l.stage == LegStage::Established) else { return };
         let (ue, pool, attach) = (leg.ue, self.links[leg.link].pool, leg.attach);
         self.control.handle(
@@ -504,7 +506,7 @@
             RouterInput::TryEnded { ue, pool, ended: EndReason::Released, finished: true, report },
         );
         if let Some((key, _)) = attach {
-            self.release(now, key, tell_caller, false, false);
+            self.release(now, key, send_bye, false, false);
         }
         self.remove_leg(now, at.key);
     }
@@ -514,10 +516,10 @@
     pub(crate) fn probe(&mut self, pool: shalespindle_control::interface::PoolId) {
         let Some(&link_index) = self.link_by_pool.get(&pool) else { return };
         let serial = self.new_serial();
-        let most = self.params.max_queued_frames;
+        let max_queued = self.params.max_queued_frames;
         let (tag, host) = (&self.tag, &self.params.host);
         let link = &mut self.links[link_index];
-        if link.state != LinkState::Up || !link.can_queue(most) {
+        if link.state != LinkState::Up || !link.can_queue(max_queued) {
             return;
         }
         let to = link.address;
--- a/crates/front/src/shared_calls.rs
+++ b/crates/front/src/shared_calls.rs
@@ -1,6 +1,6 @@
-//! Calls that fronts share: this front's own, told to others, and others', found and released where a caller or a
-//! server says that they are over, or where their front died. Whose a call is, is decided elsewhere; here it is
-//! carried out.
+//! Calls known to several fronts. This front publishes its own calls; it looks up and releases calls of other
+//! fronts when a caller or a server ends them here, or when their front has died. Which front owns a call is
+//! decided elsewhere.
 
 use crate::front::{AttachStage, Front, Leg, LegStage, TimerEvent};
 use crate::io::{Output, Source};
@@ -14,12 +14,12 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// An answer on whose call it is comes within this, or the call is nobody's.
+/// Time within which [`crate::io::Input::FindCallResult`] must come, or the call counts as unknown; seconds.
 const FIND_CALL_TIMEOUT: f64 = 0.5;
-/// Questions out at once; past that a call that is not this front's is nobody's.
+/// Maximum number of look-ups at a time. Beyond it, a call that is not this front's counts as unknown.
 const MAX_PENDING_QUERIES: usize = 4096;
 
-/// Who waits to hear whose call it is.
+/// The BYE that is answered when a call has been looked up.
 enum PendingQuery {
     Caller { source: Source, head: ResponseHead },
     Server { link: usize, connection: u64, head: ResponseHead },
@@ -38,12 +38,13 @@
     pending_queries: BTreeMap<u64, PendingQuery>,
     last_ticket: u64,
     foreign_byes: Slab<ForeignBye>,
-    /// This front's own calls by the names that other fronts know them by.
+    /// Attach keys of this front's own calls, by the hashed dialog name that other fronts use.
     own_calls: HashMap<u64, usize>,
 }
 
 impl Front {
-    /// Tells others of a call of this front: that it stands by that leg, or stands no more.
+    /// Publishes to other fronts that a call of this front was established on `leg`, or with `None` that it
+    /// ended.
     pub(crate) fn publish_call(&mut self, key: usize, leg: Option<LegRef>) {
         if !self.params.has_peers {
             return;
@@ -78,33 +79,35 @@
         self.outputs.push_back(Output::CallChanged { call, record });
     }
 
-    /// A caller releases a call that is not this front's; false where nobody can be asked.
+    /// Looks up a call that a caller releases and that is not this front's. Returns false if it cannot be
+    /// looked up.
     pub(crate) fn find_call_of_caller(&mut self, now: f64, source: Source, message: &Message) -> bool {
         let Some(name) = message.to().ok().and_then(tag).map(dialog_name) else { return false };
         let head = ResponseHead::of(message, &self.tag);
         self.find_call(now, name, false, PendingQuery::Caller { source, head })
     }
 
-    /// A server releases a call that is not this front's.
+    /// Looks up a call that a server releases and that is not this front's. Returns false if it cannot be
+    /// looked up.
     pub(crate) fn find_call_of_server(&mut self, now: f64, link: usize, message: &Message) -> bool {
         let Some(name) = message.call_id().ok().map(dialog_name) else { return false };
         let (connection, head) = (self.links[link].connection, ResponseHead::of(message, &self.tag));
         self.find_call(now, name, true, PendingQuery::Server { link, connection, head })
     }
 
-    fn find_call(&mut self, now: f64, name: u64, by_leg: bool, asking: PendingQuery) -> bool {
+    fn find_call(&mut self, now: f64, name: u64, by_leg: bool, query: PendingQuery) -> bool {
         if !self.params.has_peers || self.shared_calls.pending_queries.len() >= MAX_PENDING_QUERIES {
             return false;
         }
         self.shared_calls.last_ticket += 1;
         let ticket = self.shared_calls.last_ticket;
-        self.shared_calls.pending_queries.insert(ticket, asking);
+        self.shared_calls.pending_queries.insert(ticket, query);
         self.timers.set(now + FIND_CALL_TIMEOUT, TimerEvent::FindCall { ticket });
         self.outputs.push_back(Output::FindCall { ticket, name, by_leg });
         true
     }
 
-    /// Whose call it is that a caller or a server has released. `known`: it is one of the fleet's; without `call` it
+    /// Takes the result of a look-up. `known`: the call belongs to the fleet; if `call` is absent as well, it
     /// has been released already.
     pub(crate) fn find_call_result(
         &mut self,
@@ -113,16 +116,16 @@
         known: bool,
         call: Option<Box<CallWord>>,
     ) {
-        let Some(asking) = self.shared_calls.pending_queries.remove(&ticket) else {
-            // Answered too late: whoever asked was told that it is nobody's, so both sides are released.
+        let Some(query) = self.shared_calls.pending_queries.remove(&ticket) else {
+            // Too late: the BYE was answered as for an unknown call, so both sides are released.
             if let Some(call) = call {
                 self.release_foreign(now, &call, true, true);
             }
             return;
         };
         let status = if known { 200 } else { 481 };
-        let by_server = matches!(asking, PendingQuery::Server { .. });
-        match asking {
+        let by_server = matches!(query, PendingQuery::Server { .. });
+        match query {
             PendingQuery::Caller { source, head } => {
                 self.send_to_caller(source, Writer::response(status, &head).finish());
             }
@@ -151,7 +154,7 @@
 
     fn release_foreign_leg(&mut self, now: f64, call: &CallWord) {
         let Some(link) = self.links.iter().position(|l| l.address == call.server) else {
-            // Neither its list nor DNS has named that server to this front.
+            // Neither this front's list nor DNS has named that server.
             self.counters.unknown_servers += 1;
             return;
         };
@@ -175,7 +178,7 @@
         self.links[link].legs += 1;
         self.timers.set(now + LONG, TimerEvent::Leg { key, serial });
         self.queue_bye(LegRef { key, serial });
-        // It may not be connected to a server that drains; the release waits for the link.
+        // The front may not be connected to a draining server; the BYE waits for the link.
         self.connect_if_allowed(now, link);
     }
 
@@ -207,7 +210,7 @@
         }
     }
 
-    /// A caller's answer to such a BYE.
+    /// A caller's answer to a BYE for another front's call.
     pub(crate) fn foreign_bye_answered(&mut self, name: &str) {
         let Some((key, serial)) = self.parse_own_id(name) else { return };
         if self.shared_calls.foreign_byes.get(key).is_some_and(|b| b.serial == serial) {
@@ -215,7 +218,7 @@
         }
     }
 
-    /// Another front has released a call of this one in both directions: nothing is left to say.
+    /// Another front has released a call of this front towards both sides; no BYE is needed.
     pub(crate) fn released_elsewhere(&mut self, now: f64, call: u64) {
         let Some(&key) = self.shared_calls.own_calls.get(&call) else { return };
         if self.attaches.get(key).is_none_or(|a| a.stage != AttachStage::Established) {
--- a/crates/front/src/sites.rs
+++ b/crates/front/src/sites.rs
@@ -1,5 +1,6 @@
-//! What this front sees of sites, told to the fleet; and what the fleet's word on them leaves it. What is found is found
-//! elsewhere; nothing is let in here that the front's own sources keep out.
+//! Reports this front's observations of sites to the fleet and applies the restrictions from the fleet's
+//! decisions on sites. The decisions are made elsewhere. They only exclude servers: a server that the front's
+//! own sources keep out of service stays out.
 
 use crate::front::{Front, TimerEvent};
 use crate::io::{Event, Output};
@@ -10,12 +11,12 @@
 use shalespindle_sites::{Narrowing, Observed, ObservedServer};
 use std::collections::BTreeSet;
 
-/// What the fleet's word leaves, as this front carries it out.
+/// The restrictions from the fleet's decisions on sites, as this front applies them.
 #[derive(Default)]
 pub(crate) struct SiteRestriction {
-    /// Servers left alone now.
+    /// Servers that get no attaches now.
     excluded: BTreeSet<PoolId>,
-    /// Places of sites that are out, and whether an operator holds them out.
+    /// Indexes of lost sites, and whether an operator holds the site out.
     lost_sites: Vec<(usize, bool)>,
 }
 
@@ -26,29 +27,31 @@
 }
 
 impl Front {
-    /// Tells the fleet what this front sees, now and again.
+    /// Reports this front's observations to the fleet and sets the timer for the next report.
     pub(crate) fn report_sites(&mut self, now: f64) {
         let Some(sites) = &self.params.sites else { return };
-        let (every, silent_after) = (sites.report_interval, sites.silent_after);
-        self.timers.set(now + every, TimerEvent::SiteReport);
-        // The router asks nothing of servers that are left alone: whether they answer again is asked here.
-        let asked: Vec<PoolId> = self.site_restriction.excluded.iter().copied().collect();
+        let (interval, silent_after) = (sites.report_interval, sites.silent_after);
+        self.timers.set(now + interval, TimerEvent::SiteReport);
+        // The router sends nothing to excluded servers, so they are probed here for their return.
+        let excluded: Vec<PoolId> = self.site_restriction.excluded.iter().copied().collect();
         if self.params.deployment.may_probe {
-            asked.into_iter().for_each(|pool| self.probe(pool));
+            excluded.into_iter().for_each(|pool| self.probe(pool));
         }
-        let seen = self.links.iter_mut().map(|link| {
-            let owed = link.observations.unanswered_for(now, silent_after);
-            let answers = match link.state {
-                LinkState::Up => owed < silent_after,
-                // One lost just now may be back at once.
+        let servers = self.links.iter_mut().map(|link| {
+            let unanswered = link.observations.unanswered_for(now, silent_after);
+            let reachable = match link.state {
+                LinkState::Up => unanswered < silent_after,
+                // A connection that has just been lost may be back at once.
                 LinkState::Connecting | LinkState::Down { .. } => false,
             };
-            let told =
-                link.listed && link.observations.connect_attempted && (answers || owed >= silent_after);
+            // Neither reachable nor silent for long enough: no statement about the server.
+            let known = link.listed
+                && link.observations.connect_attempted
+                && (reachable || unanswered >= silent_after);
             ObservedServer {
                 pool: link.number,
                 address: link.address.ip(),
-                reached: told.then_some(answers),
+                reached: known.then_some(reachable),
                 stood: link.observations.established,
                 cuts: link.observations.lost_connections,
                 wait: link.observations.reported_wait,
@@ -56,11 +59,11 @@
         });
         let mut asked = self.levels.as_ref().map_or(Vec::new(), |levels| levels.asked().to_vec());
         asked.resize(self.params.deployment.procedures.len(), 0);
-        let observed = Observed { servers: seen.collect(), asked };
+        let observed = Observed { servers: servers.collect(), asked };
         self.outputs.push_back(Output::SitesObserved(observed));
     }
 
-    /// The fleet's word on sites leaves this front that much.
+    /// Applies the restrictions from the fleet's decisions on sites.
     pub(crate) fn restrict_sites(&mut self, now: f64, narrowing: Narrowing) {
         if let Some(levels) = &mut self.levels {
             levels.narrow(now, &narrowing.parts, narrowing.floor);
@@ -72,59 +75,71 @@
         self.event(Event::SitesRestricted { pools, rates: narrowing.parts });
     }
 
-    /// Servers of the sites that are out are left alone, but for those without which a procedure would have none left:
-    /// a word that is wrong must not cost more than the loss it tells of. What an operator holds out stays out.
+    /// Excludes the servers of lost sites, except those without which a procedure would have no server left:
+    /// a wrong decision must not cost more than the loss that it reports. A site that an operator holds out
+    /// stays out.
     pub(crate) fn update_excluded(&mut self, now: f64) {
         let Some(sites) = &self.params.sites else { return };
         if self.site_restriction.lost_sites.is_empty() && self.site_restriction.excluded.is_empty() {
             return;
         }
-        let of = |pool: u16, at: std::net::SocketAddr| sites.table.of_server(pool, Some(at.ip()));
-        let out = |firm: bool, site: Option<usize>| {
+        let site_of = |pool: u16, at: std::net::SocketAddr| sites.table.of_server(pool, Some(at.ip()));
+        let is_lost = |held_only: bool, site: Option<usize>| {
             site.is_some_and(|s| {
-                self.site_restriction.lost_sites.iter().any(|(o, f)| *o == s && (*f || !firm))
+                self.site_restriction
+                    .lost_sites
+                    .iter()
+                    .any(|(lost, held)| *lost == s && (*held || !held_only))
             })
         };
+        // Id, pool number, site, whether in service, and start of each server.
         let members: Vec<(PoolId, u16, Option<usize>, bool, f64)> = self
             .sources
             .members
             .members()
-            .map(|m| (m.name(), m.pool(), of(m.pool(), m.address()), m.verdict() == Verdict::In, m.started()))
+            .map(|m| {
+                (m.name(), m.pool(), site_of(m.pool(), m.address()), m.verdict() == Verdict::In, m.started())
+            })
             .collect();
-        // A procedure keeps some server where a site is out by the fleet's finding alone.
-        let keeps = |pools: &[u16]| members.iter().any(|m| m.3 && pools.contains(&m.1) && !out(false, m.2));
-        let bare: Vec<&[u16]> = self
+        // Whether a server of these pools is left when all lost sites are excluded.
+        let leaves_server =
+            |pools: &[u16]| members.iter().any(|m| m.3 && pools.contains(&m.1) && !is_lost(false, m.2));
+        // Pools of the procedures that would have no server left.
+        let pools_left_empty: Vec<&[u16]> = self
             .params
             .deployment
             .procedures
             .iter()
             .map(|p| p.pools.as_slice())
-            .filter(|pools| !keeps(pools))
+            .filter(|pools| !leaves_server(pools))
             .collect();
-        let alone: BTreeSet<PoolId> = members
+        let excluded: BTreeSet<PoolId> = members
             .iter()
-            .filter(|m| out(true, m.2) || out(false, m.2) && !bare.iter().any(|pools| pools.contains(&m.1)))
+            .filter(|m| {
+                is_lost(true, m.2)
+                    || is_lost(false, m.2) && !pools_left_empty.iter().any(|pools| pools.contains(&m.1))
+            })
             .map(|m| m.0)
             .collect();
-        let before = std::mem::replace(&mut self.site_restriction.excluded, alone);
+        let previous = std::mem::replace(&mut self.site_restriction.excluded, excluded);
         let mut entries = Vec::new();
-        let mut taken_back = Vec::new();
-        for (name, number, _, is_in, started) in members {
-            let (was, is) = (before.contains(&name), self.site_restriction.excludes(name));
-            if was == is || !is_in {
+        let mut newly_excluded = Vec::new();
+        for (id, number, _, in_service, started) in members {
+            let (was_excluded, is_excluded) = (previous.contains(&id), self.site_restriction.excludes(id));
+            if was_excluded == is_excluded || !in_service {
                 continue;
             }
-            entries.push(PoolEntry { id: name, number, started, ready: !is });
-            let Some(&link_index) = self.link_by_pool.get(&name) else { continue };
-            self.links[link_index].ready = !is;
-            if is {
-                taken_back.push(link_index);
+            entries.push(PoolEntry { id, number, started, ready: !is_excluded });
+            let Some(&link_index) = self.link_by_pool.get(&id) else { continue };
+            self.links[link_index].ready = !is_excluded;
+            if is_excluded {
+                newly_excluded.push(link_index);
             }
         }
         if !entries.is_empty() {
             self.control.handle(now, RouterInput::PoolsListed { entries, whole: false });
         }
-        for link_index in taken_back {
+        for link_index in newly_excluded {
             self.withdraw_queued(now, link_index);
         }
     }
--- a/crates/front/src/sources.rs
+++ b/crates/front/src/sources.rs
@@ -1,5 +1,5 @@
-//! The two sources of servers, as a front follows them: lines of the pool list and look-ups of SRV names go
-//! to the membership module; what it rules goes to the decision module and to the links.
+//! The two sources of servers of a front. Lines of the pool list and look-ups of SRV names go to the
+//! membership module; the changes that it decides on go to the decision module and to the links.
 
 use crate::front::{Front, TimerEvent};
 use crate::io::{Event, Output};
@@ -13,21 +13,23 @@
 use shalespindle_srv::{In, Out, Outcome, Resolver, Step};
 use std::net::SocketAddr;
 
-/// The number of no pool.
+/// A number that no pool has.
 const NO_POOL: u16 = u16::MAX;
 
-/// Pools that DNS alone may number.
+/// Maximum number of pools that are known from DNS alone.
 const MAX_DNS_POOLS: usize = 1024;
 
-/// What a front keeps of its sources.
+/// State of the sources of servers.
 pub(crate) struct Sources {
     pub list: PoolList,
     pub members: Membership,
     dns: Option<Dns>,
-    /// First choices of the trunk groups that DNS deals, by their places; dealt anew at each ruling.
+    /// First choices of the trunk groups whose first choice comes from DNS, by index; recomputed at each
+    /// update.
     dns_first_choices: Vec<u16>,
+    /// When the next timer for the sources expires.
     timer_at: f64,
-    /// Something was reported since the last ruling.
+    /// Something was reported since the last update.
     changed: bool,
 }
 
@@ -35,17 +37,17 @@
     resolver: Resolver,
     numbers: Numbers,
     names: Vec<String>,
-    /// What the last look-up of each name came to, and when.
+    /// Time and result of each name's last look-up.
     last_results: Vec<Option<(f64, &'static str)>>,
 }
 
-/// A name that is looked up, for operators.
+/// Status of a name that is looked up in DNS, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NameStatus {
     pub name: String,
-    /// What the last look-up came to and how long ago, seconds.
+    /// Result of the last look-up and the seconds since.
     pub last: Option<(&'static str, f64)>,
-    /// Seconds until the next.
+    /// Seconds until the next look-up.
     pub next_in: f64,
 }
 
@@ -74,7 +76,8 @@
         }
     }
 
-    /// Targets as the membership module takes them: each address a server of its target's pool.
+    /// Converts a look-up's result for the membership module: each address of a target is a server of its
+    /// pool.
     fn answer(&mut self, outcome: Outcome) -> Answer {
         let (targets, lifetime) = match outcome {
             Outcome::Servers { targets, lifetime } => (targets, lifetime),
@@ -95,41 +98,41 @@
 }
 
 impl Front {
-    /// What the last run knew, `age` seconds ago. Call it before the first report.
+    /// Restores the servers that the last run knew `age` seconds ago. Call it before the first input.
     pub fn restore(&mut self, now: f64, age: f64, remembered: &[Remembered]) {
         self.sources.changed = true;
         self.sources.members.restore(now, age, remembered);
     }
 
-    /// What the next run should know.
+    /// Returns the servers to be restored in the next run.
     pub fn remember(&self) -> Vec<Remembered> {
         self.sources.members.remember()
     }
 
-    /// All servers known, with what each source says of them.
+    /// Returns all known servers and their state in each source.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.sources.members.members()
     }
 
-    /// Servers not taken up for want of room.
+    /// Number of servers that were not accepted because the limit on known servers was reached.
     pub fn servers_over_capacity(&self) -> u64 {
         self.sources.members.turned_away()
     }
 
-    /// Seconds that the pool list's feed has been away; none while it is there.
+    /// Seconds since the connection to the pool list's feed was lost; none while it is up.
     pub fn feed_lost_for(&self, now: f64) -> Option<f64> {
         self.sources.members.feed_away(now)
     }
 
-    /// The names that are looked up.
+    /// Returns the status of each name that is looked up.
     pub fn names(&self, now: f64) -> Vec<NameStatus> {
         let Some(dns) = &self.sources.dns else { return Vec::new() };
-        let one = |(place, name): (usize, &String)| NameStatus {
+        let status = |(index, name): (usize, &String)| NameStatus {
             name: name.clone(),
-            last: dns.last_results[place].map(|(at, what)| (what, now - at)),
-            next_in: dns.resolver.next_lookup(place).map_or(f64::INFINITY, |at| at - now),
+            last: dns.last_results[index].map(|(at, what)| (what, now - at)),
+            next_in: dns.resolver.next_lookup(index).map_or(f64::INFINITY, |at| at - now),
         };
-        dns.names.iter().enumerate().map(one).collect()
+        dns.names.iter().enumerate().map(status).collect()
     }
 
     pub(crate) fn feed_bytes(&mut self, now: f64, bytes: &[u8]) {
@@ -141,10 +144,10 @@
         }
         while let Some(line) = self.sources.list.next_line(now) {
             match line {
-                Ok(news) => {
-                    self.sources.members.listed(now, news.whole, &news.servers);
+                Ok(update) => {
+                    self.sources.members.listed(now, update.whole, &update.servers);
                     if self.params.has_peers {
-                        self.outputs.extend(news.servers.into_iter().map(Output::ServerListed));
+                        self.outputs.extend(update.servers.into_iter().map(Output::ServerListed));
                     }
                 }
                 Err(RejectedLine::Invalid(why)) => {
@@ -152,7 +155,7 @@
                     self.event(Event::Feed { what: "nonsense", detail: why });
                 }
                 Err(RejectedLine::Outdated { epoch, sequence }) => {
-                    // No news, but the feed is there.
+                    // It changes nothing, but shows that the feed is up.
                     self.sources.members.listed(now, false, &[]);
                     let detail = format!("epoch {epoch}, line {sequence}");
                     self.event(Event::Feed { what: "old news", detail });
@@ -169,10 +172,10 @@
     pub(crate) fn feed_lost(&mut self, now: f64) {
         self.sources.changed = true;
         self.sources.members.feed_lost(now);
-        self.event(Event::Feed { what: "lost", detail: "the last known list stands".into() });
+        self.event(Event::Feed { what: "lost", detail: "the last known list stays in use".into() });
     }
 
-    /// A server that ended its connection is up again.
+    /// The connection to a server that had ended it is up again.
     pub(crate) fn server_reconnected(&mut self, now: f64, server: SocketAddr) {
         self.sources.changed = true;
         self.sources.members.came_back(now, server);
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Pulls what the resolver and the membership module have to say until there is nothing more.
+    /// Passes the results of the resolver and the changes of the membership module on, until there are none.
     pub(crate) fn update_sources(&mut self, now: f64) {
         if !std::mem::take(&mut self.sources.changed) {
             return;
@@ -211,7 +214,7 @@
         for change in changes {
             self.apply_change(now, &change);
         }
-        // A server that the list has just named may be of a site that is out.
+        // A newly listed server may belong to a lost site.
         self.update_excluded(now);
         let resolver = self.sources.dns.as_ref().map_or(f64::INFINITY, |dns| dns.resolver.due());
         let due = resolver.min(self.sources.members.due(now));
@@ -258,13 +261,13 @@
         }
     }
 
-    /// The pool that is the first choice of a trunk group.
+    /// Returns the pool that is the first choice of a trunk group, or [`NO_POOL`].
     pub(crate) fn first_choice(&mut self, group: Option<&str>) -> u16 {
         let Some(group) = group else { return NO_POOL };
         match self.params.trunk_groups.get(group) {
             Some(FirstChoice::Pool(pool)) => *pool,
-            Some(FirstChoice::Dns(place)) => {
-                self.sources.dns_first_choices.get(*place).copied().unwrap_or(NO_POOL)
+            Some(FirstChoice::Dns(index)) => {
+                self.sources.dns_first_choices.get(*index).copied().unwrap_or(NO_POOL)
             }
             None => {
                 self.counters.unknown_trunk_group += 1;
@@ -273,24 +276,25 @@
         }
     }
 
-    /// A server's verdict changed: its link follows.
+    /// Applies a server's change of status to its link.
     fn apply_change(&mut self, now: f64, change: &Change) {
-        let place = self.link_for(change);
-        let link = &mut self.links[place];
+        let link_index = self.link_for(change);
+        let link = &mut self.links[link_index];
         link.number = change.pool;
         link.ready = change.verdict == Verdict::In && !self.site_restriction.excludes(change.name);
         link.listed = change.verdict != Verdict::Out;
         let is_in = change.verdict == Verdict::In;
         self.event(Event::ServerChanged { change: *change, age: age(now, change.started) });
         if is_in {
-            return self.connect_if_allowed(now, place);
+            return self.connect_if_allowed(now, link_index);
         }
-        self.withdraw_queued(now, place);
-        self.start_drain_timer(now, place);
-        self.close_unused(now, place);
+        self.withdraw_queued(now, link_index);
+        self.start_drain_timer(now, link_index);
+        self.close_unused(now, link_index);
     }
 }
 
+/// Seconds since a processor started; infinite if it started long ago.
 fn age(now: f64, started: f64) -> f64 {
     if started == 0.0 {
         f64::INFINITY
--- a/crates/front/tests/attaches.rs
+++ b/crates/front/tests/attaches.rs
@@ -1,4 +1,4 @@
-//! A front driven by bytes and a clock of the test's own: what each side sees.
+//! A front driven by bytes and the test's own clock: what callers and servers receive.
 
 mod common;
 
@@ -31,7 +31,7 @@
     harness.server_sends(1, &reply(&bye, 200, ""));
     assert_eq!(harness.front.established(), 0);
     harness.advance(40.0);
-    assert_eq!(harness.front.record_counts(), (0, 0), "nothing is kept");
+    assert_eq!(harness.front.record_counts(), (0, 0), "nothing stays in memory");
 }
 
 #[test]
@@ -44,7 +44,7 @@
     assert!(harness.answers[0].starts_with("SIP/2.0 100"));
     harness.invite("2", "tg-1", 3000);
     harness.invite("2", "tg-1", 3000);
-    assert_eq!(harness.answers.len(), 2, "a repeat shows that its caller waits for something");
+    assert_eq!(harness.answers.len(), 2, "a retransmission gets a 100 at once");
     harness.advance(1.0);
     assert_eq!(harness.answers.len(), 2);
 }
@@ -68,13 +68,16 @@
     assert!(harness.answers.last().unwrap().starts_with("BYE sip:r@127.0.0.1:5070"));
     let repeats = harness.answers.len();
     harness.advance(1.0);
-    assert!(harness.answers.len() > repeats, "over datagrams our BYE is repeated until it is answered");
+    assert!(
+        harness.answers.len() > repeats,
+        "over datagrams the front's BYE is retransmitted until it is answered"
+    );
     let bye = harness.answers.last().unwrap().clone();
     harness.caller_sends(&reply(&bye, 200, ""));
     let repeats = harness.answers.len();
     harness.advance(40.0);
     assert_eq!((harness.answers.len(), harness.front.record_counts()), (repeats, (0, 0)));
-    // Another server cannot end a call that is not its own.
+    // A server cannot end another server's call.
     harness.invite("2", "tg-0", 3000);
     let (_, invite_sent) = harness.last_invite_sent();
     harness.server_sends(0, &reply(&invite_sent, 200, ""));
@@ -103,7 +106,7 @@
     let before = harness.final_statuses().len();
     harness.advance(20.0);
     assert_eq!(harness.final_statuses().len(), before);
-    // Never confirmed: ended on both sides after 64 T1 (RFC 3261 section 13.3.1.4).
+    // Without an ACK the call ends on both sides after 64 T1 (RFC 3261 section 13.3.1.4).
     harness.invite("2", "tg-0", 3000);
     let (_, invite_sent) = harness.last_invite_sent();
     harness.server_sends(0, &reply(&invite_sent, 200, ""));
@@ -121,7 +124,11 @@
     );
     assert_eq!((harness.final_statuses(), harness.count("CANCEL")), (vec![487], 1));
     harness.server_sends(0, &reply(&invite_sent, 200, ""));
-    assert_eq!((harness.count("ACK"), harness.count("BYE")), (1, 1), "a late 200 is met with ACK and BYE");
+    assert_eq!(
+        (harness.count("ACK"), harness.count("BYE")),
+        (1, 1),
+        "a late 200 is answered with ACK and BYE"
+    );
     assert_eq!(harness.final_statuses(), [487]);
     assert_eq!(harness.front.counters().late_answers, 1);
 }
@@ -140,7 +147,7 @@
     harness.advance(0.05);
     assert_eq!(harness.invites_sent(), 2);
     let (to, _) = harness.last_invite_sent();
-    assert_ne!(to, server(0), "elsewhere than last");
+    assert_ne!(to, server(0), "the next try goes to another server");
 }
 
 #[test]
@@ -155,13 +162,13 @@
     harness.input(Input::LinkLost { id });
     assert!(
         harness.answers.iter().any(|a| a.starts_with("BYE")),
-        "the standing one is cut towards its caller"
+        "the established call ends with a BYE to its caller"
     );
-    assert_eq!(harness.invites_sent(), 2, "the other one waits for the guard");
+    assert_eq!(harness.invites_sent(), 2, "the other attach waits for the release guard");
     harness.advance(RELEASE_GUARD + 0.01);
     assert_eq!(harness.invites_sent(), 3);
     assert_ne!(harness.last_invite_sent().0, server(0));
-    assert_eq!(harness.count("BYE"), 1, "a server that is reached again is told to release what was cut");
+    assert_eq!(harness.count("BYE"), 1, "the reconnected server gets a BYE for the call that was cut");
 }
 
 #[test]
@@ -173,7 +180,7 @@
     assert_eq!(
         (harness.invites_sent(), harness.final_statuses().len()),
         (0, 1),
-        "nothing to reach: answered at once, {:?}",
+        "no server is reachable: answered at once, {:?}",
         harness.final_statuses()
     );
     let connects =
@@ -186,16 +193,17 @@
     );
 }
 
-/// Work that waits for a socket is taken back by a drain, by its time-out and by its caller's end.
+/// A set-up that waits for a socket is withdrawn by a drain, by the removal of its server, by its timeout and
+/// by its caller's CANCEL.
 #[test]
 fn a_set_up_withdrawn_behind_a_full_socket_is_never_sent() {
     for cause in ["drain", "gone", "time-out", "caller"] {
         let mut harness = Harness::new(1);
         harness.full_sockets = vec![server(0)];
         harness.invite("1", "tg-0", 8000);
-        assert_eq!(harness.last_invite_sent().0, server(0), "the first one fills the socket");
+        assert_eq!(harness.last_invite_sent().0, server(0), "the first set-up fills the socket");
         harness.invite("2", "tg-0", 8000);
-        assert_eq!(harness.invites_sent(), 1, "{cause}: the second one waits");
+        assert_eq!(harness.invites_sent(), 1, "{cause}: the second set-up waits");
         match cause {
             "drain" => harness.send_list(false, &[(0, "draining")]),
             "gone" => harness.send_list(true, &[(1, "ready"), (2, "ready")]),
@@ -211,12 +219,12 @@
         }
         harness.advance(0.3);
         let again = harness.frames.iter().filter(|f| f.0 == server(0) && f.1.starts_with("INVITE")).count();
-        assert_eq!(again, 1, "{cause}: nothing more for that server");
+        assert_eq!(again, 1, "{cause}: nothing more is sent to that server");
         if cause == "time-out" {
             assert_eq!(
                 harness.closed,
                 [(server(0), true)],
-                "half a set-up in a full socket goes with a reset"
+                "a half-written set-up in a full socket is discarded with a reset"
             );
         }
         if cause == "drain" {
@@ -241,15 +249,16 @@
     let mut harness = Harness::new(3);
     harness.invite("1", "tg-0", 1500);
     harness.advance(1.46);
-    assert_eq!(harness.final_statuses(), [480], "before the caller's 1.5 s are over");
-    // Held up for longer than its caller waits: the overdue end counts before the server's late answer.
+    assert_eq!(harness.final_statuses(), [480], "answered before the caller's 1.5 s have passed");
+    // The front stalls for longer than its caller waits: the expired timeout counts before the server's late
+    // answer.
     harness.invite("2", "tg-1", 1500);
     let (to, invite_sent) = harness.last_invite_sent();
     harness.now += 3.0;
     harness.server_sends(to.port() - 6000, &reply(&invite_sent, 200, ""));
     assert!(
         harness.final_statuses().iter().all(|s| *s == 480),
-        "repeated until an ACK comes, but never changed"
+        "retransmitted until an ACK comes, but never changed"
     );
     assert_eq!((harness.front.established(), harness.front.counters().late_answers), (0, 1));
 }
@@ -298,11 +307,15 @@
             break;
         }
     }
-    assert!(bad == 1 && fed < 30, "cut off after {fed} bytes");
+    assert!(bad == 1 && fed < 30, "closed after {fed} bytes");
     harness.input(Input::CallerBytes { stream: 2, bytes: text.as_bytes() });
     assert_eq!(harness.invites_sent(), 1);
     harness.input(Input::CallerClosed { stream: 2 });
-    assert_eq!((harness.front.pending(), harness.count("CANCEL")), (0, 1), "a lost caller has left");
+    assert_eq!(
+        (harness.front.pending(), harness.count("CANCEL")),
+        (0, 1),
+        "a lost caller has abandoned its attach"
+    );
 }
 
 #[test]
@@ -331,9 +344,12 @@
     assert!(harness.answers.last().unwrap().contains("Retry-After: "));
     assert!(!harness.front.is_done());
     harness.server_sends(0, &reply(&invite_sent, 200, ""));
-    assert!(!harness.front.is_done(), "it stands");
+    assert!(!harness.front.is_done(), "its call is established");
     harness.advance(10.1);
-    assert!(harness.front.is_done() && harness.count("BYE") == 1, "standing ones are released in the end");
+    assert!(
+        harness.front.is_done() && harness.count("BYE") == 1,
+        "established calls are released at the shutdown timeout"
+    );
 }
 
 #[test]
@@ -355,10 +371,10 @@
         (harness.answers, harness.frames)
     };
     assert_eq!(run(5, false), run(5, true));
-    assert_ne!(run(5, false).1, run(6, false).1, "the seed matters");
+    assert_ne!(run(5, false).1, run(6, false).1, "another seed gives another run");
 }
 
-/// What the front told the module, played to the module alone, gives the same decisions.
+/// The recorded inputs of the decision module, replayed to a new module alone, give the same decisions.
 #[test]
 fn replaying_the_recording_gives_the_same_decisions() {
     let mut harness = Harness::new(7);
@@ -389,7 +405,7 @@
     let seed = Front::control_seed(7);
     let decisions = replay(seed, params().deployment, 1000.0, harness.front.recording()).unwrap();
     assert!(decisions > 600, "{decisions}");
-    // The check can fail: another seed decides otherwise.
+    // The check can fail: another seed makes other decisions.
     assert!(replay(seed + 1, params().deployment, 1000.0, harness.front.recording()).is_err());
     let answered = harness.events.iter().filter(|e| matches!(e, Event::FinalAnswer(_))).count();
     let stood = |e: &&Event| matches!(e, Event::FinalAnswer(a) if a.outcome == Outcome::Established);
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! One front driven by hand: messages as text, a clock that the test moves.
+//! A front driven directly by a test: messages are text, and the test advances the clock.
 #![allow(dead_code)]
 
 use shalespindle_control::interface::{ColdStart, Deployment, Procedure};
@@ -64,22 +64,23 @@
     SocketAddr::from(([127, 0, 0, 1], 5070))
 }
 
-/// A front and what came out of it.
+/// A front, its scripted surroundings and its collected outputs.
 pub struct Harness {
     pub front: Front,
     pub now: f64,
-    /// What callers got, oldest first.
+    /// Messages to callers, oldest first.
     pub answers: Vec<String>,
-    /// What each server got.
+    /// Messages to servers, oldest first.
     pub frames: Vec<(SocketAddr, String)>,
     pub links: BTreeMap<SocketAddr, LinkId>,
+    /// Closed links, with whether they were reset.
     pub closed: Vec<(SocketAddr, bool)>,
     pub events: Vec<Event>,
     /// Servers that refuse connections.
     pub refusing: Vec<SocketAddr>,
-    /// Servers whose next frame does not fit.
+    /// Servers whose sockets are full: writes to them are reported as blocked.
     pub full_sockets: Vec<SocketAddr>,
-    /// Questions to name servers: ticket, to whom, over TCP, bytes.
+    /// Queries to name servers: ticket, address, whether over TCP, bytes.
     pub questions: Vec<(u64, SocketAddr, bool, Vec<u8>)>,
     sequence: u64,
 }
@@ -90,12 +91,13 @@
         let mut harness = Harness::without_servers(Front::new(params(), seed, 1000.0));
         harness.front.record();
         harness.send_list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
-        // Past the time in which a first copy may be an old one.
+        // Past the time in which an INVITE may be a retransmission of one sent before the front started.
         harness.advance(10.0);
         harness.frames.clear();
         harness
     }
 
+    /// Wraps a front that has no list of servers yet.
     pub fn without_servers(front: Front) -> Harness {
         Harness {
             front,
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Moves the clock; what is due comes when it is due.
+    /// Advances the clock and runs each timer at its time.
     pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.front.wake_at() <= until {
@@ -202,7 +204,7 @@
         self.input(Input::LinkBytes { id, bytes: text.as_bytes() });
     }
 
-    /// The last INVITE that left, and to which server.
+    /// The last INVITE to a server, and the server.
     pub fn last_invite_sent(&self) -> (SocketAddr, String) {
         self.frames.iter().rfind(|f| f.1.starts_with("INVITE")).expect("an INVITE").clone()
     }
@@ -215,7 +217,7 @@
         self.frames.iter().filter(|f| f.1.starts_with(method)).count()
     }
 
-    /// Statuses of the answers to INVITEs, 100 left out.
+    /// Statuses of the final answers to INVITEs.
     pub fn final_statuses(&self) -> Vec<u16> {
         let status = |text: &String| {
             let m = Message::parse(text.as_bytes()).unwrap();
@@ -241,13 +243,13 @@
     )
 }
 
-/// An answer to a request: its Via, From, To, Call-ID and CSeq back, with more lines.
+/// Builds an answer to a request from its Via, From, To, Call-ID and CSeq, with additional header lines.
 pub fn reply(request: &str, status: u16, more: &str) -> String {
     let head = ResponseHead::of(&Message::parse(request.as_bytes()).unwrap(), "s");
     String::from_utf8(Writer::response(status, &head).with_lines(more).finish()).unwrap()
 }
 
-/// A caller's request inside its transaction or dialog, after the answer `answer`.
+/// Builds a caller's request in the dialog of the answer `answer`.
 pub fn in_dialog_request(answer: &str, method: &str, branch: &str) -> String {
     let m = Message::parse(answer.as_bytes()).unwrap();
     format!(
--- a/crates/front/tests/dns.rs
+++ b/crates/front/tests/dns.rs
@@ -1,4 +1,4 @@
-//! A front whose servers DNS names.
+//! A front whose servers come from DNS.
 
 mod common;
 
@@ -20,7 +20,7 @@
 
 fn with_dns() -> Params {
     Params {
-        // Groups 0 and 1 are dealt by the records.
+        // The first choices of groups 0 and 1 come from the DNS records.
         trunk_groups: [
             ("tg-0".to_string(), FirstChoice::Dns(0)),
             ("tg-1".to_string(), FirstChoice::Dns(1)),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Targets by number, at the addresses of the harness's servers; each with its priority.
+/// Publishes targets as (number, index of the harness's server at its address, priority).
 fn publish(name_server: &mut NameServer, targets: &[(u16, u16, u16)]) {
     let entry = |&(n, at, priority): &(u16, u16, u16)| Entry {
         target: name(&format!("s{n}.example.org.")),
@@ -64,7 +64,7 @@
     }
 }
 
-/// Answers what the front asks until it asks nothing.
+/// Answers the front's queries until there are none.
 fn answer_queries(harness: &mut Harness, name_server: &mut NameServer) {
     while let Some((ticket, to, tcp, bytes)) = harness.questions.pop() {
         let question = if tcp { &bytes[2..] } else { &bytes[..] };
@@ -79,7 +79,7 @@
     }
 }
 
-/// Passes time in small steps, answering questions.
+/// Advances the clock in small steps and answers queries.
 fn advance(harness: &mut Harness, name_server: &mut NameServer, seconds: f64) {
     for _ in 0..(seconds * 10.0).round() as usize {
         harness.advance(0.1);
@@ -91,7 +91,7 @@
     let mut name_server = NameServer::new(name("example.org."), 3);
     publish(&mut name_server, targets);
     let mut harness = Harness::without_servers(Front::new(with_dns(), 1, 1000.0));
-    // What DNS alone names is cold at first: past that.
+    // Servers known from DNS alone count as cold at first; 20 s is past that.
     advance(&mut harness, &mut name_server, 20.0);
     harness.frames.clear();
     (harness, name_server)
@@ -112,7 +112,7 @@
     assert_eq!(
         harness.last_invite_sent().0,
         server(1),
-        "the lower priority is the first choice of every group"
+        "the target with the lower priority value is the first choice of every group"
     );
     harness.invite("2", "tg-1", 3000);
     assert_eq!(harness.last_invite_sent().0, server(1));
@@ -128,18 +128,18 @@
     assert_eq!(harness.front.established(), 1);
     let answered = harness.answers.last().unwrap().clone();
     harness.caller_sends(&in_dialog_request(&answered, "ACK", "a"));
-    // The same name, another address.
+    // The same target name, at another address.
     publish(&mut name_server, &[(0, 2, 10), (1, 1, 20)]);
     advance(&mut harness, &mut name_server, 11.0);
     assert_eq!((verdict(&harness, 0), verdict(&harness, 2)), (Some(Verdict::Draining), Some(Verdict::In)));
-    // It is cold where it is now; then it is the first choice again.
+    // The server at the new address is cold at first; then it is the first choice again.
     advance(&mut harness, &mut name_server, 20.0);
     harness.frames.clear();
     harness.invite("2", "tg-0", 3000);
-    assert_eq!(harness.last_invite_sent().0, server(2), "new ones go where it is now");
-    assert_eq!(harness.front.established(), 1, "what stood stands");
+    assert_eq!(harness.last_invite_sent().0, server(2), "new attaches go to the new address");
+    assert_eq!(harness.front.established(), 1, "the established call stays established");
     harness.caller_sends(&in_dialog_request(&answered, "BYE", "b"));
-    let bye = harness.frames.iter().find(|f| f.1.starts_with("BYE")).expect("released where it stands");
+    let bye = harness.frames.iter().find(|f| f.1.starts_with("BYE")).expect("a BYE to the call's server");
     assert_eq!(bye.0, server(0));
 }
 
@@ -155,7 +155,7 @@
         advance(&mut harness, &mut name_server, 0.5);
         harness.invite(&format!("{}", 100 + n), "tg-0", 3000);
         let (to, invite_sent) = harness.last_invite_sent();
-        assert_eq!(to, server(1), "DNS over TCP still names the other, but the list drains it");
+        assert_eq!(to, server(1), "DNS over TCP still names server 0, but the list drains it");
         accept(&mut harness, 1, &invite_sent);
     }
     assert!(name_server.asked.len() > 4 && verdict(&harness, 0) == Some(Verdict::Draining));
@@ -167,7 +167,7 @@
     name_server.script = Script::Silent;
     advance(&mut harness, &mut name_server, 100.0);
     assert_eq!((verdict(&harness, 0), verdict(&harness, 1)), (Some(Verdict::In), Some(Verdict::In)));
-    assert!(harness.front.members().all(|m| m.warned()), "with a warning by now");
+    assert!(harness.front.members().all(|m| m.warned()), "all servers carry a warning by now");
     harness.invite("1", "tg-0", 3000);
     assert_eq!(harness.invites_sent(), 1);
 }
--- a/crates/front/tests/fuzz.rs
+++ b/crates/front/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Seeded mutations of messages against parser and front: no panic, memory flat.
+//! Feeds seeded mutations of messages to the parser and the front: no panic, bounded memory.
 
 mod common;
 
@@ -39,13 +39,13 @@
     bytes
 }
 
-/// Requests of callers and answers of servers that belong to attaches this front has in hand.
+/// Returns requests of callers and answers of servers that belong to pending attaches of the front.
 fn seeds(harness: &mut Harness) -> Vec<String> {
     let mut all = Vec::new();
     for call in 0..8 {
         let text = invite(&format!("{call}"), "tg-0", 8000);
         harness.caller_sends(&text);
-        // Its 100 comes after 200 ms and names the dialog.
+        // The 100 comes after 200 ms and carries the dialog's tags.
         harness.advance(0.25);
         let (_, invite_sent) = harness.last_invite_sent();
         for status in [100, 180, 200, 480, 486, 487, 503] {
@@ -73,11 +73,12 @@
         let bytes = mutated(&seeds, &mut rng);
         if let Ok(message) = Message::parse(&bytes) {
             read += 1;
-            // Every reader is run, whatever the message is.
+            // Every accessor is called, whatever the message is.
             std::hint::black_box((message.via().is_ok(), message.cseq().is_ok(), message.called()));
             std::hint::black_box((message.retry_after(), message.q850_cause(), message.session().is_some()));
         }
-        // The front gets every tenth, by each way in, and now and then time.
+        // The front gets every tenth message, through each kind of input in turn, and time passes now and
+        // then.
         match round % 40 {
             0 => harness.input(Input::Datagram { from: caller(), bytes: &bytes }),
             10 => harness.input(Input::CallerBytes { stream: u64::from(round % 7), bytes: &bytes }),
@@ -98,10 +99,10 @@
             harness.events.clear();
         }
     }
-    assert!(read > 100_000, "enough of them are still messages: {read}");
+    assert!(read > 100_000, "too few of the mutations parse: {read}");
     assert!(most.0 <= 8 * 200 && most.1 <= 8 * 200, "{most:?}");
     harness.advance(100.0);
-    assert_eq!(harness.front.pending(), 0, "all were answered");
+    assert_eq!(harness.front.pending(), 0, "every attach was answered");
     harness.input(Input::FeedConnected);
     harness.send_list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
     assert_eq!(harness.front.members().filter(|m| m.verdict() == Verdict::In).count(), 3);
@@ -112,6 +113,6 @@
     harness.advance(3.0);
     assert!(
         harness.front.counters().offered == offered + 1 && !harness.final_statuses().is_empty(),
-        "and it still serves"
+        "the front no longer serves"
     );
 }
