--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -324,8 +324,8 @@
     }
 
     fn run_timers(&mut self, now: f64) {
-        while let Some(due) = self.timers.pop(now) {
-            match due {
+        while let Some(event) = self.timers.pop(now) {
+            match event {
                 TimerEvent::Control => self.control.handle(now, RouterInput::Wake),
                 TimerEvent::Leg { key, serial } => self.on_leg_timer(now, LegRef { key, serial }),
                 TimerEvent::CallerTransaction { key, serial } => self.on_caller_timer(now, key, serial),
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -17,14 +17,14 @@
     // ---- links ----
 
     pub(crate) fn connect(&mut self, now: f64, link_index: usize) {
-        let within = self.params.connect_timeout;
+        let timeout = self.params.connect_timeout;
         let link = &mut self.links[link_index];
         link.connection += 1;
         link.state = LinkState::Connecting;
         link.observations.connect_attempted = true;
         link.observations.expect_answer(now);
         let (id, to) = (link.id(link_index), link.address);
-        self.timers.set(now + within, TimerEvent::Link { link: link_index, connection: id.connection });
+        self.timers.set(now + timeout, TimerEvent::Link { link: link_index, connection: id.connection });
         self.outputs.push_back(Output::Connect { id, to });
     }
 
@@ -92,8 +92,8 @@
         link.clear_connection_state();
         let (server, wanted) = (link.address, link.listed || link.legs > 0);
         if wanted {
-            let due = TimerEvent::Link { link: id.link, connection: link.connection };
-            self.timers.set(now + retry_after, due);
+            let event = TimerEvent::Link { link: id.link, connection: link.connection };
+            self.timers.set(now + retry_after, event);
         }
         let cut = self.end_legs_of_link(now, id.link);
         self.event(Event::LinkLost { server, cut, retry_after });
