--- a/crates/front/src/io.rs
+++ b/crates/front/src/io.rs
@@ -1,10 +1,10 @@
 //! Inputs, outputs and log events of a front, and its counters.
 
 use serde::{Deserialize, Serialize};
-use shalespindle_levels::Why;
-use shalespindle_membership::{Change, Listed, Warning};
+use shalespindle_levels::ChangeReason;
+use shalespindle_membership::{Change, ListEntry, PeerWarning};
 use shalespindle_replica::CallWord;
-use shalespindle_sites::{Narrowing, Observed};
+use shalespindle_sites::{Restrictions, Sample};
 use shalespindle_srv::{In, Step, Ticket};
 use std::net::SocketAddr;
 
@@ -66,7 +66,7 @@
     /// An answer to a DNS query, or the loss of its socket.
     Dns(In<'a>),
     /// The combined state that other fronts' lists report for a server.
-    ServerWarning(Warning),
+    ServerWarning(PeerWarning),
     /// The answer to [`Output::FindCall`].
     FindCallResult {
         ticket: u64,
@@ -79,7 +79,7 @@
         call: u64,
     },
     /// The restrictions that follow for this front from the fleet's decisions on sites.
-    SiteRestriction(Narrowing),
+    SiteRestriction(Restrictions),
     /// A call of a front that died must be released towards both the caller and the server.
     ReleaseCall(Box<CallWord>),
     /// Graceful shutdown: refuse new attaches, answer the pending ones, then be done.
@@ -126,9 +126,9 @@
         ticket: Ticket,
     },
     /// A server's state in this front's list, to be forwarded to other fronts.
-    ServerListed(Listed),
+    ServerListed(ListEntry),
     /// This front's observations of sites, to be forwarded to the fleet.
-    SitesObserved(Observed),
+    SitesObserved(Sample),
     /// A call of this front was established (`record` is present) or has ended, to be forwarded to other
     /// fronts.
     CallChanged {
@@ -229,7 +229,7 @@
     LevelChanged {
         from: usize,
         to: usize,
-        why: Why,
+        why: ChangeReason,
         admits: String,
     },
     /// An operator pinned a level for `seconds`, or removed the pin.
--- a/crates/front/src/params.rs
+++ b/crates/front/src/params.rs
@@ -3,7 +3,7 @@
 use shalespindle_control::interface::Deployment;
 use shalespindle_levels::LevelParams;
 use shalespindle_membership::MembershipParams;
-use shalespindle_sites::Table;
+use shalespindle_sites::SiteTable;
 use shalespindle_srv::ResolverParams;
 use std::collections::{BTreeMap, HashMap};
 
@@ -61,7 +61,7 @@
 /// What a front needs to know of sites.
 #[derive(Clone, Debug)]
 pub struct SiteParams {
-    pub table: Table,
+    pub table: SiteTable,
     /// Interval between two reports of observations, seconds.
     pub report_interval: f64,
     /// A server that has not answered for so long, or has not been connected for so long, is unreachable;
--- a/crates/front/src/pool_list.rs
+++ b/crates/front/src/pool_list.rs
@@ -7,7 +7,7 @@
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
-use shalespindle_membership::{Listed, Told};
+use shalespindle_membership::{ListEntry, ReportedState};
 use std::net::SocketAddr;
 
 /// Maximum length of a line, bytes. A longer line ends the connection.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ListUpdate {
     pub whole: bool,
-    pub servers: Vec<Listed>,
+    pub servers: Vec<ListEntry>,
 }
 
 /// Why a line was rejected.
@@ -129,14 +129,14 @@
     }
 }
 
-fn to_listed(now: f64, server: &Server) -> Listed {
-    Listed {
+fn to_listed(now: f64, server: &Server) -> ListEntry {
+    ListEntry {
         address: server.address,
         pool: server.pool,
-        told: match server.state {
-            ServerState::Ready => Told::Ready,
-            ServerState::Draining => Told::Draining,
-            ServerState::Gone => Told::Gone,
+        state: match server.state {
+            ServerState::Ready => ReportedState::Ready,
+            ServerState::Draining => ReportedState::Draining,
+            ServerState::Gone => ReportedState::Gone,
         },
         incarnation: server.incarnation,
         started: match server.age_ms {
@@ -172,8 +172,8 @@
     fn a_line_becomes_server_records() {
         let mut list = PoolList::default();
         let update = accepted(&mut list, &line(1, 1, true, &[(1, "ready", 3), (2, "draining", 1)])).unwrap();
-        let states: Vec<Told> = update.servers.iter().map(|s| s.told).collect();
-        assert_eq!((update.whole, states), (true, vec![Told::Ready, Told::Draining]));
+        let states: Vec<ReportedState> = update.servers.iter().map(|s| s.state).collect();
+        assert_eq!((update.whole, states), (true, vec![ReportedState::Ready, ReportedState::Draining]));
         assert_eq!((update.servers[0].started, update.servers[0].incarnation), (99.5, 3));
     }
 
--- a/crates/front/src/sites.rs
+++ b/crates/front/src/sites.rs
@@ -7,8 +7,8 @@
 use crate::links::LinkState;
 use crate::router::RouterInput;
 use shalespindle_control::interface::{PoolEntry, PoolId};
-use shalespindle_membership::Verdict;
-use shalespindle_sites::{Narrowing, Observed, ObservedServer};
+use shalespindle_membership::ServiceStatus;
+use shalespindle_sites::{Restrictions, Sample, ServerSample};
 use std::collections::BTreeSet;
 
 /// The restrictions from the fleet's decisions on sites, as this front applies them.
@@ -48,31 +48,31 @@
             let known = link.listed
                 && link.observations.connect_attempted
                 && (reachable || unanswered >= silent_after);
-            ObservedServer {
+            ServerSample {
                 pool: link.number,
                 address: link.address.ip(),
                 reached: known.then_some(reachable),
-                stood: link.observations.established,
-                cuts: link.observations.lost_connections,
+                established: link.observations.established,
+                disconnects: link.observations.lost_connections,
                 wait: link.observations.reported_wait,
             }
         });
-        let mut asked = self.levels.as_ref().map_or(Vec::new(), |levels| levels.asked().to_vec());
+        let mut asked = self.levels.as_ref().map_or(Vec::new(), |levels| levels.first_attempts().to_vec());
         asked.resize(self.params.deployment.procedures.len(), 0);
-        let observed = Observed { servers: servers.collect(), asked };
+        let observed = Sample { servers: servers.collect(), requested: asked };
         self.outputs.push_back(Output::SitesObserved(observed));
     }
 
     /// Applies the restrictions from the fleet's decisions on sites.
-    pub(crate) fn restrict_sites(&mut self, now: f64, narrowing: Narrowing) {
+    pub(crate) fn restrict_sites(&mut self, now: f64, narrowing: Restrictions) {
         if let Some(levels) = &mut self.levels {
-            levels.narrow(now, &narrowing.parts, narrowing.floor);
+            levels.set_rate_limits(now, &narrowing.rate_limits, narrowing.floor);
         }
-        self.site_restriction.lost_sites = narrowing.out;
+        self.site_restriction.lost_sites = narrowing.excluded;
         self.update_excluded(now);
         let pools =
             self.links.iter().filter(|l| self.site_restriction.excludes(l.pool)).map(|l| l.number).collect();
-        self.event(Event::SitesRestricted { pools, rates: narrowing.parts });
+        self.event(Event::SitesRestricted { pools, rates: narrowing.rate_limits });
     }
 
     /// Excludes the servers of lost sites, except those without which a procedure would have no server left:
@@ -83,7 +83,7 @@
         if self.site_restriction.lost_sites.is_empty() && self.site_restriction.excluded.is_empty() {
             return;
         }
-        let site_of = |pool: u16, at: std::net::SocketAddr| sites.table.of_server(pool, Some(at.ip()));
+        let site_of = |pool: u16, at: std::net::SocketAddr| sites.table.site_of_server(pool, Some(at.ip()));
         let is_lost = |held_only: bool, site: Option<usize>| {
             site.is_some_and(|s| {
                 self.site_restriction
@@ -98,7 +98,13 @@
             .members
             .members()
             .map(|m| {
-                (m.name(), m.pool(), site_of(m.pool(), m.address()), m.verdict() == Verdict::In, m.started())
+                (
+                    m.name(),
+                    m.pool(),
+                    site_of(m.pool(), m.address()),
+                    m.status() == ServiceStatus::In,
+                    m.started(),
+                )
             })
             .collect();
         // Whether a server of these pools is left when all lost sites are excluded.
--- a/crates/front/src/sources.rs
+++ b/crates/front/src/sources.rs
@@ -8,7 +8,8 @@
 use crate::router::RouterInput;
 use shalespindle_control::interface::PoolEntry;
 use shalespindle_membership::{
-    first_choices, Answer, Change, Found, Member, Membership, Numbers, Remembered, Verdict, Warning,
+    first_choices, Change, DnsRecord, LookupResult, Member, Membership, PeerWarning, PoolNumbers,
+    ServiceStatus, StoredMember,
 };
 use shalespindle_srv::{In, Out, Outcome, Resolver, Step};
 use std::net::SocketAddr;
@@ -35,7 +36,7 @@
 
 struct Dns {
     resolver: Resolver,
-    numbers: Numbers,
+    numbers: PoolNumbers,
     names: Vec<String>,
     /// Time and result of each name's last look-up.
     last_results: Vec<Option<(f64, &'static str)>>,
@@ -70,7 +71,7 @@
     fn new(params: &DnsParams, seed: u64, now: f64) -> Dns {
         Dns {
             resolver: Resolver::new(params.resolver.clone(), seed, now),
-            numbers: Numbers::new(params.pools.clone(), params.first_pool, MAX_DNS_POOLS),
+            numbers: PoolNumbers::new(params.pools.clone(), params.first_pool, MAX_DNS_POOLS),
             names: params.resolver.names.iter().map(|n| n.to_string()).collect(),
             last_results: vec![None; params.resolver.names.len()],
         }
@@ -78,35 +79,35 @@
 
     /// Converts a look-up's result for the membership module: each address of a target is a server of its
     /// pool.
-    fn answer(&mut self, outcome: Outcome) -> Answer {
+    fn answer(&mut self, outcome: Outcome) -> LookupResult {
         let (targets, lifetime) = match outcome {
             Outcome::Servers { targets, lifetime } => (targets, lifetime),
-            Outcome::Empty => return Answer::Empty,
-            Outcome::Failed => return Answer::Failed,
+            Outcome::Empty => return LookupResult::Empty,
+            Outcome::Failed => return LookupResult::Failed,
         };
         let mut found = Vec::new();
         for target in targets {
-            let Some(pool) = self.numbers.of(&target.name.to_string()) else { continue };
+            let Some(pool) = self.numbers.number_for(&target.name.to_string()) else { continue };
             for address in target.addresses {
                 let address = SocketAddr::new(address, target.port);
                 let (priority, weight) = (target.priority, target.weight);
-                found.push(Found { address, pool, priority, weight });
+                found.push(DnsRecord { address, pool, priority, weight });
             }
         }
-        Answer::Servers { found, lifetime }
+        LookupResult::Servers { records: found, lifetime }
     }
 }
 
 impl Front {
     /// Restores the servers that the last run knew `age` seconds ago. Call it before the first input.
-    pub fn restore(&mut self, now: f64, age: f64, remembered: &[Remembered]) {
+    pub fn restore(&mut self, now: f64, age: f64, remembered: &[StoredMember]) {
         self.sources.changed = true;
         self.sources.members.restore(now, age, remembered);
     }
 
     /// Returns the servers to be restored in the next run.
-    pub fn remember(&self) -> Vec<Remembered> {
-        self.sources.members.remember()
+    pub fn remember(&self) -> Vec<StoredMember> {
+        self.sources.members.stored_members()
     }
 
     /// Returns all known servers and their state in each source.
@@ -116,12 +117,12 @@
 
     /// Number of servers that were not accepted because the limit on known servers was reached.
     pub fn servers_over_capacity(&self) -> u64 {
-        self.sources.members.turned_away()
+        self.sources.members.rejected()
     }
 
     /// Seconds since the connection to the pool list's feed was lost; none while it is up.
     pub fn feed_lost_for(&self, now: f64) -> Option<f64> {
-        self.sources.members.feed_away(now)
+        self.sources.members.feed_lost_for(now)
     }
 
     /// Returns the status of each name that is looked up.
@@ -145,7 +146,7 @@
         while let Some(line) = self.sources.list.next_line(now) {
             match line {
                 Ok(update) => {
-                    self.sources.members.listed(now, update.whole, &update.servers);
+                    self.sources.members.apply_list(now, update.whole, &update.servers);
                     if self.params.has_peers {
                         self.outputs.extend(update.servers.into_iter().map(Output::ServerListed));
                     }
@@ -156,7 +157,7 @@
                 }
                 Err(RejectedLine::Outdated { epoch, sequence }) => {
                     // It changes nothing, but shows that the feed is up.
-                    self.sources.members.listed(now, false, &[]);
+                    self.sources.members.apply_list(now, false, &[]);
                     let detail = format!("epoch {epoch}, line {sequence}");
                     self.event(Event::Feed { what: "old news", detail });
                 }
@@ -164,9 +165,9 @@
         }
     }
 
-    pub(crate) fn server_warning(&mut self, now: f64, warning: Warning) {
+    pub(crate) fn server_warning(&mut self, now: f64, warning: PeerWarning) {
         self.sources.changed = true;
-        self.sources.members.warned(now, warning);
+        self.sources.members.apply_warning(now, warning);
     }
 
     pub(crate) fn feed_lost(&mut self, now: f64) {
@@ -178,7 +179,7 @@
     /// The connection to a server that had ended it is up again.
     pub(crate) fn server_reconnected(&mut self, now: f64, server: SocketAddr) {
         self.sources.changed = true;
-        self.sources.members.came_back(now, server);
+        self.sources.members.reconnected(now, server);
     }
 
     pub(crate) fn dns(&mut self, now: f64, report: In) {
@@ -194,7 +195,7 @@
             return;
         }
         self.poll_resolver(now);
-        self.sources.members.settle(now);
+        self.sources.members.evaluate(now);
         self.sources.dns_first_choices =
             first_choices(self.sources.members.members(), self.params.dns_groups);
         let mut entries = Vec::new();
@@ -204,7 +205,7 @@
                 id: change.name,
                 number: change.pool,
                 started: change.started,
-                ready: change.verdict == Verdict::In && !self.site_restriction.excludes(change.name),
+                ready: change.status == ServiceStatus::In && !self.site_restriction.excludes(change.name),
             });
             changes.push(change);
         }
@@ -217,7 +218,7 @@
         // A newly listed server may belong to a lost site.
         self.update_excluded(now);
         let resolver = self.sources.dns.as_ref().map_or(f64::INFINITY, |dns| dns.resolver.due());
-        let due = resolver.min(self.sources.members.due(now));
+        let due = resolver.min(self.sources.members.next_deadline(now));
         if due < self.sources.timer_at {
             self.sources.timer_at = due;
             self.timers.set(due, TimerEvent::Sources);
@@ -248,7 +249,7 @@
                     };
                     dns.last_results[name] = Some((now, what));
                     let answer = dns.answer(outcome);
-                    self.sources.members.answered(now, name, &answer);
+                    self.sources.members.apply_lookup(now, name, &answer);
                 }
             }
         }
@@ -281,9 +282,9 @@
         let link_index = self.link_for(change);
         let link = &mut self.links[link_index];
         link.number = change.pool;
-        link.ready = change.verdict == Verdict::In && !self.site_restriction.excludes(change.name);
-        link.listed = change.verdict != Verdict::Out;
-        let is_in = change.verdict == Verdict::In;
+        link.ready = change.status == ServiceStatus::In && !self.site_restriction.excludes(change.name);
+        link.listed = change.status != ServiceStatus::Out;
+        let is_in = change.status == ServiceStatus::In;
         self.event(Event::ServerChanged { change: *change, age: age(now, change.started) });
         if is_in {
             return self.connect_if_allowed(now, link_index);
--- a/crates/front/tests/dns.rs
+++ b/crates/front/tests/dns.rs
@@ -5,7 +5,7 @@
 use common::*;
 use shalespindle_front::params::{DnsParams, FirstChoice};
 use shalespindle_front::{Front, Input, Params};
-use shalespindle_membership::Verdict;
+use shalespindle_membership::ServiceStatus;
 use shalespindle_srv::{In, Name, ResolverParams};
 use shalespindle_standin::nameserver::{Entry, NameServer, Script};
 use std::net::SocketAddr;
@@ -97,8 +97,8 @@
     (harness, name_server)
 }
 
-fn verdict(harness: &Harness, at: u16) -> Option<Verdict> {
-    harness.front.members().find(|m| m.address() == server(at)).map(|m| m.verdict())
+fn status_of(harness: &Harness, at: u16) -> Option<ServiceStatus> {
+    harness.front.members().find(|m| m.address() == server(at)).map(|m| m.status())
 }
 
 fn accept(harness: &mut Harness, at: u16, invite_sent: &str) {
@@ -131,7 +131,10 @@
     // The same target name, at another address.
     publish(&mut name_server, &[(0, 2, 10), (1, 1, 20)]);
     advance(&mut harness, &mut name_server, 11.0);
-    assert_eq!((verdict(&harness, 0), verdict(&harness, 2)), (Some(Verdict::Draining), Some(Verdict::In)));
+    assert_eq!(
+        (status_of(&harness, 0), status_of(&harness, 2)),
+        (Some(ServiceStatus::Draining), Some(ServiceStatus::In))
+    );
     // The server at the new address is cold at first; then it is the first choice again.
     advance(&mut harness, &mut name_server, 20.0);
     harness.frames.clear();
@@ -158,7 +161,7 @@
         assert_eq!(to, server(1), "DNS over TCP still names server 0, but the list drains it");
         accept(&mut harness, 1, &invite_sent);
     }
-    assert!(name_server.asked.len() > 4 && verdict(&harness, 0) == Some(Verdict::Draining));
+    assert!(name_server.asked.len() > 4 && status_of(&harness, 0) == Some(ServiceStatus::Draining));
 }
 
 #[test]
@@ -166,8 +169,11 @@
     let (mut harness, mut name_server) = started_front(&[(0, 0, 10), (1, 1, 10)]);
     name_server.script = Script::Silent;
     advance(&mut harness, &mut name_server, 100.0);
-    assert_eq!((verdict(&harness, 0), verdict(&harness, 1)), (Some(Verdict::In), Some(Verdict::In)));
-    assert!(harness.front.members().all(|m| m.warned()), "all servers carry a warning by now");
+    assert_eq!(
+        (status_of(&harness, 0), status_of(&harness, 1)),
+        (Some(ServiceStatus::In), Some(ServiceStatus::In))
+    );
+    assert!(harness.front.members().all(|m| m.needs_attention()), "all servers carry a warning by now");
     harness.invite("1", "tg-0", 3000);
     assert_eq!(harness.invites_sent(), 1);
 }
--- a/crates/front/tests/fuzz.rs
+++ b/crates/front/tests/fuzz.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_front::Input;
-use shalespindle_membership::Verdict;
+use shalespindle_membership::ServiceStatus;
 use shalespindle_signalling::Message;
 
 fn mutated(seeds: &[String], rng: &mut ChaCha8Rng) -> Vec<u8> {
@@ -105,7 +105,7 @@
     assert_eq!(harness.front.pending(), 0, "every attach was answered");
     harness.input(Input::FeedConnected);
     harness.send_list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
-    assert_eq!(harness.front.members().filter(|m| m.verdict() == Verdict::In).count(), 3);
+    assert_eq!(harness.front.members().filter(|m| m.status() == ServiceStatus::In).count(), 3);
     harness.advance(5.0);
     let offered = harness.front.counters().offered;
     harness.answers.clear();
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -1,18 +1,18 @@
 //! A front's place among others, and what its list told in their words.
 
 use crate::owner::Letter;
-use shalespindle_membership::Listed;
+use shalespindle_membership::ListEntry;
 use shalespindle_peer_service::{Fronts, Keep, Saying, Start};
 use shalespindle_replica::ServerWord;
 use shalespindle_settings::{read_key, FleetSettings};
-use shalespindle_sites::{SitesParams, Table};
+use shalespindle_sites::{SiteTable, SitesParams};
 use shalespindle_sockets::{Ground, Mailbox};
 use std::io;
 
 /// Opens the socket between fronts; what others make known goes to the front's owner.
 pub(crate) fn fronts(
     settings: &FleetSettings,
-    sites: Option<(SitesParams, Table)>,
+    sites: Option<(SitesParams, SiteTable)>,
     seed: u64,
     ground: Ground,
     to: Mailbox<Letter>,
@@ -33,9 +33,9 @@
 }
 
 /// What this front's list told, for others.
-pub(crate) fn saying(now: f64, listed: &Listed) -> Saying {
+pub(crate) fn saying(now: f64, listed: &ListEntry) -> Saying {
     // 0 means long ago.
     let age = (listed.started > 0.0).then(|| (now - listed.started).max(0.0));
-    let Listed { address, pool, told, incarnation, .. } = *listed;
+    let ListEntry { address, pool, state: told, incarnation, .. } = *listed;
     Saying::Server { address, word: ServerWord { pool, incarnation, told, age } }
 }
