--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -308,7 +308,7 @@
             Input::ServerWarning(warning) => self.server_warning(now, warning),
             Input::FindCallResult { ticket, known, call } => self.find_call_result(now, ticket, known, call),
             Input::CallReleased { call } => self.released_elsewhere(now, call),
-            Input::SiteRestriction(narrowing) => self.restrict_sites(now, narrowing),
+            Input::SiteRestriction(restrictions) => self.restrict_sites(now, restrictions),
             Input::ReleaseCall(call) => self.release_foreign(now, &call, true, true),
             Input::Shutdown => self.begin_shutdown(now),
         }
--- a/crates/front/src/sites.rs
+++ b/crates/front/src/sites.rs
@@ -57,22 +57,23 @@
                 wait: link.observations.reported_wait,
             }
         });
-        let mut asked = self.levels.as_ref().map_or(Vec::new(), |levels| levels.first_attempts().to_vec());
-        asked.resize(self.params.deployment.procedures.len(), 0);
-        let observed = Sample { servers: servers.collect(), requested: asked };
-        self.outputs.push_back(Output::SitesObserved(observed));
+        let mut requested =
+            self.levels.as_ref().map_or(Vec::new(), |levels| levels.first_attempts().to_vec());
+        requested.resize(self.params.deployment.procedures.len(), 0);
+        let sample = Sample { servers: servers.collect(), requested };
+        self.outputs.push_back(Output::SitesObserved(sample));
     }
 
     /// Applies the restrictions from the fleet's decisions on sites.
-    pub(crate) fn restrict_sites(&mut self, now: f64, narrowing: Restrictions) {
+    pub(crate) fn restrict_sites(&mut self, now: f64, restrictions: Restrictions) {
         if let Some(levels) = &mut self.levels {
-            levels.set_rate_limits(now, &narrowing.rate_limits, narrowing.floor);
+            levels.set_rate_limits(now, &restrictions.rate_limits, restrictions.floor);
         }
-        self.site_restriction.lost_sites = narrowing.excluded;
+        self.site_restriction.lost_sites = restrictions.excluded;
         self.update_excluded(now);
         let pools =
             self.links.iter().filter(|l| self.site_restriction.excludes(l.pool)).map(|l| l.number).collect();
-        self.event(Event::SitesRestricted { pools, rates: narrowing.rate_limits });
+        self.event(Event::SitesRestricted { pools, rates: restrictions.rate_limits });
     }
 
     /// Excludes the servers of lost sites, except those without which a procedure would have no server left:
