--- a/crates/front/src/sources.rs
+++ b/crates/front/src/sources.rs
@@ -1,7 +1,7 @@
-//! The two sources of servers, as a front follows them: lines of the pool list and look-ups of SRV names go
-//! to the membership module; what it rules goes to the decision module and to the links.
+//! The two sources of servers of a front. Lines of the pool list and look-ups of SRV names go to the
+//! membership module; the changes that it decides on go to the decision module and to the links.
 
-use crate::front::{Due, Front};
+use crate::front::{Front, TimerEvent};
 use crate::io::{Event, Output};
 use crate::params::{DnsParams, FirstChoice, Params};
 use crate::pool_list::{PoolList, RejectedLine};
@@ -14,39 +14,41 @@
 use shalespindle_srv::{In, Out, Outcome, Resolver, Step};
 use std::net::SocketAddr;
 
-/// The number of no pool.
+/// A number that no pool has.
 const NO_POOL: u16 = u16::MAX;
 
-/// Pools that DNS alone may number.
-const MOST_NUMBERED: usize = 1024;
+/// Maximum number of pools that are known from DNS alone.
+const MAX_DNS_POOLS: usize = 1024;
 
-/// What a front keeps of its sources.
+/// State of the sources of servers.
 pub(crate) struct Sources {
     pub list: PoolList,
     pub members: Membership,
     dns: Option<Dns>,
-    /// First choices of the trunk groups that DNS deals, by their places; dealt anew at each ruling.
-    dealt: Vec<u16>,
-    wake: f64,
-    /// Something was reported since the last ruling.
-    stirred: bool,
+    /// First choices of the trunk groups whose first choice comes from DNS, by index; recomputed at each
+    /// update.
+    dns_first_choices: Vec<u16>,
+    /// When the next timer for the sources expires.
+    timer_at: f64,
+    /// Something was reported since the last update.
+    changed: bool,
 }
 
 struct Dns {
     resolver: Resolver,
     numbers: PoolNumbers,
     names: Vec<String>,
-    /// What the last look-up of each name came to, and when.
-    last: Vec<Option<(f64, &'static str)>>,
+    /// Time and result of each name's last look-up.
+    last_results: Vec<Option<(f64, &'static str)>>,
 }
 
-/// A name that is looked up, for operators.
+/// Status of a name that is looked up in DNS, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NameStatus {
     pub name: String,
-    /// What the last look-up came to and how long ago, seconds.
+    /// Result of the last look-up and the seconds since.
     pub last: Option<(&'static str, f64)>,
-    /// Seconds until the next.
+    /// Seconds until the next look-up.
     pub next_in: f64,
 }
 
@@ -58,9 +60,9 @@
             list: PoolList::default(),
             members,
             dns,
-            dealt: Vec::new(),
-            wake: f64::INFINITY,
-            stirred: true,
+            dns_first_choices: Vec::new(),
+            timer_at: f64::INFINITY,
+            changed: true,
         }
     }
 }
@@ -69,13 +71,14 @@
     fn new(params: &DnsParams, seed: u64, now: f64) -> Dns {
         Dns {
             resolver: Resolver::new(params.resolver.clone(), seed, now),
-            numbers: PoolNumbers::new(params.pools.clone(), params.first_pool, MOST_NUMBERED),
+            numbers: PoolNumbers::new(params.pools.clone(), params.first_pool, MAX_DNS_POOLS),
             names: params.resolver.names.iter().map(|n| n.to_string()).collect(),
-            last: vec![None; params.resolver.names.len()],
+            last_results: vec![None; params.resolver.names.len()],
         }
     }
 
-    /// Targets as the membership module takes them: each address a server of its target's pool.
+    /// Converts a look-up's result for the membership module: each address of a target is a server of its
+    /// pool.
     fn answer(&mut self, outcome: Outcome) -> LookupResult {
         let (targets, lifetime) = match outcome {
             Outcome::Servers { targets, lifetime } => (targets, lifetime),
@@ -96,45 +99,45 @@
 }
 
 impl Front {
-    /// What the last run knew, `age` seconds ago. Call it before the first report.
+    /// Restores the servers that the last run knew `age` seconds ago. Call it before the first input.
     pub fn restore(&mut self, now: f64, age: f64, remembered: &[StoredMember]) {
-        self.sources.stirred = true;
+        self.sources.changed = true;
         self.sources.members.restore(now, age, remembered);
     }
 
-    /// What the next run should know.
+    /// Returns the servers to be restored in the next run.
     pub fn remember(&self) -> Vec<StoredMember> {
         self.sources.members.stored_members()
     }
 
-    /// All servers known, with what each source says of them.
+    /// Returns all known servers and their state in each source.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.sources.members.members()
     }
 
-    /// Servers not taken up for want of room.
+    /// Number of servers that were not accepted because the limit on known servers was reached.
     pub fn servers_over_capacity(&self) -> u64 {
         self.sources.members.rejected()
     }
 
-    /// Seconds that the pool list's feed has been away; none while it is there.
+    /// Seconds since the connection to the pool list's feed was lost; none while it is up.
     pub fn feed_lost_for(&self, now: f64) -> Option<f64> {
         self.sources.members.feed_lost_for(now)
     }
 
-    /// The names that are looked up.
+    /// Returns the status of each name that is looked up.
     pub fn names(&self, now: f64) -> Vec<NameStatus> {
         let Some(dns) = &self.sources.dns else { return Vec::new() };
-        let one = |(place, name): (usize, &String)| NameStatus {
+        let status = |(index, name): (usize, &String)| NameStatus {
             name: name.clone(),
-            last: dns.last[place].map(|(at, what)| (what, now - at)),
-            next_in: dns.resolver.next_lookup(place).map_or(f64::INFINITY, |at| at - now),
+            last: dns.last_results[index].map(|(at, what)| (what, now - at)),
+            next_in: dns.resolver.next_lookup(index).map_or(f64::INFINITY, |at| at - now),
         };
-        dns.names.iter().enumerate().map(one).collect()
+        dns.names.iter().enumerate().map(status).collect()
     }
 
     pub(crate) fn feed_bytes(&mut self, now: f64, bytes: &[u8]) {
-        self.sources.stirred = true;
+        self.sources.changed = true;
         if !self.sources.list.push(bytes) {
             self.counters.bad_list_lines += 1;
             self.sources.list.connected();
@@ -142,10 +145,10 @@
         }
         while let Some(line) = self.sources.list.next_line(now) {
             match line {
-                Ok(news) => {
-                    self.sources.members.apply_list(now, news.whole, &news.servers);
+                Ok(update) => {
+                    self.sources.members.apply_list(now, update.whole, &update.servers);
                     if self.params.has_peers {
-                        self.outputs.extend(news.servers.into_iter().map(Output::ServerListed));
+                        self.outputs.extend(update.servers.into_iter().map(Output::ServerListed));
                     }
                 }
                 Err(RejectedLine::Invalid(why)) => {
@@ -153,7 +156,7 @@
                     self.event(Event::Feed { what: "nonsense", detail: why });
                 }
                 Err(RejectedLine::Outdated { epoch, sequence }) => {
-                    // No news, but the feed is there.
+                    // It changes nothing, but shows that the feed is up.
                     self.sources.members.apply_list(now, false, &[]);
                     let detail = format!("epoch {epoch}, line {sequence}");
                     self.event(Event::Feed { what: "old news", detail });
@@ -162,38 +165,39 @@
         }
     }
 
-    pub(crate) fn warned(&mut self, now: f64, warning: PeerWarning) {
-        self.sources.stirred = true;
+    pub(crate) fn server_warning(&mut self, now: f64, warning: PeerWarning) {
+        self.sources.changed = true;
         self.sources.members.apply_warning(now, warning);
     }
 
     pub(crate) fn feed_lost(&mut self, now: f64) {
-        self.sources.stirred = true;
+        self.sources.changed = true;
         self.sources.members.feed_lost(now);
-        self.event(Event::Feed { what: "lost", detail: "the last known list stands".into() });
+        self.event(Event::Feed { what: "lost", detail: "the last known list stays in use".into() });
     }
 
-    /// A server that ended its connection is up again.
-    pub(crate) fn came_back(&mut self, now: f64, server: SocketAddr) {
-        self.sources.stirred = true;
+    /// The connection to a server that had ended it is up again.
+    pub(crate) fn server_reconnected(&mut self, now: f64, server: SocketAddr) {
+        self.sources.changed = true;
         self.sources.members.reconnected(now, server);
     }
 
     pub(crate) fn dns(&mut self, now: f64, report: In) {
-        self.sources.stirred = true;
+        self.sources.changed = true;
         if let Some(dns) = &mut self.sources.dns {
             dns.resolver.take(now, report);
         }
     }
 
-    /// Pulls what the resolver and the membership module have to say until there is nothing more.
-    pub(crate) fn heed_sources(&mut self, now: f64) {
-        if !std::mem::take(&mut self.sources.stirred) {
+    /// Passes the results of the resolver and the changes of the membership module on, until there are none.
+    pub(crate) fn update_sources(&mut self, now: f64) {
+        if !std::mem::take(&mut self.sources.changed) {
             return;
         }
-        self.heed_resolver(now);
+        self.poll_resolver(now);
         self.sources.members.evaluate(now);
-        self.sources.dealt = first_choices(self.sources.members.members(), self.params.dns_groups);
+        self.sources.dns_first_choices =
+            first_choices(self.sources.members.members(), self.params.dns_groups);
         let mut entries = Vec::new();
         let mut changes = Vec::new();
         while let Some(change) = self.sources.members.next_change() {
@@ -201,7 +205,7 @@
                 id: change.id,
                 number: change.pool,
                 started: change.started,
-                ready: change.status == ServiceStatus::In && !self.narrowed.leaves_alone(change.id),
+                ready: change.status == ServiceStatus::In && !self.site_restriction.excludes(change.id),
             });
             changes.push(change);
         }
@@ -209,27 +213,27 @@
             self.control.handle(now, RouterInput::PoolsListed { entries, whole: false });
         }
         for change in changes {
-            self.listed(now, &change);
+            self.apply_change(now, &change);
         }
-        // A server that the list has just named may be of a site that is out.
-        self.leave_alone(now);
+        // A newly listed server may belong to a lost site.
+        self.update_excluded(now);
         let resolver = self.sources.dns.as_ref().map_or(f64::INFINITY, |dns| dns.resolver.due());
         let due = resolver.min(self.sources.members.next_deadline(now));
-        if due < self.sources.wake {
-            self.sources.wake = due;
-            self.timers.set(due, Due::Sources);
+        if due < self.sources.timer_at {
+            self.sources.timer_at = due;
+            self.timers.set(due, TimerEvent::Sources);
         }
     }
 
-    pub(crate) fn sources_due(&mut self, now: f64) {
-        self.sources.wake = f64::INFINITY;
-        self.sources.stirred = true;
+    pub(crate) fn on_sources_timer(&mut self, now: f64) {
+        self.sources.timer_at = f64::INFINITY;
+        self.sources.changed = true;
         if let Some(dns) = &mut self.sources.dns {
             dns.resolver.tick(now);
         }
     }
 
-    fn heed_resolver(&mut self, now: f64) {
+    fn poll_resolver(&mut self, now: f64) {
         let Some(dns) = &mut self.sources.dns else { return };
         while let Some(out) = dns.resolver.next_out() {
             match out {
@@ -243,7 +247,7 @@
                         Outcome::Empty => "empty",
                         Outcome::Failed => "failed",
                     };
-                    dns.last[name] = Some((now, what));
+                    dns.last_results[name] = Some((now, what));
                     let answer = dns.answer(outcome);
                     self.sources.members.apply_lookup(now, name, &answer);
                 }
@@ -258,12 +262,14 @@
         }
     }
 
-    /// The pool that is the first choice of a trunk group.
+    /// Returns the pool that is the first choice of a trunk group, or [`NO_POOL`].
     pub(crate) fn first_choice(&mut self, group: Option<&str>) -> u16 {
         let Some(group) = group else { return NO_POOL };
         match self.params.trunk_groups.get(group) {
             Some(FirstChoice::Pool(pool)) => *pool,
-            Some(FirstChoice::Dns(place)) => self.sources.dealt.get(*place).copied().unwrap_or(NO_POOL),
+            Some(FirstChoice::Dns(index)) => {
+                self.sources.dns_first_choices.get(*index).copied().unwrap_or(NO_POOL)
+            }
             None => {
                 self.counters.unknown_trunk_group += 1;
                 NO_POOL
@@ -271,24 +277,25 @@
         }
     }
 
-    /// A server's verdict changed: its link follows.
-    fn listed(&mut self, now: f64, change: &Change) {
-        let place = self.link_of(change);
-        let link = &mut self.links[place];
+    /// Applies a server's change of status to its link.
+    fn apply_change(&mut self, now: f64, change: &Change) {
+        let link_index = self.link_for(change);
+        let link = &mut self.links[link_index];
         link.number = change.pool;
-        link.ready = change.status == ServiceStatus::In && !self.narrowed.leaves_alone(change.id);
+        link.ready = change.status == ServiceStatus::In && !self.site_restriction.excludes(change.id);
         link.listed = change.status != ServiceStatus::Out;
         let is_in = change.status == ServiceStatus::In;
         self.event(Event::ServerChanged { change: *change, age: age(now, change.started) });
         if is_in {
-            return self.connect_when_due(now, place);
+            return self.connect_if_allowed(now, link_index);
         }
-        self.take_back(now, place);
-        self.drain(now, place);
-        self.close_unused(now, place);
+        self.withdraw_queued(now, link_index);
+        self.start_drain_timer(now, link_index);
+        self.close_unused(now, link_index);
     }
 }
 
+/// Seconds since a processor started; infinite if it started long ago.
 fn age(now: f64, started: f64) -> f64 {
     if started == 0.0 {
         f64::INFINITY
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! One front driven by hand: messages as text, a clock that the test moves.
+//! A front driven directly by a test: messages are text, and the test advances the clock.
 #![allow(dead_code)]
 
 use shalespindle_control::interface::{ColdStart, Deployment, Procedure};
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub const GUARD: f64 = 0.5;
-pub const GRACE: f64 = 0.25;
+pub const RELEASE_GUARD: f64 = 0.5;
+pub const DRAIN_GRACE: f64 = 0.25;
 
 pub fn params() -> Params {
     Params {
@@ -26,7 +26,7 @@
             may_probe: true,
             may_cancel: true,
             max_tries: 4,
-            release_guard: GUARD,
+            release_guard: RELEASE_GUARD,
             max_pause: 2.0,
             cold: ColdStart {
                 start_capacity: 0.3,
@@ -51,7 +51,7 @@
         max_queued_frames: 16,
         connect_timeout: 0.5,
         reconnect_pause: (0.1, 2.0),
-        drain_grace: GRACE,
+        drain_grace: DRAIN_GRACE,
         shutdown_timeout: 10.0,
     }
 }
@@ -64,40 +64,42 @@
     SocketAddr::from(([127, 0, 0, 1], 5070))
 }
 
-/// A front and what came out of it.
-pub struct Bench {
+/// A front, its scripted surroundings and its collected outputs.
+pub struct Harness {
     pub front: Front,
     pub now: f64,
-    /// What callers got, oldest first.
+    /// Messages to callers, oldest first.
     pub answers: Vec<String>,
-    /// What each server got.
+    /// Messages to servers, oldest first.
     pub frames: Vec<(SocketAddr, String)>,
     pub links: BTreeMap<SocketAddr, LinkId>,
+    /// Closed links, with whether they were reset.
     pub closed: Vec<(SocketAddr, bool)>,
     pub events: Vec<Event>,
     /// Servers that refuse connections.
     pub refusing: Vec<SocketAddr>,
-    /// Servers whose next frame does not fit.
-    pub full: Vec<SocketAddr>,
-    /// Questions to name servers: ticket, to whom, over TCP, bytes.
+    /// Servers whose sockets are full: writes to them are reported as blocked.
+    pub full_sockets: Vec<SocketAddr>,
+    /// Queries to name servers: ticket, address, whether over TCP, bytes.
     pub questions: Vec<(u64, SocketAddr, bool, Vec<u8>)>,
     sequence: u64,
 }
 
-impl Bench {
+impl Harness {
     /// A front with three servers listed and connected.
-    pub fn new(seed: u64) -> Bench {
-        let mut bench = Bench::bare(Front::new(params(), seed, 1000.0));
-        bench.front.record();
-        bench.list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
-        // Past the time in which a first copy may be an old one.
-        bench.pass(10.0);
-        bench.frames.clear();
-        bench
+    pub fn new(seed: u64) -> Harness {
+        let mut harness = Harness::without_servers(Front::new(params(), seed, 1000.0));
+        harness.front.record();
+        harness.send_list(true, &[(0, "ready"), (1, "ready"), (2, "ready")]);
+        // Past the time in which an INVITE may be a retransmission of one sent before the front started.
+        harness.advance(10.0);
+        harness.frames.clear();
+        harness
     }
 
-    pub fn bare(front: Front) -> Bench {
-        Bench {
+    /// Wraps a front that has no list of servers yet.
+    pub fn without_servers(front: Front) -> Harness {
+        Harness {
             front,
             now: 1000.0,
             answers: Vec::new(),
@@ -106,13 +108,13 @@
             closed: Vec::new(),
             events: Vec::new(),
             refusing: Vec::new(),
-            full: Vec::new(),
+            full_sockets: Vec::new(),
             questions: Vec::new(),
             sequence: 0,
         }
     }
 
-    pub fn list(&mut self, whole: bool, servers: &[(u16, &str)]) {
+    pub fn send_list(&mut self, whole: bool, servers: &[(u16, &str)]) {
         self.sequence += 1;
         let rows: Vec<String> = servers
             .iter()
@@ -125,15 +127,15 @@
             self.sequence,
             rows.join(",")
         );
-        self.take(Input::FeedBytes { bytes: line.as_bytes() });
+        self.input(Input::FeedBytes { bytes: line.as_bytes() });
     }
 
-    pub fn take(&mut self, input: Input) {
+    pub fn input(&mut self, input: Input) {
         self.front.take(self.now, self.now, input);
-        self.pull();
+        self.collect_outputs();
     }
 
-    pub fn pull(&mut self) {
+    pub fn collect_outputs(&mut self) {
         self.front.turn(self.now);
         while let Some(output) = self.front.next_output(self.now) {
             match output {
@@ -157,7 +159,7 @@
                 }
                 Output::ToServer { id, bytes } => {
                     let to = *self.links.iter().find(|l| *l.1 == id).expect("a link that is up").0;
-                    if self.full.contains(&to) {
+                    if self.full_sockets.contains(&to) {
                         self.front.take(self.now, self.now, Input::Blocked { id });
                     }
                     let mut framer = shalespindle_signalling::Framer::default();
@@ -177,15 +179,15 @@
         }
     }
 
-    /// Moves the clock; what is due comes when it is due.
-    pub fn pass(&mut self, seconds: f64) {
+    /// Advances the clock and runs each timer at its time.
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.front.wake_at() <= until {
             self.now = self.front.wake_at().max(self.now);
-            self.pull();
+            self.collect_outputs();
         }
         self.now = until;
-        self.pull();
+        self.collect_outputs();
     }
 
     pub fn invite(&mut self, call: &str, group: &str, patience_ms: u32) {
@@ -194,20 +196,20 @@
     }
 
     pub fn caller_sends(&mut self, text: &str) {
-        self.take(Input::Datagram { from: caller(), bytes: text.as_bytes() });
+        self.input(Input::Datagram { from: caller(), bytes: text.as_bytes() });
     }
 
     pub fn server_sends(&mut self, n: u16, text: &str) {
         let id = self.links[&server(n)];
-        self.take(Input::LinkBytes { id, bytes: text.as_bytes() });
+        self.input(Input::LinkBytes { id, bytes: text.as_bytes() });
     }
 
-    /// The last INVITE that left, and to which server.
-    pub fn last_set_up(&self) -> (SocketAddr, String) {
+    /// The last INVITE to a server, and the server.
+    pub fn last_invite_sent(&self) -> (SocketAddr, String) {
         self.frames.iter().rfind(|f| f.1.starts_with("INVITE")).expect("an INVITE").clone()
     }
 
-    pub fn set_ups(&self) -> usize {
+    pub fn invites_sent(&self) -> usize {
         self.count("INVITE")
     }
 
@@ -215,8 +217,8 @@
         self.frames.iter().filter(|f| f.1.starts_with(method)).count()
     }
 
-    /// Statuses of the answers to INVITEs, 100 left out.
-    pub fn finals(&self) -> Vec<u16> {
+    /// Statuses of the final answers to INVITEs.
+    pub fn final_statuses(&self) -> Vec<u16> {
         let status = |text: &String| {
             let m = Message::parse(text.as_bytes()).unwrap();
             let invite = m.cseq().unwrap().1 == shalespindle_signalling::Method::Invite;
@@ -241,14 +243,14 @@
     )
 }
 
-/// An answer to a request: its Via, From, To, Call-ID and CSeq back, with more lines.
+/// Builds an answer to a request from its Via, From, To, Call-ID and CSeq, with additional header lines.
 pub fn reply(request: &str, status: u16, more: &str) -> String {
     let head = ResponseHead::of(&Message::parse(request.as_bytes()).unwrap(), "s");
     String::from_utf8(Writer::response(status, &head).with_lines(more).finish()).unwrap()
 }
 
-/// A caller's request inside its transaction or dialog, after the answer `answer`.
-pub fn within(answer: &str, method: &str, branch: &str) -> String {
+/// Builds a caller's request in the dialog of the answer `answer`.
+pub fn in_dialog_request(answer: &str, method: &str, branch: &str) -> String {
     let m = Message::parse(answer.as_bytes()).unwrap();
     format!(
         "{method} sip:front SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:5070;rport;branch=z9hG4bK{branch}\r\n\
