--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,10 +1,12 @@
-//! Which fronts there are, decided without I/O from what fronts say of themselves and of each other.
+//! Fleet membership: which fronts exist and whether they are alive, decided without I/O from what fronts
+//! report about themselves and about each other.
 //!
-//! Each front counts beats; fronts pass on the highest beat that they know of every other one, so that news of
-//! a front travels over whoever is reachable. A beat that no longer rises makes a front suspect, then gone. A
-//! front that was held up itself, or that misses everybody at once, doubts itself before it doubts others. Two
-//! lives of one front are told apart by [`Life`]; what an old one says changes nothing. No other state is kept
-//! here. docs/design-notes/replication.md has the ways weighed.
+//! Each front increments a heartbeat counter. Fronts pass on the highest heartbeat that they know of every
+//! other front, so a front's heartbeat arrives over whichever fronts are reachable. A front whose heartbeat
+//! stops increasing becomes suspect, then gone. A front that was stalled itself, or that misses every other
+//! front at once, assumes a fault of its own before it suspects the others. Two processes that run under one
+//! front's name are told apart by their [`Incarnation`]; reports from an earlier incarnation are ignored. No
+//! other state is held here. docs/design-notes/replication.md compares the alternatives.
 
 mod peers;
 mod round;
@@ -12,11 +14,11 @@
 pub use peers::Peers;
 pub use round::Round;
 
-/// A front as fronts name each other; stable over restarts.
+/// Identifies a front between fronts; stable across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FrontId(pub u64);
 
-/// One run of one front's process: `number` grows with each start, `nonce` tells two processes apart that
+/// One run of a front's process: `number` increases with each start, `nonce` distinguishes two processes that
 /// took the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
@@ -24,27 +26,27 @@
     pub nonce: u64,
 }
 
-/// What is said of one front.
+/// What one front reports about itself or about another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerReport {
     pub front: FrontId,
     pub incarnation: Incarnation,
     pub heartbeat: u64,
-    /// It departed in order.
+    /// The front has left the fleet in an orderly shutdown.
     pub left: bool,
 }
 
-/// How a front stands with this one.
+/// The state of a front as seen by this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// On the list, never heard of.
+    /// On the list, but no report about it has arrived.
     NeverSeen,
     Alive,
-    /// Its beat has not risen for a while.
+    /// Its heartbeat has not increased for `suspect_after`.
     Suspect,
-    /// For so long that it counts as dead.
+    /// Its heartbeat has not increased for `gone_after`: treated as dead.
     Gone,
-    /// It said that it leaves.
+    /// It reported that it is leaving.
     Left,
 }
 
@@ -60,7 +62,7 @@
     }
 }
 
-/// What changed.
+/// A change of state, for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     State {
@@ -68,37 +70,39 @@
         from: State,
         to: State,
     },
-    /// It is a new process under an old name.
+    /// A new process runs under a known name.
     Restarted {
         front: FrontId,
     },
-    /// This front's own name was heard from a life that is not this one: it took a higher one.
+    /// A report names this front with a higher incarnation than its own: this front took a still higher one.
     Renewed {
         incarnation: Incarnation,
     },
-    /// Another process holds this front's name and does not let go: this one says nothing of its own any more.
+    /// Another process uses this front's name and keeps raising its incarnation: this front publishes nothing
+    /// of its own any more.
     Silenced,
-    /// This front missed everybody at once: more likely it is cut off itself.
+    /// Whether this front misses every other front at once, in which case it is more likely cut off itself.
     Isolated(bool),
 }
 
-/// What the module is started with. Times are seconds.
+/// Parameters of [`Peers`]. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeersParams {
-    /// Between two beats of this front.
+    /// Interval between two heartbeats of this front.
     pub heartbeat_interval: f64,
-    /// Fronts told at each beat.
+    /// Number of fronts that each heartbeat is sent to.
     pub fanout: usize,
-    /// Without a rise of its beat a front is suspect after this,
+    /// Time without an increase of its heartbeat after which a front is suspect.
     pub suspect_after: f64,
-    /// and gone after this.
+    /// Time without an increase of its heartbeat after which a front is gone.
     pub gone_after: f64,
-    /// Fronts on the list at most.
+    /// Maximum number of fronts on the list.
     pub max_fronts: usize,
 }
 
 impl PeersParams {
-    /// By the time between beats alone: suspect after five of them, gone after fifteen.
+    /// Derives all timeouts from the heartbeat interval: suspect after five missed heartbeats, gone after
+    /// fifteen.
     pub fn with_heartbeat_interval(heartbeat_interval: f64) -> PeersParams {
         PeersParams {
             heartbeat_interval,
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,24 +1,26 @@
-//! The fronts on the list, their lives and beats.
+//! The table of listed fronts with their incarnations and heartbeats.
 
 use crate::{Change, FrontId, Incarnation, PeerReport, PeersParams, Round, State};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A turn that comes later than this many beats shows that this front stood still.
+/// A turn that is late by more than this many heartbeat intervals shows that this front was stalled.
 const LATE_TURN: f64 = 1.0;
-/// So often a front renews its life against another process of its name before it gives way.
+/// Number of times a front raises its incarnation against another process of its name before it may be
+/// silenced.
 const MAX_RENEWALS: u32 = 4;
-/// A renewal is forgotten after so many times the time to be gone.
+/// Renewals are forgotten after this multiple of `gone_after`.
 const RENEWAL_MEMORY: f64 = 4.0;
 
 struct Peer {
     incarnation: Incarnation,
     heartbeat: u64,
-    /// When its beat last rose, on this front's clock; moved on by the times that this front stood still.
+    /// When its heartbeat last increased, on this front's clock; moved forward by the time that this front
+    /// was stalled.
     heartbeat_at: f64,
     state: State,
 }
 
-/// All fronts, as this one knows them.
+/// The fronts of the fleet as this front knows them.
 pub struct Peers {
     params: PeersParams,
     own: FrontId,
@@ -33,14 +35,15 @@
     silenced: bool,
     isolated: bool,
     changes: VecDeque<Change>,
-    /// Words that changed nothing: of old lives, and of fronts that are not on the list.
+    /// Reports that were ignored: of earlier incarnations, and of fronts that are not on the list.
     old_incarnations: u64,
     unlisted: u64,
     late_turns: u64,
 }
 
 impl Peers {
-    /// `life` should be higher than any that this front has had; where it is not, the others say so.
+    /// `incarnation` should be higher than any that this front has had; where it is not, reports from the
+    /// others raise it.
     pub fn new(
         params: PeersParams,
         own: FrontId,
@@ -71,27 +74,28 @@
         peers
     }
 
-    /// The list of fronts changed; this one need not be on it. Those not on it are forgotten.
+    /// Replaces the list of fronts; this front need not be on it. Fronts that are no longer listed are
+    /// removed.
     pub fn relist(&mut self, now: f64, listed: &[FrontId]) {
-        let wanted = |f: &FrontId| *f != self.own;
+        let is_other = |f: &FrontId| *f != self.own;
         let listed: Vec<FrontId> =
-            listed.iter().copied().filter(wanted).take(self.params.max_fronts).collect();
+            listed.iter().copied().filter(is_other).take(self.params.max_fronts).collect();
         self.table.retain(|front, _| listed.contains(front));
         self.round.clear();
         for front in listed {
-            let unheard = Peer {
+            let never_seen = Peer {
                 incarnation: Incarnation::default(),
                 heartbeat: 0,
                 heartbeat_at: now,
                 state: State::NeverSeen,
             };
-            self.table.entry(front).or_insert(unheard);
+            self.table.entry(front).or_insert(never_seen);
         }
     }
 
-    // ---- what is heard ----
+    // ---- incoming reports ----
 
-    /// What a front said of itself or of another.
+    /// Records what a front reported about itself or about another.
     pub fn record(&mut self, now: f64, report: PeerReport) {
         if report.front == self.own {
             return self.record_own(now, report);
@@ -114,14 +118,16 @@
         } else if !report.left {
             return;
         }
-        // A departure is final for a life: a late beat of before it does not bring the front back.
+        // A departure is final for an incarnation: a late heartbeat from before it does not bring the front
+        // back.
         let was_left = peer.state == State::Left && !restarted;
         let to = if report.left || was_left { State::Left } else { State::Alive };
         self.set_state(report.front, to);
     }
 
-    /// Guards against two processes under one name, and against a start with a clock that was set back: the
-    /// higher life counts everywhere, so this front must have it, or be silent.
+    /// Handles a report about this front's own name. Guards against two processes under one name, and against
+    /// a start with a clock that was set back: the higher incarnation wins everywhere, so this front must
+    /// take a higher one or stop publishing.
     fn record_own(&mut self, now: f64, report: PeerReport) {
         if report.incarnation <= self.incarnation || self.silenced {
             return;
@@ -131,7 +137,8 @@
         }
         self.renewals += 1;
         self.renewed_at = now;
-        // Of two processes that keep overtaking each other one must give way, and both must know which.
+        // Two processes that keep overtaking each other cannot both continue; comparing nonces lets both
+        // decide which one stops.
         if self.renewals > MAX_RENEWALS && self.incarnation.nonce < report.incarnation.nonce {
             self.silenced = true;
             self.changes.push_back(Change::Silenced);
@@ -150,15 +157,16 @@
         self.next_heartbeat_at
     }
 
-    /// Beats when it is time to, and judges the others; true when it has beaten, and [`Peers::targets`] are to
-    /// be told.
+    /// Increments the heartbeat when it is due and updates the states of the other fronts. Returns true if it
+    /// did: the caller then sends reports to [`Peers::targets`].
     pub fn turn(&mut self, now: f64) -> bool {
         if now < self.next_heartbeat_at {
             return false;
         }
         let late = now - self.next_heartbeat_at;
         if late > LATE_TURN * self.params.heartbeat_interval {
-            // Guards others against a front that stood still: what it did not hear meanwhile is its own fault.
+            // Guards the other fronts against a stall of this one: heartbeats that arrived during the stall
+            // were not read, so the time of the stall must not count against them.
             self.late_turns += 1;
             for peer in self.table.values_mut() {
                 peer.heartbeat_at += late;
@@ -171,27 +179,29 @@
     }
 
     fn update_states(&mut self, now: f64) {
-        let quiet = |p: &Peer| now - p.heartbeat_at;
+        let silence = |p: &Peer| now - p.heartbeat_at;
         let counted = || self.table.values().filter(|p| !matches!(p.state, State::NeverSeen | State::Left));
         let (all, missed) =
-            (counted().count(), counted().filter(|p| quiet(p) >= self.params.suspect_after).count());
-        // One peer that is missed may be gone; all of two or more are more likely missed by a front cut off.
+            (counted().count(), counted().filter(|p| silence(p) >= self.params.suspect_after).count());
+        // A single missed peer may well be gone; if two or more are all missed, this front is more likely cut
+        // off.
         let isolated = all >= 2 && missed == all;
         if isolated != std::mem::replace(&mut self.isolated, isolated) {
             self.changes.push_back(Change::Isolated(isolated));
         }
-        // A front alone waits twice as long before it calls others gone: what they hold is taken over then.
+        // An isolated front waits twice as long before it treats others as gone, because their calls are
+        // taken over then.
         let gone_after = self.params.gone_after * if isolated { 2.0 } else { 1.0 };
-        let mut turned = Vec::new();
+        let mut changed = Vec::new();
         for (front, peer) in &self.table {
             let to = match peer.state {
-                State::Alive | State::Suspect if quiet(peer) >= gone_after => State::Gone,
-                State::Alive if quiet(peer) >= self.params.suspect_after => State::Suspect,
+                State::Alive | State::Suspect if silence(peer) >= gone_after => State::Gone,
+                State::Alive if silence(peer) >= self.params.suspect_after => State::Suspect,
                 _ => continue,
             };
-            turned.push((*front, to));
+            changed.push((*front, to));
         }
-        for (front, to) in turned {
+        for (front, to) in changed {
             self.set_state(front, to);
         }
     }
@@ -204,22 +214,22 @@
         }
     }
 
-    /// This front departs in order. Its words say so from now on.
+    /// Marks this front as leaving; its reports say so from now on.
     pub fn leave(&mut self) {
         self.left = true;
         self.heartbeat += 1;
     }
 
-    // ---- what it tells ----
+    // ---- outgoing reports ----
 
-    /// Whom to tell at this beat: every front of the list in turn, in an order drawn anew each round, those
-    /// that are gone among them, so that a cut that heals is found by either side.
+    /// The fronts to send to at this heartbeat: every listed front in turn, in an order that is drawn anew
+    /// each round. Gone fronts are included, so that either side notices when a cut is repaired.
     pub fn targets(&mut self) -> Vec<FrontId> {
         let all: Vec<FrontId> = self.table.keys().copied().collect();
         self.round.next(self.params.fanout, &all)
     }
 
-    /// What this front says of itself; nothing once it has given its name up.
+    /// This front's report about itself; none once it has been silenced.
     pub fn own_report(&self) -> Option<PeerReport> {
         let report = PeerReport {
             front: self.own,
@@ -230,10 +240,10 @@
         (!self.silenced).then_some(report)
     }
 
-    /// What it knows of the others, itself first.
+    /// Reports about all known fronts, this one first.
     pub fn reports(&self) -> Vec<PeerReport> {
-        let heard = self.table.iter().filter(|(_, p)| p.state != State::NeverSeen);
-        let others = heard.map(|(front, p)| PeerReport {
+        let known = self.table.iter().filter(|(_, p)| p.state != State::NeverSeen);
+        let others = known.map(|(front, p)| PeerReport {
             front: *front,
             incarnation: p.incarnation,
             heartbeat: p.heartbeat,
@@ -246,13 +256,13 @@
         self.changes.pop_front()
     }
 
-    // ---- what is asked of it ----
+    // ---- queries ----
 
     pub fn own(&self) -> FrontId {
         self.own
     }
 
-    /// Between two beats, seconds.
+    /// Interval between two heartbeats, in seconds.
     pub fn heartbeat_interval(&self) -> f64 {
         self.params.heartbeat_interval
     }
@@ -273,19 +283,19 @@
         front == self.own || self.table.contains_key(&front)
     }
 
-    /// Other fronts on the list.
+    /// Number of other fronts on the list.
     pub fn listed_count(&self) -> usize {
         self.table.len()
     }
 
-    /// All fronts, this one among them, in the order of their ids: the same on fronts with the same list.
+    /// All fronts including this one, in the order of their ids: the same on every front with the same list.
     pub fn all_fronts(&self) -> impl Iterator<Item = FrontId> + '_ {
         let before = self.table.range(..self.own).map(|(front, _)| *front);
         let after = self.table.range(self.own..).map(|(front, _)| *front);
         before.chain([self.own]).chain(after)
     }
 
-    /// How a front stands; none where it is not on the list.
+    /// The state of a front; none if it is not on the list.
     pub fn state(&self, front: FrontId) -> Option<State> {
         self.table.get(&front).map(|p| p.state)
     }
@@ -294,12 +304,13 @@
         self.table.get(&front).map(|p| p.incarnation)
     }
 
-    /// Each front with its state and the seconds since its beat last rose.
+    /// Each other front with its state and the seconds since its heartbeat last increased.
     pub fn all(&self, now: f64) -> impl Iterator<Item = (FrontId, State, f64)> + '_ {
         self.table.iter().map(move |(front, p)| (*front, p.state, now - p.heartbeat_at))
     }
 
-    /// Words of old lives, words of fronts not on the list, turns that came too late.
+    /// The number of reports about earlier incarnations, of reports about fronts not on the list, and of
+    /// turns that came too late.
     pub fn counts(&self) -> (u64, u64, u64) {
         (self.old_incarnations, self.unlisted, self.late_turns)
     }
--- a/crates/peers/src/round.rs
+++ b/crates/peers/src/round.rs
@@ -1,13 +1,13 @@
-//! Whom to tell next: all of a list in turn, in an order drawn anew each round.
+//! Chooses the next targets: all entries of a list in turn, in an order that is drawn anew each round.
 
 use crate::FrontId;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// The turn of all fronts of a list.
+/// A round over all fronts of a list.
 pub struct Round {
-    /// Those still to be told in this round.
+    /// Fronts that are still to come in this round.
     left: Vec<FrontId>,
     rng: ChaCha8Rng,
 }
@@ -17,12 +17,12 @@
         Round { left: Vec::new(), rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// The list changed: a new round begins.
+    /// Starts a new round after a change of the list.
     pub fn clear(&mut self) {
         self.left.clear();
     }
 
-    /// The next `count` of `all`, none of them twice, or all where there are fewer.
+    /// Returns the next `count` of `all` without repetitions, or all of them where there are fewer.
     pub fn next(&mut self, count: usize, all: &[FrontId]) -> Vec<FrontId> {
         let mut targets = Vec::new();
         while targets.len() < count.min(all.len()) {
--- a/crates/replica/src/calls.rs
+++ b/crates/replica/src/calls.rs
@@ -1,10 +1,13 @@
-//! Standing calls of fronts that died: who takes them back, who releases them, and that one does.
+//! Established calls of fronts that died: which front takes them back or releases them, so that exactly one
+//! does.
 //!
-//! A call belongs to the front that wrote its fact. When that front has a new life, all fronts bring their copies of
-//! the life before to the same end, and it takes back from that what stood; when it is gone for as long as calls are
-//! held, one other releases them, after a claim that all can see. Whoever is told by a caller or a server that a
-//! call is over says so at once, whoever owns it. Two that release one call can only be on two sides of a cut, and of
-//! these only the side with more than half of the fronts does; where both did all the same, it is counted and listed.
+//! A call belongs to the front that wrote its fact. When that front restarts under a new incarnation, all
+//! fronts bring their replicas of the earlier incarnation to the same end, and the front takes back the calls
+//! that were established there. When it stays away for the holding time, one other front releases its calls,
+//! after a claim that all fronts can see. A front that learns from a caller or a server that a call has ended
+//! publishes that at once, whichever front owns the call. Two fronts can release the same call only on two
+//! sides of a network cut, and only the side with more than half of the fronts releases; if both sides did
+//! all the same, it is counted and listed.
 
 use crate::facts::{CallEnd, CallRecord, Fact, Key};
 use crate::message::Cursor;
@@ -14,40 +17,42 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Calls taken back in one beat at most.
+/// Maximum number of calls that are taken back per heartbeat.
 const MAX_RECOVERED_PER_HEARTBEAT: usize = 1024;
-/// Beats from the first word of another front on this one's lives to the taking back of its calls: the rest tell
-/// meanwhile how far they know them.
+/// Heartbeat intervals between the first report of another front about this one's incarnations and the
+/// recovery of its calls: meanwhile the remaining fronts report their cursors for them.
 const RECOVERY_DELAY: f64 = 3.0;
-/// Part of the holding time after which a front takes back what it knows of, though somebody knew more.
+/// Fraction of the holding time after which a front recovers the calls that it knows of, although another
+/// front knew more.
 const MAX_RECOVERY_WAIT: f64 = 0.5;
-/// Beats between a claim and the release: others' claims come to be known meanwhile.
+/// Heartbeat intervals between a claim and the release: meanwhile the claims of other fronts arrive.
 const CLAIM_DELAY: f64 = 4.0;
-/// Double releases kept for operators.
+/// Maximum number of double releases that are listed for operators.
 const MAX_DOUBLE_RELEASES: usize = 1000;
 
-/// What calls are held by. Times are seconds.
+/// Parameters of [`Calls`]. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallsParams {
-    /// The calls of a front that died are held for it so long.
+    /// The calls of a dead front are held for it for this time.
     pub hold: f64,
 }
 
-/// A call that stood at the end of a life.
+/// A call that was established at the end of an incarnation.
 #[derive(Clone, Copy, Debug)]
 struct Orphan {
     owner: FrontId,
     since: f64,
 }
 
+/// A claim of this front to release a call.
 #[derive(Clone, Debug)]
 struct Claim {
     record: CallRecord,
     owner: FrontId,
-    at: f64,
+    claimed_at: f64,
 }
 
-/// What is to be done.
+/// An action for the caller of this module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutput {
     Write(Key, Fact),
@@ -55,38 +60,39 @@
     Event(FleetEvent),
 }
 
-/// What has been counted, and what is held now.
+/// Counters, and numbers of calls that are held now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     pub orphans: usize,
     pub claims: usize,
     pub recovered: u64,
-    /// Released here for a front that died.
+    /// Calls released here for a dead front.
     pub released: u64,
-    /// Found here for a caller or a server that asked.
+    /// Calls found here after a caller or a server ended them.
     pub found: u64,
-    /// Released by two fronts.
+    /// Calls released by two or more fronts.
     pub double_releases: u64,
 }
 
+/// The established calls of other fronts and of earlier incarnations of this one.
 pub struct Calls {
     params: CallsParams,
     orphans: BTreeMap<u64, Orphan>,
     claims: BTreeMap<u64, Claim>,
-    /// Calls by the name of their dialog with the server, and back.
+    /// Calls by the hash of their dialog with the server, and the reverse.
     by_leg: BTreeMap<u64, u64>,
     leg_of: BTreeMap<u64, u64>,
     double_releases: BTreeMap<u64, Vec<FrontId>>,
-    /// Calls that this front took back, and from which of its lives.
+    /// Calls that this front took back, with the incarnation they were established in.
     recovered: BTreeMap<u64, Incarnation>,
-    /// How far those lives were known when that was last looked at.
+    /// The cursors of the ended incarnations when the recovered calls were last checked.
     known_cursors: Vec<(Incarnation, Cursor)>,
-    out: VecDeque<CallOutput>,
+    outputs: VecDeque<CallOutput>,
     counts: CallCounts,
 }
 
-/// The name by which fronts know a dialog; the same for the same text in every process of one build, and a front
-/// of another build merely does not find it.
+/// The hash by which fronts identify a dialog. It is the same for the same text in every process of one
+/// build; a front of another build only fails to find the dialog.
 pub fn dialog_hash(text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
@@ -99,15 +105,15 @@
     hasher.finish()
 }
 
-/// Of the fronts that live, and this one, the one that acts for a call of another; by rendezvous, so that the end
-/// of one front moves its calls alone.
+/// Whether this front acts for a call of another front, among the fronts that are alive. Rendezvous hashing:
+/// when a front dies, only the calls that it was responsible for move to others.
 fn is_responsible(call: u64, owner: FrontId, peers: &Peers, now: f64) -> bool {
     let own = weight(call, peers.own());
     let others = peers.all(now).filter(|(front, state, _)| *state == State::Alive && *front != owner);
     !peers.is_silenced() && others.map(|(front, ..)| weight(call, front)).all(|w| w < own)
 }
 
-/// Of all fronts on the list this one and those that it hears are more than half.
+/// Whether this front and the fronts alive for it are more than half of all listed fronts.
 fn has_majority(peers: &Peers, now: f64) -> bool {
     let (alive, all) = peers
         .all(now)
@@ -126,7 +132,7 @@
             double_releases: BTreeMap::new(),
             recovered: BTreeMap::new(),
             known_cursors: Vec::new(),
-            out: VecDeque::new(),
+            outputs: VecDeque::new(),
             counts: CallCounts::default(),
         }
     }
@@ -143,14 +149,14 @@
         }
     }
 
-    /// The facts of a call may have changed.
+    /// Updates the state of a call whose facts may have changed.
     pub fn call_changed(&mut self, replicas: &Replicas, call: u64) {
         let mut owners = owners(replicas, call);
         let owner = owners.next();
-        // Ended lives are looked through only for a call that no life holds.
+        // Ended incarnations are searched only for a call that no current incarnation holds.
         let ended = if owner.is_none() { replicas.orphaned_call(call) } else { None };
         let ended = ended.filter(|_| !is_ended(replicas, call));
-        match owner.map(|o| o.1).or(ended.map(|p| p.record)) {
+        match owner.map(|o| o.1).or(ended.map(|o| o.record)) {
             Some(record) => self.index(call, record),
             None => self.unindex(call),
         }
@@ -160,7 +166,7 @@
                 let orphan = self.orphans.remove(&call);
                 let owned_again =
                     |o: &Orphan| owner.into_iter().chain(owners).any(|(front, _)| front == o.owner);
-                // Its front has it back.
+                // Its owner has taken it back.
                 if orphan.is_some_and(|o| owned_again(&o)) {
                     self.unclaim(call);
                 }
@@ -172,7 +178,7 @@
         }
         self.orphans.remove(&call);
         if self.claims.remove(&call).is_some() && !ended_by.contains(&replicas.own()) {
-            self.out.push_back(CallOutput::Delete(Key::CallEnd(call)));
+            self.outputs.push_back(CallOutput::Delete(Key::CallEnd(call)));
         }
         ended_by.sort();
         if ended_by.len() > 1 && self.double_releases.get(&call) != Some(&ended_by) {
@@ -181,34 +187,36 @@
                 self.double_releases.insert(call, ended_by.clone());
             }
         }
-        // This front's own call was released by another.
+        // This front's own call was released by another front.
         let own = replicas.own_fact(&Key::Call(call)).is_some();
         if own && ended_by.iter().any(|front| *front != replicas.own()) {
-            self.out.push_back(CallOutput::Delete(Key::Call(call)));
-            self.out.push_back(CallOutput::Event(FleetEvent::CallEnded { call }));
+            self.outputs.push_back(CallOutput::Delete(Key::Call(call)));
+            self.outputs.push_back(CallOutput::Event(FleetEvent::CallEnded { call }));
         }
     }
 
-    /// Guards against what was taken back from a copy that went less far than another's, heard of later: the call had
-    /// ended.
+    /// Deletes recovered calls that had already ended. Guards against a recovery from a replica that was less
+    /// complete than one that another front reported later.
     fn drop_ended_calls(&mut self, replicas: &Replicas) {
         let is_active = |call: &u64| replicas.own_fact(&Key::Call(*call)).is_some();
         self.recovered.retain(|call, _| is_active(call));
         let ended = self
             .recovered
             .iter()
-            .filter(|(call, incarnation)| replicas.ended_lacks(replicas.own(), **incarnation, **call));
-        self.out.extend(ended.map(|(call, _)| CallOutput::Delete(Key::Call(*call))));
+            .filter(|(call, incarnation)| replicas.ended_without_call(replicas.own(), **incarnation, **call));
+        self.outputs.extend(ended.map(|(call, _)| CallOutput::Delete(Key::Call(*call))));
     }
 
     fn unclaim(&mut self, call: u64) {
         if self.claims.remove(&call).is_some() {
-            self.out.push_back(CallOutput::Delete(Key::CallEnd(call)));
+            self.outputs.push_back(CallOutput::Delete(Key::CallEnd(call)));
         }
     }
 
-    /// A caller or a server tells that a call is over, by the name of its dialog with this side: the call, now known
-    /// to be over everywhere; without its word where that was known already.
+    /// Handles a request of a caller or a server that ends a call, identified by its dialog with this side.
+    /// `dialog` is the hash of the dialog with the caller, or with the server if `by_leg`. Returns the call,
+    /// which counts as ended on every front from now on, with its record; without the record if its end was
+    /// known already.
     pub fn end_call(
         &mut self,
         replicas: &Replicas,
@@ -219,20 +227,21 @@
         if is_ended(replicas, call) {
             return Some((call, None));
         }
-        let ended = || replicas.orphaned_call(call).map(|p| p.record);
+        let ended = || replicas.orphaned_call(call).map(|o| o.record);
         let record = owners(replicas, call).next().map(|o| o.1).or_else(ended)?.clone();
         self.counts.found += 1;
         self.orphans.remove(&call);
         self.claims.remove(&call);
-        self.out.push_back(CallOutput::Write(Key::CallEnd(call), Fact::CallEnd(CallEnd { claim: false })));
+        self.outputs
+            .push_back(CallOutput::Write(Key::CallEnd(call), Fact::CallEnd(CallEnd { claim: false })));
         if owners(replicas, call).any(|(front, _)| front == replicas.own()) {
-            self.out.push_back(CallOutput::Delete(Key::Call(call)));
+            self.outputs.push_back(CallOutput::Delete(Key::Call(call)));
         }
         Some((call, Some(record)))
     }
 
-    /// Takes back, claims and releases what is due; `gone` are fronts and since when they are gone.
-    /// Another front first told at `told_at` what it knows of this one.
+    /// Recovers, claims and releases the calls that are due; `gone` lists the fronts that are gone and since
+    /// when. `reported_at` is when another front first reported what it knows of this one.
     pub fn turn(
         &mut self,
         now: f64,
@@ -249,7 +258,7 @@
         self.release(now, peers, replicas, heartbeat_interval);
     }
 
-    /// Calls of this front's earlier lives become its own again.
+    /// Takes back the calls of this front's earlier incarnations.
     fn recover(&mut self, now: f64, peers: &Peers, replicas: &Replicas, reported_at: Option<f64>) {
         if peers.is_silenced() {
             return;
@@ -269,65 +278,68 @@
             self.recovered.insert(call, ended.incarnation);
             record.epoch = record.epoch.saturating_add(1);
             self.counts.recovered += 1;
-            self.out.push_back(CallOutput::Write(Key::Call(call), Fact::Call(Box::new(record))));
+            self.outputs.push_back(CallOutput::Write(Key::Call(call), Fact::Call(Box::new(record))));
         }
     }
 
     fn claim(&mut self, now: f64, peers: &Peers, replicas: &Replicas, gone: &[(FrontId, f64)]) {
-        let held = |o: &Orphan| o.owner != replicas.own() && now - o.since >= self.params.hold;
-        let orphans = self.orphans.iter().filter(|(_, o)| held(o));
+        let is_expired = |o: &Orphan| o.owner != replicas.own() && now - o.since >= self.params.hold;
+        let orphans = self.orphans.iter().filter(|(_, o)| is_expired(o));
         let orphans =
             orphans.filter_map(|(call, o)| Some((*call, o.owner, replicas.orphaned_call(*call)?.record)));
         let gone = gone.iter().filter(|(_, since)| now - since >= self.params.hold);
-        let theirs =
-            gone.flat_map(|(of, _)| replicas.calls_of(*of).map(|(call, record)| (call, *of, record)));
-        // A claim of a front that died since is void.
+        let of_gone_fronts = gone
+            .flat_map(|(owner, _)| replicas.calls_of(*owner).map(|(call, record)| (call, *owner, record)));
+        // A claim of a front that has died since is void.
         let is_valid = |(front, claim): (FrontId, bool)| !claim || peers.state(front) == Some(State::Alive);
-        let known = |call: u64| {
+        let is_handled = |call: u64| {
             self.claims.contains_key(&call)
                 || call_ends(replicas, call).any(is_valid)
-                || replicas.ended_earlier(call)
+                || replicas.has_earlier_end(call)
         };
-        let due = orphans.chain(theirs);
-        let due = due.filter(|(call, of, _)| !known(*call) && is_responsible(*call, *of, peers, now));
-        // Only what is claimed is copied: the rest is looked at again with each beat.
+        let due = orphans.chain(of_gone_fronts);
+        let due =
+            due.filter(|(call, owner, _)| !is_handled(*call) && is_responsible(*call, *owner, peers, now));
+        // Only claimed calls are cloned; the others are evaluated again at each heartbeat.
         let due: Vec<(u64, Claim)> = due
-            .map(|(call, of, record)| (call, Claim { record: record.clone(), owner: of, at: now }))
+            .map(|(call, owner, record)| (call, Claim { record: record.clone(), owner, claimed_at: now }))
             .collect();
         for (call, claim) in due {
             self.claims.insert(call, claim);
-            self.out.push_back(CallOutput::Write(Key::CallEnd(call), Fact::CallEnd(CallEnd { claim: true })));
+            self.outputs
+                .push_back(CallOutput::Write(Key::CallEnd(call), Fact::CallEnd(CallEnd { claim: true })));
         }
     }
 
     fn release(&mut self, now: f64, peers: &Peers, replicas: &Replicas, heartbeat_interval: f64) {
-        let due = self.claims.iter().filter(|(_, c)| now - c.at >= CLAIM_DELAY * heartbeat_interval);
+        let due = self.claims.iter().filter(|(_, c)| now - c.claimed_at >= CLAIM_DELAY * heartbeat_interval);
         for call in due.map(|(call, _)| *call).collect::<Vec<_>>() {
             let Some(claim) = self.claims.get(&call) else { continue };
             let orphan = self.orphans.contains_key(&call);
             let is_present = matches!(peers.state(claim.owner), Some(State::Alive | State::Suspect));
             let returned = !orphan && is_present;
             let others = call_ends(replicas, call).filter(|o| o.0 != replicas.own());
-            // Of two that claim, the higher front; one that has released already comes before any claim.
+            // Of two claims that of the higher front wins; a release that has happened already takes
+            // precedence over any claim.
             let yields = others.clone().any(|(front, claims)| {
                 !claims || front > replicas.own() && peers.state(front) == Some(State::Alive)
             });
-            if returned || yields || replicas.ended_earlier(call) || !has_majority(peers, now) {
+            if returned || yields || replicas.has_earlier_end(call) || !has_majority(peers, now) {
                 self.unclaim(call);
                 continue;
             }
             let Some(claim) = self.claims.remove(&call) else { continue };
             self.orphans.remove(&call);
             self.counts.released += 1;
-            self.out
+            self.outputs
                 .push_back(CallOutput::Write(Key::CallEnd(call), Fact::CallEnd(CallEnd { claim: false })));
-            self.out
+            self.outputs
                 .push_back(CallOutput::Event(FleetEvent::Release { call, record: Box::new(claim.record) }));
         }
     }
 
     pub fn next_output(&mut self) -> Option<CallOutput> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     pub fn counts(&self) -> CallCounts {
@@ -347,7 +359,7 @@
     })
 }
 
-/// Who says that it is over, and whether that is a claim only.
+/// The fronts that published an end of the call, and whether it is only a claim.
 fn call_ends(replicas: &Replicas, call: u64) -> impl Iterator<Item = (FrontId, bool)> + Clone + '_ {
     replicas.facts_for(Key::CallEnd(call)).filter_map(|(front, _, fact)| match fact {
         Fact::CallEnd(end) => Some((front, end.claim)),
@@ -356,5 +368,5 @@
 }
 
 fn is_ended(replicas: &Replicas, call: u64) -> bool {
-    call_ends(replicas, call).any(|o| !o.1) || replicas.ended_earlier(call)
+    call_ends(replicas, call).any(|o| !o.1) || replicas.has_earlier_end(call)
 }
--- a/crates/replica/src/exchange.rs
+++ b/crates/replica/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange between two fronts: digests of how far copies go, and the parts that are missing.
+//! The exchange between two fronts: digests of cursors, and the deltas that are missing.
 
 use crate::fleet::{Fleet, Output, MAX_DELTA_HEADER_BYTES};
 use crate::message::{to_incarnation, Cursor, Delta, DigestEntry, EndedCursor, Message};
@@ -6,12 +6,13 @@
 use shalespindle_peers::{FrontId, Incarnation, PeerReport};
 use std::collections::VecDeque;
 
-/// Messages with parts that a beat's digest calls forth at most, unasked.
+/// Maximum number of messages with deltas that answer the digest of a heartbeat without a request.
 const MAX_UNREQUESTED_MESSAGES: usize = 1;
-/// Beats after which somebody is asked again for what one that was asked has not told.
+/// Heartbeat intervals after which another front may be asked for what the first one has not sent.
 const REQUEST_TIMEOUT: f64 = 0.5;
 
 impl Fleet {
+    /// Compares a digest with the replicas here: sends what its sender lacks and requests what is missing here.
     pub(crate) fn receive_digest(
         &mut self,
         now: f64,
@@ -29,7 +30,7 @@
             self.peers
                 .record(now, PeerReport { front, incarnation, heartbeat: entry.heartbeat, left: entry.left });
             if self.peers.incarnation() != own_incarnation {
-                self.replicas.renew(now, self.peers.incarnation());
+                self.replicas.start_incarnation(now, self.peers.incarnation());
             }
             if !self.peers.is_listed(front) {
                 continue;
@@ -55,16 +56,17 @@
             }
         }
         if complete {
-            for record in self.peers.reports().into_iter().filter(|w| !named.contains(&w.front)) {
-                let ended = self.replicas.ended_cursors(record.front).into_iter().map(|p| p.0);
+            for report in self.peers.reports().into_iter().filter(|report| !named.contains(&report.front)) {
+                let ended = self.replicas.ended_cursors(report.front).into_iter().map(|p| p.0);
                 offers.extend(
                     ended
-                        .chain([record.incarnation])
-                        .map(|incarnation| (record.front, incarnation, Cursor::default())),
+                        .chain([report.incarnation])
+                        .map(|incarnation| (report.front, incarnation, Cursor::default())),
                 );
             }
         }
-        // A beat's digest goes to several fronts: what is much comes from the one that is asked for it.
+        // The digest of a heartbeat goes to several fronts, so a large answer is left to the front that is
+        // asked for it.
         self.send_missing(
             now,
             from,
@@ -78,16 +80,16 @@
         }
     }
 
-    /// The life that a front is known to have.
+    /// The incarnation that a front is known to have.
     fn current_incarnation(&self, front: FrontId) -> Incarnation {
         if front == self.peers.own() {
             return self.peers.incarnation();
         }
-        // What was kept may know a later life than any that was heard of since the start.
+        // A restored snapshot may know a later incarnation than any reported since the start.
         self.peers.incarnation_of(front).unwrap_or_default().max(self.replicas.incarnation(front))
     }
 
-    /// What a digest says of a front's ended lives.
+    /// Compares what a digest says about the ended incarnations of a front with the replicas here.
     fn compare_ended(
         &mut self,
         now: f64,
@@ -98,7 +100,7 @@
     ) {
         let (theirs, current) = (to_incarnation(entry.incarnation), self.current_incarnation(front));
         let mut keys = Vec::new();
-        // A life is settled only after it has ended.
+        // An incarnation becomes obsolete only after it has ended.
         if to_incarnation(entry.obsolete_up_to) < theirs {
             keys.extend(self.replicas.discard_up_to(front, to_incarnation(entry.obsolete_up_to)));
         }
@@ -106,13 +108,13 @@
             keys.extend(self.replicas.advance_incarnation(now, front, theirs));
         }
         self.keys_changed(now, &keys);
-        let over = |ended: &&EndedCursor| to_incarnation(ended.incarnation) < theirs.max(current);
-        // What its sender takes for its life now may be over, too.
+        let has_ended = |ended: &&EndedCursor| to_incarnation(ended.incarnation) < theirs.max(current);
+        // The incarnation that the sender takes for the current one may have ended as well.
         let also = entry
             .cursor
             .filter(|_| theirs < current)
             .map(|cursor| EndedCursor { incarnation: entry.incarnation, cursor });
-        for ended in entry.ended.iter().filter(over).chain(&also) {
+        for ended in entry.ended.iter().filter(has_ended).chain(&also) {
             match self.replicas.ended_cursor(now, front, to_incarnation(ended.incarnation), ended.cursor.seq)
             {
                 Some(held) if held.seq < ended.cursor.seq => wanted.push(front),
@@ -120,26 +122,28 @@
                 None => {}
             }
         }
-        let named = |of: Incarnation| {
-            of <= to_incarnation(entry.obsolete_up_to)
-                || entry.ended.iter().any(|p| to_incarnation(p.incarnation) == of)
+        let named = |incarnation: Incarnation| {
+            incarnation <= to_incarnation(entry.obsolete_up_to)
+                || entry.ended.iter().any(|p| to_incarnation(p.incarnation) == incarnation)
         };
         let unnamed = self
             .replicas
             .ended_cursors(front)
             .into_iter()
             .map(|p| p.0)
-            .filter(|of| *of != theirs && !named(*of));
-        offers.extend(unnamed.map(|of| (front, of, Cursor::default())));
+            .filter(|i| *i != theirs && !named(*i));
+        offers.extend(unnamed.map(|i| (front, i, Cursor::default())));
     }
 
-    /// One ask is out at a time, until its last message has come or is late. Guards against asks that each call forth
-    /// an answer whose end asks again: every one more would go on for as long as something is missing.
+    /// Whether a request may be sent: only one is pending at a time, until the last message of its answer has
+    /// arrived or is late. Guards against requests that each cause an answer whose end causes the next
+    /// request: every additional one would go on for as long as something is missing.
     fn may_request(&self, now: f64) -> bool {
         self.pending_request
             .is_none_or(|(_, at)| now - at >= REQUEST_TIMEOUT * self.params.peers.heartbeat_interval)
     }
 
+    /// Notes the highest number that another front has named for an incarnation.
     fn note_ahead(&mut self, front: FrontId, incarnation: Incarnation, seq: u64) {
         let ahead = self.ahead.entry(front).or_insert((incarnation, seq));
         if (incarnation, seq) > *ahead {
@@ -147,7 +151,8 @@
         }
     }
 
-    /// Sends what the other lacks, as far as a burst holds it; the rest is asked for when that has come.
+    /// Sends what the other front lacks, up to `max_burst` messages; it requests the rest when those have
+    /// arrived.
     fn send_missing(
         &mut self,
         now: f64,
@@ -156,13 +161,17 @@
         max_burst: usize,
     ) {
         let mut messages: Vec<Vec<Delta>> = Vec::new();
-        let mut left = 0;
-        for (front, of, cursor) in offers {
-            let (mut of, mut cursor) = (*of, *cursor);
+        let mut bytes_left = 0;
+        for (front, incarnation, cursor) in offers {
+            let (mut incarnation, mut cursor) = (*incarnation, *cursor);
             loop {
-                let room =
-                    if left > 2 * MAX_DELTA_HEADER_BYTES { left } else { self.params.max_message_bytes };
-                let Some(delta) = self.replicas.delta(now, *front, of, cursor, room - MAX_DELTA_HEADER_BYTES)
+                let budget = if bytes_left > 2 * MAX_DELTA_HEADER_BYTES {
+                    bytes_left
+                } else {
+                    self.params.max_message_bytes
+                };
+                let Some(delta) =
+                    self.replicas.delta(now, *front, incarnation, cursor, budget - MAX_DELTA_HEADER_BYTES)
                 else {
                     break;
                 };
@@ -174,18 +183,18 @@
                         .sum::<usize>();
                 let more = delta.to < delta.sender_seq;
                 cursor = Cursor { seq: delta.to, floor: delta.floor };
-                of = to_incarnation(delta.incarnation);
-                if size > left {
+                incarnation = to_incarnation(delta.incarnation);
+                if size > bytes_left {
                     if messages.len() >= max_burst {
                         return self.send_deltas(to, messages);
                     }
                     messages.push(Vec::new());
-                    left = self.params.max_message_bytes;
+                    bytes_left = self.params.max_message_bytes;
                 }
                 if let Some(message) = messages.last_mut() {
                     message.push(delta);
                 }
-                left = left.saturating_sub(size);
+                bytes_left = bytes_left.saturating_sub(size);
                 if !more {
                     break;
                 }
@@ -196,23 +205,25 @@
 
     fn send_deltas(&mut self, to: FrontId, messages: Vec<Vec<Delta>>) {
         let last = messages.len().saturating_sub(1);
-        for (place, deltas) in messages.into_iter().enumerate() {
-            let message = Message::Deltas { deltas, more_follow: place < last };
-            self.out.push_back(Output::Send { to, message });
+        for (index, deltas) in messages.into_iter().enumerate() {
+            let message = Message::Deltas { deltas, more_follow: index < last };
+            self.outputs.push_back(Output::Send { to, message });
         }
     }
 
+    /// Requests what is missing here of the `wanted` fronts, by a digest of them.
     fn request(&mut self, now: f64, to: FrontId, wanted: &[FrontId]) {
         self.pending_request = Some((to, now));
-        let records: Vec<PeerReport> =
-            self.peers.reports().into_iter().filter(|w| wanted.contains(&w.front)).collect();
-        let entries = records.iter().map(|w| self.digest_entry(w)).collect();
-        self.out.push_back(Output::Send {
+        let reports: Vec<PeerReport> =
+            self.peers.reports().into_iter().filter(|report| wanted.contains(&report.front)).collect();
+        let entries = reports.iter().map(|report| self.digest_entry(report)).collect();
+        self.outputs.push_back(Output::Send {
             to,
             message: Message::Digest { entries, complete: false, wants_answer: false },
         });
     }
 
+    /// Applies deltas, and requests what is still missing after the last message of an answer.
     pub(crate) fn receive_deltas(&mut self, now: f64, from: FrontId, deltas: Vec<Delta>, more_follow: bool) {
         let mut wanted = Vec::new();
         let mut deltas = VecDeque::from(deltas);
@@ -225,9 +236,9 @@
             match self.apply_delta(now, front, &delta) {
                 Some(Applied::Changed { keys, more }) => {
                     self.keys_changed(now, &keys);
-                    wanted.retain(|w| *w != front);
+                    wanted.retain(|wanted| *wanted != front);
                     wanted.extend(more.then_some(front));
-                    // What came before its turn may have it now.
+                    // Deltas that arrived out of order may be applicable now.
                     let follows = |p: &Delta| {
                         (p.front, p.incarnation) == (delta.front, delta.incarnation) && p.from <= delta.to
                     };
@@ -252,21 +263,22 @@
         if more_follow {
             return;
         }
-        if self.pending_request.is_some_and(|pending_request| pending_request.0 == from) {
+        if self.pending_request.is_some_and(|pending| pending.0 == from) {
             self.pending_request = None;
         }
-        // The last of a burst is here, and what has to come before some of it is not: lost, most likely.
+        // The last message of a burst has arrived, but deltas that must precede some of it have not: they are
+        // most likely lost.
         wanted.extend(self.out_of_order.iter().map(|p| FrontId(p.front)));
         if !wanted.is_empty() && self.may_request(now) {
             self.request(now, from, &wanted);
         }
     }
 
-    /// None where nothing of its front is wanted any more.
+    /// Returns none if nothing of that front is wanted any more.
     fn apply_delta(&mut self, now: f64, front: FrontId, delta: &Delta) -> Option<Applied> {
         let incarnation = to_incarnation(delta.incarnation);
         if front != self.peers.own() && incarnation >= self.current_incarnation(front) {
-            // A part can be the first news of a life; its beat comes with the next digest.
+            // A delta can be the first sign of an incarnation; its heartbeat arrives with the next digest.
             self.peers.record(now, PeerReport { front, incarnation, heartbeat: 0, left: false });
             if self.is_expired(now, front) {
                 return None;
--- a/crates/replica/src/facts.rs
+++ b/crates/replica/src/facts.rs
@@ -1,58 +1,60 @@
-//! The classes of facts: what is worth telling other fronts, by whom it is written and how long it holds.
+//! The classes of facts: what fronts tell each other, who writes it and how long it holds.
 
 use serde::{Deserialize, Serialize};
 use shalespindle_membership::ReportedState;
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// A warning or its absence: what a front's own list last told of a server.
+/// The state of a server that a front's own pool list last reported: a warning or its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerRecord {
     pub pool: u16,
-    /// Counts the starts of its processor.
+    /// Incarnation of the core processor; increases with each of its starts.
     pub incarnation: u64,
     pub reported: ReportedState,
-    /// Seconds between its start and the moment at which the fact was written; none when long ago.
+    /// Seconds between that start and the writing of the fact; none if the start was long before.
     pub age: Option<f64>,
 }
 
-/// An operator's word on the level of reduced service, for all fronts.
+/// An operator's order for the level of reduced service, for all fronts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LevelOrder {
     /// None ends a pin.
     pub level: Option<u8>,
-    /// How long it holds from when it was written, seconds.
+    /// How long the order holds from when it was written, in seconds.
     pub valid_for: f64,
-    /// Grows with every word that any operator says; the highest counts, then the higher front.
+    /// Increases with every order of any operator; the highest version wins, then the higher name of the
+    /// issuing front.
     pub version: u64,
-    /// Who said it: the name of the front that was asked.
+    /// The name of the front that received the order from the operator.
     pub issued_by: String,
 }
 
 impl LevelOrder {
-    /// Of several words the one of the highest rank counts.
+    /// The order with the highest rank wins.
     pub(crate) fn rank(&self) -> (u64, &str) {
         (self.version, &self.issued_by)
     }
 }
 
-/// A standing call: enough for another front to release it in both directions.
+/// An established call: enough for another front to release it in both directions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// Grows each time that it changes hands.
+    /// Increases each time the call changes its owner.
     pub epoch: u32,
-    /// The server, and this side's dialog with it.
+    /// The server, and the dialog between this side and it.
     pub server: SocketAddr,
     pub leg_call_id: String,
     pub leg_from: String,
     pub leg_to: String,
     pub leg_target: String,
-    /// The dialog with the caller: this side's and the caller's names, and where requests to it go.
+    /// The dialog with the caller: the names of both sides in it, and the target of requests to the caller.
     pub call_id: String,
     pub local: String,
     pub remote: String,
     pub target: String,
-    /// Where its datagrams came from; none for a caller on a connection, which ends with its front.
+    /// Source address of the caller's datagrams; none for a caller on a connection, which ends together with
+    /// its front.
     pub caller: Option<SocketAddr>,
 }
 
@@ -63,25 +65,26 @@
         [leg[0], leg[1], leg[2], leg[3], caller[0], caller[1], caller[2], caller[3]]
     }
 
-    /// Short enough to be told, and without line ends that could make two headers of one.
+    /// Whether all texts are short enough to be sent and free of line ends, which could split one header into
+    /// two.
     pub fn is_sound(&self) -> bool {
         let sound = |t: &&String| t.len() <= MAX_NAME_BYTES && !t.contains(['\r', '\n']);
         self.texts().iter().all(sound)
     }
 }
 
-/// A call is over, or is about to be released by who says so.
+/// The call has ended; with `claim`, its writer is about to release it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CallEnd {
     pub claim: bool,
 }
 
-/// What a fact is of. One origin has one fact of a key.
+/// What a fact is about. An origin has at most one fact per key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
     Server(SocketAddr),
     Level,
-    /// By the name of the call's dialog with its caller.
+    /// By the hash of the call's dialog with its caller.
     Call(u64),
     CallEnd(u64),
 }
@@ -106,13 +109,13 @@
     CallEnd(CallEnd),
 }
 
-/// Bytes that any fact with its key and number may take on the wire at most, the name in it aside.
+/// Upper bound for the encoded size of any fact with its key and number, not counting texts in it.
 const MAX_FACT_BYTES: usize = 72;
-/// The longest name in a fact.
+/// Maximum length of a text in a fact, in bytes.
 pub const MAX_NAME_BYTES: usize = 255;
 
 impl Fact {
-    /// The fact belongs under that key and holds no figure out of range.
+    /// Whether the fact belongs under that key and all its figures are in range.
     pub fn is_sound(&self, key: &Key) -> bool {
         let good = |seconds: f64| seconds.is_finite() && seconds >= 0.0;
         match (self, key) {
@@ -127,7 +130,7 @@
     }
 }
 
-/// No less than what the codec makes of an item.
+/// Upper bound for the encoded size of an item.
 pub(crate) fn max_encoded_size(fact: Option<&Fact>) -> usize {
     match fact {
         Some(Fact::Level(record)) => MAX_FACT_BYTES + record.issued_by.len(),
--- a/crates/replica/src/fleet.rs
+++ b/crates/replica/src/fleet.rs
@@ -1,4 +1,4 @@
-//! One front among others: beats, digests, parts, and what they make known.
+//! One front of a fleet: heartbeats, digests, deltas, and the events that result from them.
 
 use crate::calls::{CallOutput, Calls, CallsParams};
 use crate::facts::{CallEnd, CallRecord, Fact, Key, LevelOrder, ServerRecord};
@@ -9,19 +9,19 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// What the module is started with. Times are seconds.
+/// Parameters of [`Fleet`]. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetParams {
     pub peers: PeersParams,
     pub replicas: ReplicaParams,
     pub calls: CallsParams,
-    /// A warning of another front counts for so long.
+    /// The time for which a warning of another front counts.
     pub warning_ttl: f64,
-    /// What a front wrote is kept for so long after it is gone or has left.
+    /// The time for which the facts of a front are kept after it is gone or has left.
     pub retention: f64,
-    /// Bytes that one message may fill.
+    /// Maximum size of a message in bytes.
     pub max_message_bytes: usize,
-    /// Messages with parts that one digest may call forth.
+    /// Maximum number of messages with deltas that one digest may cause.
     pub max_burst: usize,
 }
 
@@ -39,60 +39,67 @@
     }
 }
 
-/// What the host is to do.
+/// An action for the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Send {
         to: FrontId,
         message: Message,
     },
-    /// For the log.
+    /// A change of a peer, for the log.
     Peer(Change),
 }
 
-/// What has been counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub digests: u64,
     pub deltas: u64,
+    /// Deltas with nothing new.
     pub already_known: u64,
+    /// Deltas whose predecessors were missing.
     pub gaps: u64,
+    /// Reports and deltas of earlier incarnations.
     pub old_incarnations: u64,
     pub invalid: u64,
+    /// Messages, reports and deltas of fronts that are not on the list.
     pub unlisted: u64,
+    /// Turns that came too late because this front was stalled.
     pub late_turns: u64,
-    /// Facts that had no room.
+    /// Facts of this front that were rejected because its replica was full.
     pub rejected_full: u64,
 }
 
-/// The bytes that one front takes in a digest at most, and each of its ended lives.
+/// Upper bounds for the encoded size of one front in a digest, and of each of its ended incarnations.
 const MAX_ENTRY_BYTES: usize = 76;
 const MAX_ENDED_BYTES: usize = 40;
-/// Parts of a beat between two pushes of what this front wrote.
+/// Fraction of the heartbeat interval between two pushes of this front's own facts.
 const MIN_PUSH_INTERVAL: f64 = 0.1;
-/// The bytes of a part beside its items at most.
+/// Upper bound for the encoded size of a delta without its items.
 pub(crate) const MAX_DELTA_HEADER_BYTES: usize = 64;
 
+/// This front among the others: membership, replicas, and the state merged from them.
 pub struct Fleet {
     pub(crate) params: FleetParams,
     pub(crate) peers: Peers,
     pub(crate) replicas: Replicas,
     pub(crate) view: View,
     pub(crate) calls: Calls,
-    /// How far each front is known to have come, by anybody's word.
+    /// The highest number of each front that any digest or delta has named.
     pub(crate) ahead: BTreeMap<FrontId, (Incarnation, u64)>,
     /// Since when a front has been gone or has left.
     down_since: BTreeMap<FrontId, f64>,
-    pub(crate) out: VecDeque<Output>,
-    /// How far its own facts have been pushed, and when they may be again.
+    pub(crate) outputs: VecDeque<Output>,
+    /// The highest own number that was pushed, and when the next push may happen.
     pushed: u64,
     push_at: f64,
     last_turn_at: f64,
-    /// Parts that came before their turn: a network that delays each frame by another time turns bursts around.
+    /// Deltas that arrived before their predecessors: a network that delays each frame differently reorders
+    /// bursts.
     pub(crate) out_of_order: VecDeque<Delta>,
-    /// Who was last asked for what is missing, and when.
+    /// The front that was last asked for missing facts, and when.
     pub(crate) pending_request: Option<(FrontId, f64)>,
-    /// When another front first told what it knows of this one.
+    /// When another front first reported what it knows of this one.
     pub(crate) reported_at: Option<f64>,
     pub(crate) caught_up: bool,
     pub(crate) counts: Counts,
@@ -114,7 +121,7 @@
             calls: Calls::new(params.calls),
             ahead: BTreeMap::new(),
             down_since: BTreeMap::new(),
-            out: VecDeque::new(),
+            outputs: VecDeque::new(),
             pushed: 0,
             push_at: now,
             last_turn_at: now,
@@ -127,7 +134,7 @@
         }
     }
 
-    /// The list of fronts changed.
+    /// Replaces the list of fronts.
     pub fn relist(&mut self, now: f64, listed: &[FrontId]) {
         let before: Vec<FrontId> = self.peers.all(now).map(|p| p.0).collect();
         self.peers.relist(now, listed);
@@ -142,23 +149,23 @@
         }
     }
 
-    // ---- this front's own words ----
+    // ---- this front's own facts ----
 
-    /// What this front's list told of a server.
+    /// Publishes what this front's pool list reported about a server.
     pub fn publish_server(&mut self, now: f64, address: SocketAddr, record: ServerRecord) {
         self.write(now, Key::Server(address), Fact::Server(record));
     }
 
-    /// Its list does not name a server any more, and has not for long.
+    /// Withdraws a server that the pool list has not named for long.
     pub fn withdraw_server(&mut self, now: f64, address: SocketAddr) {
         self.delete(now, Key::Server(address));
     }
 
-    /// An operator's word on the level for all fronts; none lets it go.
-    pub fn publish_level(&mut self, now: f64, level: Option<u8>, valid_for: f64, by: &str) {
+    /// Publishes an operator's order for the level on all fronts; no level ends the pin.
+    pub fn publish_level(&mut self, now: f64, level: Option<u8>, valid_for: f64, issued_by: &str) {
         let version = self.view.next_version();
-        let record = LevelOrder { level, valid_for, version, issued_by: by.to_string() };
-        self.write(now, Key::Level, Fact::Level(record));
+        let order = LevelOrder { level, valid_for, version, issued_by: issued_by.to_string() };
+        self.write(now, Key::Level, Fact::Level(order));
     }
 
     pub(crate) fn write(&mut self, now: f64, key: Key, fact: Fact) {
@@ -173,12 +180,13 @@
         self.keys_changed(now, &[key]);
     }
 
-    /// A call stands at this front, or stands no more.
+    /// Publishes that a call is established at this front, or with no record that it has ended.
     pub fn publish_call(&mut self, now: f64, call: u64, record: Option<CallRecord>) {
         match record.filter(CallRecord::is_sound) {
             Some(record) => self.write(now, Key::Call(call), Fact::Call(Box::new(record))),
             None => {
-                // In copies of an earlier life it stands for good: its end must be told there.
+                // In replicas of an earlier incarnation the call remains established, so its end must be
+                // published as a fact of its own.
                 if self.replicas.orphaned_call(call).is_some() {
                     self.write(now, Key::CallEnd(call), Fact::CallEnd(CallEnd { claim: false }));
                 }
@@ -188,30 +196,30 @@
         self.apply_call_outputs(now);
     }
 
-    /// A caller (or, by its own dialog, a server) tells this front that a call is over which it does not know: the
-    /// call, which counts as over on all fronts from now on. This front is to release its other side, unless the word
-    /// is missing: then that was done.
-    pub fn end_call(&mut self, now: f64, name: u64, by_leg: bool) -> Option<(u64, Option<CallRecord>)> {
-        let found = self.calls.end_call(&self.replicas, name, by_leg);
+    /// Handles a request of a caller, or of a server by its own dialog, that ends a call unknown to this
+    /// front. Returns the call, which counts as ended on all fronts from now on. This front has to release
+    /// its other side, unless the record is missing: then that was done before.
+    pub fn end_call(&mut self, now: f64, dialog: u64, by_leg: bool) -> Option<(u64, Option<CallRecord>)> {
+        let found = self.calls.end_call(&self.replicas, dialog, by_leg);
         self.apply_call_outputs(now);
         found
     }
 
-    /// This front departs in order: all are told at once.
+    /// Announces to all fronts at once that this front leaves.
     pub fn leave(&mut self, now: f64) {
         self.peers.leave();
         let entries: Vec<DigestEntry> =
-            self.peers.own_report().map(|w| self.digest_entry(&w)).into_iter().collect();
+            self.peers.own_report().map(|report| self.digest_entry(&report)).into_iter().collect();
         let all: Vec<FrontId> = self.peers.all(now).map(|p| p.0).collect();
         for to in all {
             let message = Message::Digest { entries: entries.clone(), complete: false, wants_answer: false };
-            self.out.push_back(Output::Send { to, message });
+            self.outputs.push_back(Output::Send { to, message });
         }
     }
 
-    // ---- what is heard ----
+    // ---- incoming messages ----
 
-    /// A message of a front that has been told apart from a stranger by the codec.
+    /// Handles a message whose sender the codec has authenticated.
     pub fn receive(&mut self, now: f64, from: FrontId, message: Message) {
         if !self.peers.is_listed(from) {
             self.counts.unlisted += 1;
@@ -227,6 +235,7 @@
         self.forward_peer_changes();
     }
 
+    /// Recomputes what depends on keys whose facts may have changed.
     pub(crate) fn keys_changed(&mut self, now: f64, keys: &[Key]) {
         for key in keys {
             self.view.key_changed(now, &self.replicas, key);
@@ -234,9 +243,9 @@
                 self.calls.call_changed(&self.replicas, *call);
             }
         }
-        if let Some(record) = self.view.take_adopted_order() {
-            // Without room it is not passed on; it holds here all the same.
-            let _ = self.replicas.write(now, Key::Level, Fact::Level(record));
+        if let Some(order) = self.view.take_adopted_order() {
+            // If the replica is full the order is not passed on, but it still applies here.
+            let _ = self.replicas.write(now, Key::Level, Fact::Level(order));
         }
     }
 
@@ -245,12 +254,12 @@
             match out {
                 CallOutput::Write(key, fact) => self.write(now, key, fact),
                 CallOutput::Delete(key) => self.delete(now, key),
-                CallOutput::Event(news) => self.view.push_event(news),
+                CallOutput::Event(event) => self.view.push_event(event),
             }
         }
     }
 
-    /// It has been gone for so long that nothing of it is kept.
+    /// Whether a front has been down for so long that its facts are no longer kept.
     pub(crate) fn is_expired(&self, now: f64, front: FrontId) -> bool {
         let is_down = matches!(self.peers.state(front), Some(State::Gone | State::Left));
         is_down && self.down_since.get(&front).is_some_and(|since| now - since >= self.params.retention)
@@ -258,23 +267,25 @@
 
     // ---- time ----
 
+    /// When [`Fleet::turn`] is due.
     pub fn next_wakeup(&self) -> f64 {
         let push = self.unpushed().map_or(f64::INFINITY, |_| self.push_at);
         self.peers.next_heartbeat().min(push)
     }
 
-    /// How far its own facts go, where they go further than what has been pushed and may be told at all.
+    /// The cursor of this front's own facts, if it is beyond what was pushed and this front may publish at
+    /// all.
     fn unpushed(&self) -> Option<Cursor> {
         let own = self.replicas.cursor(self.peers.own(), self.peers.incarnation())?;
         (own.seq > self.pushed && !self.peers.is_silenced()).then_some(own)
     }
 
-    /// Tells some others at once what this front has written: what it knows alone is lost with it. Whoever lacks
-    /// what came before asks with its next digest.
+    /// Sends newly written facts of this front to some other fronts at once: facts that only this front knows
+    /// are lost with it. A receiver that lacks the preceding facts requests them with its next digest.
     fn push(&mut self, now: f64) {
-        let Some(own) = self.unpushed().filter(|_| now >= self.push_at) else { return };
+        let Some(own_cursor) = self.unpushed().filter(|_| now >= self.push_at) else { return };
         let (front, incarnation) = (self.peers.own(), self.peers.incarnation());
-        let cursor = Cursor { seq: self.pushed, floor: own.floor };
+        let cursor = Cursor { seq: self.pushed, floor: own_cursor.floor };
         let Some(delta) = self.replicas.delta(
             now,
             front,
@@ -285,21 +296,23 @@
             return;
         };
         for to in self.peers.targets() {
-            // It ends nobody's answer.
+            // It does not end an answer to any request.
             let message = Message::Deltas { deltas: vec![delta.clone()], more_follow: true };
-            self.out.push_back(Output::Send { to, message });
+            self.outputs.push_back(Output::Send { to, message });
         }
-        self.pushed = own.seq;
+        self.pushed = own_cursor.seq;
         self.push_at = now + MIN_PUSH_INTERVAL * self.params.peers.heartbeat_interval;
     }
 
+    /// Pushes new facts; when a heartbeat is due, also expires old state, handles the calls of dead fronts and
+    /// sends digests.
     pub fn turn(&mut self, now: f64) {
         self.push(now);
         if !self.peers.turn(now) {
             return self.forward_peer_changes();
         }
         self.forward_peer_changes();
-        self.replicas.tick(now);
+        self.replicas.forget_old_deletions(now);
         let stalled = now - std::mem::replace(&mut self.last_turn_at, now) >= self.params.retention;
         let mut keys = if stalled { self.replicas.clear_others() } else { Vec::new() };
         self.caught_up &= !stalled;
@@ -323,28 +336,28 @@
         let gone: Vec<(FrontId, f64)> = self.down_since.iter().map(|(f, since)| (*f, *since)).collect();
         self.calls.turn(now, &self.peers, &self.replicas, &gone, self.reported_at);
         self.apply_call_outputs(now);
-        let records = self.peers.reports();
-        let entries: Vec<DigestEntry> = records.iter().map(|w| self.digest_entry(w)).collect();
+        let reports = self.peers.reports();
+        let entries: Vec<DigestEntry> = reports.iter().map(|report| self.digest_entry(report)).collect();
         let digests = self.split_digest(entries);
         let complete = digests.len() == 1;
         for to in self.peers.targets() {
             for entries in &digests {
                 let message = Message::Digest { entries: entries.clone(), complete, wants_answer: true };
-                self.out.push_back(Output::Send { to, message });
+                self.outputs.push_back(Output::Send { to, message });
             }
         }
     }
 
-    /// As many digests as it takes for each to have room in a message.
+    /// Splits the entries into as many digests as are needed for each to fit into a message.
     fn split_digest(&self, entries: Vec<DigestEntry>) -> Vec<Vec<DigestEntry>> {
-        let (mut digests, mut left) = (vec![Vec::new()], self.params.max_message_bytes);
+        let (mut digests, mut bytes_left) = (vec![Vec::new()], self.params.max_message_bytes);
         for entry in entries {
             let size = MAX_ENTRY_BYTES + MAX_ENDED_BYTES * entry.ended.len();
-            if size > left && digests.last().is_some_and(|d| !d.is_empty()) {
+            if size > bytes_left && digests.last().is_some_and(|d| !d.is_empty()) {
                 digests.push(Vec::new());
-                left = self.params.max_message_bytes;
+                bytes_left = self.params.max_message_bytes;
             }
-            left = left.saturating_sub(size);
+            bytes_left = bytes_left.saturating_sub(size);
             if let Some(digest) = digests.last_mut() {
                 digest.push(entry);
             }
@@ -352,33 +365,33 @@
         digests
     }
 
-    pub(crate) fn digest_entry(&self, record: &PeerReport) -> DigestEntry {
+    pub(crate) fn digest_entry(&self, report: &PeerReport) -> DigestEntry {
         DigestEntry {
-            front: record.front.0,
-            incarnation: incarnation_pair(record.incarnation),
-            heartbeat: record.heartbeat,
-            left: record.left,
-            cursor: self.replicas.cursor(record.front, record.incarnation),
-            obsolete_up_to: incarnation_pair(self.replicas.obsolete_up_to(record.front)),
-            ended: self.replicas.ended_cursors(record.front).into_iter().map(ended_cursor).collect(),
+            front: report.front.0,
+            incarnation: incarnation_pair(report.incarnation),
+            heartbeat: report.heartbeat,
+            left: report.left,
+            cursor: self.replicas.cursor(report.front, report.incarnation),
+            obsolete_up_to: incarnation_pair(self.replicas.obsolete_up_to(report.front)),
+            ended: self.replicas.ended_cursors(report.front).into_iter().map(ended_cursor).collect(),
         }
     }
 
     fn forward_peer_changes(&mut self) {
         while let Some(change) = self.peers.next_change() {
-            self.out.push_back(Output::Peer(change));
+            self.outputs.push_back(Output::Peer(change));
         }
     }
 
     pub fn next_output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     pub fn next_event(&mut self) -> Option<FleetEvent> {
         self.view.next_event()
     }
 
-    // ---- what is asked of it ----
+    // ---- queries ----
 
     pub fn incarnation(&self) -> Incarnation {
         self.peers.incarnation()
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,17 +1,17 @@
-//! What fronts tell each other and keep for each other, decided without I/O.
+//! Replication of state between fronts, decided without I/O.
 //!
-//! Every fact has one writer, the front that saw it: its *origin*. An origin numbers its facts; a copy of an
-//! origin is complete up to a number, its *reach*. Fronts exchange digests of their reaches and send each other
-//! what is missing as *parts*: complete statements about a range of numbers, so that loss, doubling, reordering
-//! and any way round lead to the same copies. What facts of several origins come to together is settled when
-//! they are read, by the rule of their class, the same on every front ([`View`]).
+//! Every fact has one writer, the front that observed it: its *origin*. An origin numbers its facts; a
+//! replica of an origin is complete up to a number, its *cursor*. Fronts exchange digests of their cursors
+//! and send each other what is missing as *deltas*: complete statements about a range of numbers, so that
+//! loss, duplication, reordering and any route between fronts lead to the same replicas. Facts of several
+//! origins about one key are merged when they are read, by the rule of their class, with the same result on
+//! every front ([`View`]).
 //!
-//! [`Fleet`] is the whole: told of messages and time, it says what to send and what is news. Times are f64
-//! seconds on the host's clock; between fronts only ages are told, so no clocks need to agree.
-//! docs/design-notes/replication.md has the ways weighed.
+//! [`Fleet`] combines all of it: it takes messages and the time, and returns what to send and what has
+//! changed. Times are f64 seconds on the host's clock. Fronts exchange only ages, so their clocks need not
+//! agree. docs/design-notes/replication.md compares the alternatives.
 
 mod calls;
-
 mod exchange;
 mod facts;
 mod fleet;
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -1,4 +1,4 @@
-//! A copy of what one life of an origin wrote.
+//! A replica of the facts that one incarnation of an origin wrote.
 
 use crate::facts::{max_encoded_size, Fact, Key};
 use crate::message::{incarnation_pair, Cursor, Delta, Item};
@@ -11,9 +11,9 @@
 pub(crate) struct Entry {
     pub seq: u64,
     pub written_at: f64,
-    /// None: deleted.
+    /// None for a deletion.
     pub fact: Option<Fact>,
-    /// Nothing was there under its key before it.
+    /// There was no entry under its key before it.
     pub is_new: bool,
 }
 
@@ -23,21 +23,21 @@
     pub cursor: Cursor,
     pub entries: BTreeMap<Key, Entry>,
     pub by_seq: BTreeMap<u64, Key>,
-    /// Numbers of deletions.
+    /// Numbers of the deletions.
     pub deletions: BTreeSet<u64>,
-    /// Held from before a fresh beginning, and not confirmed since. They count until the beginning is through, so
-    /// that no warning is forgotten meanwhile, and are told to nobody.
+    /// Keys that were held before a resync and have not been confirmed since. They count until the resync is
+    /// complete, so that no warning is lost meanwhile, but are not sent to other fronts.
     pub unconfirmed: BTreeSet<Key>,
-    /// How far the fresh beginning must come.
+    /// The resync is complete at this number.
     resync_until: u64,
-    /// Not wanted any more: its front has been gone for long.
+    /// Its front has been gone for so long that its facts are no longer kept.
     pub dropped: bool,
-    /// How far it has been told to anybody; of this front's own.
+    /// The highest number that was sent to any front; only for this front's own replica.
     pub sent_up_to: u64,
-    /// Facts that hold, and a sum over them with their numbers: equal on copies that are equal.
+    /// The number of facts, and a sum of hashes over them with their numbers: equal on equal replicas.
     pub fact_count: usize,
     pub digest: u64,
-    /// What changed since it was last kept; none where nothing is kept.
+    /// Keys that changed since they were last stored; none if nothing is stored.
     pub changed: Option<BTreeSet<Key>>,
 }
 
@@ -46,7 +46,7 @@
         Replica { incarnation, changed: tracks_changes.then(BTreeSet::new), ..Replica::default() }
     }
 
-    /// It begins from nothing, of the same life: the keys that it had.
+    /// Empties the replica, which stays of the same incarnation. Returns the keys that it had.
     pub fn clear(&mut self) -> Vec<Key> {
         let (incarnation, dropped) = (self.incarnation, self.dropped);
         let before = std::mem::replace(self, Replica { incarnation, dropped, ..Replica::default() });
@@ -56,7 +56,7 @@
         keys
     }
 
-    fn touch(&mut self, key: Key) {
+    fn note_change(&mut self, key: Key) {
         if let Some(changed) = &mut self.changed {
             changed.insert(key);
         }
@@ -64,18 +64,18 @@
 
     fn update_digest(&mut self, key: &Key, entry: &Entry, added: bool) {
         let Some(fact) = &entry.fact else { return };
-        // Fixed keys: the same facts give the same mark in every process.
+        // The hasher has fixed keys: the same facts give the same digest in every process.
         let mut hasher = DefaultHasher::new();
         (key, entry.seq, fact).hash(&mut hasher);
-        let delta = hasher.finish();
+        let fact_hash = hasher.finish();
         (self.fact_count, self.digest) = match added {
-            true => (self.fact_count + 1, self.digest.wrapping_add(delta)),
-            false => (self.fact_count - 1, self.digest.wrapping_sub(delta)),
+            true => (self.fact_count + 1, self.digest.wrapping_add(fact_hash)),
+            false => (self.fact_count - 1, self.digest.wrapping_sub(fact_hash)),
         };
     }
 
     pub fn put(&mut self, key: Key, entry: Entry) {
-        let (seq, deletions) = (entry.seq, entry.fact.is_none());
+        let (seq, is_deletion) = (entry.seq, entry.fact.is_none());
         self.update_digest(&key, &entry, true);
         if let Some(before) = self.entries.insert(key, entry) {
             self.update_digest(&key, &before, false);
@@ -83,10 +83,10 @@
         }
         self.unconfirmed.remove(&key);
         self.by_seq.insert(seq, key);
-        if deletions {
+        if is_deletion {
             self.deletions.insert(seq);
         }
-        self.touch(key);
+        self.note_change(key);
     }
 
     fn remove_seq(&mut self, key: &Key, seq: u64) {
@@ -102,14 +102,14 @@
             self.remove_seq(key, entry.seq);
         }
         self.unconfirmed.remove(key);
-        self.touch(*key);
+        self.note_change(*key);
     }
 
-    /// Deletions up to the floor are forgotten.
+    /// Forgets the deletions up to the floor.
     pub fn forget_deletions_up_to(&mut self, floor: u64) {
         let old = self.deletions.range(..=floor);
-        let deletions: Vec<Key> = old.filter_map(|seq| self.by_seq.get(seq).copied()).collect();
-        deletions.iter().for_each(|key| self.remove(key));
+        let keys: Vec<Key> = old.filter_map(|seq| self.by_seq.get(seq).copied()).collect();
+        keys.iter().for_each(|key| self.remove(key));
         self.cursor.floor = self.cursor.floor.max(floor);
     }
 
@@ -128,14 +128,14 @@
         self.resync_until = delta.sender_seq;
     }
 
-    /// What a copy of `reach` lacks, as far as `bytes` hold it.
+    /// Returns what a replica at `cursor` lacks, as far as it fits into `bytes`.
     pub fn delta(&self, now: f64, front: FrontId, cursor: Cursor, bytes: usize) -> Option<Delta> {
-        // One that has begun anew is no copy to begin from until it has come past the floor.
+        // A replica in resync cannot serve others until it is past the floor.
         if self.dropped || self.cursor.seq < self.cursor.floor {
             return None;
         }
-        let follows = cursor.seq >= self.cursor.floor || cursor.floor == self.cursor.floor;
-        let from = if follows { cursor.seq } else { 0 };
+        let continues = cursor.seq >= self.cursor.floor || cursor.floor == self.cursor.floor;
+        let from = if continues { cursor.seq } else { 0 };
         if from >= self.cursor.seq {
             return None;
         }
@@ -148,37 +148,38 @@
             sender_seq: self.cursor.seq,
             items: Vec::new(),
         };
-        let mut left = bytes;
+        let mut bytes_left = bytes;
         for (seq, key) in self.by_seq.range(from + 1..) {
             let Some(entry) = self.entries.get(key) else { continue };
             let size = max_encoded_size(entry.fact.as_ref());
-            if size > left && !delta.items.is_empty() {
+            if size > bytes_left && !delta.items.is_empty() {
                 delta.to = delta.items.last().map_or(from, |i| i.seq);
                 break;
             }
-            left = left.saturating_sub(size);
+            bytes_left = bytes_left.saturating_sub(size);
             let age = (now - entry.written_at).max(0.0);
             delta.items.push(Item { seq: *seq, age, key: *key, fact: entry.fact.clone() });
         }
         Some(delta)
     }
 
-    /// Takes a part of this life in.
+    /// Applies a delta of this incarnation.
     pub fn apply(&mut self, now: f64, delta: &Delta, max_facts: usize) -> Applied {
-        // Below a floor that it did not begin under, a copy may hold what was deleted.
-        let below = self.cursor.seq < delta.floor && self.cursor.floor < delta.floor;
-        let resync = below && delta.from == 0;
-        if !resync && (below || delta.from > self.cursor.seq) {
+        // A replica below a floor that its rebuild did not begin under may hold facts that have been deleted
+        // since.
+        let is_below_floor = self.cursor.seq < delta.floor && self.cursor.floor < delta.floor;
+        let must_resync = is_below_floor && delta.from == 0;
+        if !must_resync && (is_below_floor || delta.from > self.cursor.seq) {
             return Applied::Gap;
         }
-        if !resync && delta.to <= self.cursor.seq {
+        if !must_resync && delta.to <= self.cursor.seq {
             return Applied::AlreadyKnown;
         }
         let new_count = delta.items.iter().filter(|i| !self.entries.contains_key(&i.key)).count();
         if self.entries.len() - self.unconfirmed.len() + new_count > max_facts {
             return Applied::Invalid;
         }
-        if resync {
+        if must_resync {
             self.begin_resync(delta);
         }
         let mut keys = Vec::new();
@@ -194,7 +195,7 @@
             self.forget_deletions_up_to(delta.floor);
         }
         if !self.unconfirmed.is_empty() && self.cursor.seq >= self.resync_until {
-            // Through: what was not said again is deleted.
+            // The resync is complete: what was not confirmed is deleted.
             for key in std::mem::take(&mut self.unconfirmed) {
                 self.remove(&key);
                 keys.push(key);
@@ -204,13 +205,13 @@
     }
 }
 
-/// Numbers rise within the range, and every fact is under a key of its class.
+/// Whether the numbers increase within the range and every fact is under a key of its class.
 pub(crate) fn is_sound(delta: &Delta) -> bool {
     let mut last = delta.from;
-    let rising = delta.items.iter().all(|i| std::mem::replace(&mut last, i.seq) < i.seq);
+    let increasing = delta.items.iter().all(|i| std::mem::replace(&mut last, i.seq) < i.seq);
     let sound =
         |i: &Item| i.age.is_finite() && i.age >= 0.0 && i.fact.as_ref().is_none_or(|f| f.is_sound(&i.key));
-    rising
+    increasing
         && last <= delta.to
         && delta.from <= delta.to
         && delta.to <= delta.sender_seq
--- a/crates/replica/src/replicas.rs
+++ b/crates/replica/src/replicas.rs
@@ -1,4 +1,4 @@
-//! Copies of what each origin wrote, this front's own among them.
+//! Replicas of what each origin wrote, including this front.
 
 use crate::facts::{CallEnd, CallRecord, Fact, Key};
 use crate::message::{to_incarnation, Cursor, Delta};
@@ -6,73 +6,74 @@
 use shalespindle_peers::{FrontId, Incarnation};
 use std::collections::BTreeMap;
 
-/// What copies are kept by. Times are seconds.
+/// Parameters of [`Replicas`]. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaParams {
-    /// Facts and remembered deletions of one origin at most.
+    /// Maximum number of facts and remembered deletions of one origin.
     pub max_facts: usize,
-    /// Deletions are remembered for so long.
+    /// Deletions are remembered for this time.
     pub deletion_retention: f64,
 }
 
-/// An origin has no room for another fact.
+/// The replica of this front is full and cannot take another fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
-/// What became of a part.
+/// The outcome of applying a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Taken in; these keys may have changed, and there is more to ask for where `more`.
+    /// Applied: these keys may have changed; with `more`, further facts can be requested.
     Changed { keys: Vec<Key>, more: bool },
-    /// It says nothing new.
+    /// It contains nothing new.
     AlreadyKnown,
-    /// Of a life that is over.
+    /// Its incarnation has ended and is no longer needed.
     OldIncarnation,
-    /// Something before it is missing.
+    /// Facts that precede it are missing.
     Gap,
-    /// Out of order within itself, too many facts, or a fact under a wrong key: not taken.
+    /// Rejected: out of order within itself, too many facts, or a fact under a wrong key.
     Invalid,
 }
 
-/// Ended lives of one front that are kept at most; a front that ends more often than that while ended lives are kept
-/// loses the calls of the first.
+/// Maximum number of ended incarnations that are kept of one front. If more end while earlier ones are still
+/// kept, the calls of the earliest are lost.
 pub(crate) const MAX_ENDED: usize = 8;
 
-/// The copy of a life that ended: equal on all fronts before long, so that they agree on which calls stood at its end.
+/// The replica of an ended incarnation. It becomes equal on all fronts before long, so that they agree on
+/// which calls were established at its end.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndedReplica {
     pub replica: Replica,
-    /// When this front learned that the life is over.
+    /// When this front learned that the incarnation had ended.
     pub since: f64,
-    /// How far any front's copy of it is known to go.
+    /// The highest number in any front's replica of it, as far as reported.
     ahead: u64,
 }
 
 impl EndedReplica {
-    /// Nothing is known to be missing.
+    /// Whether nothing is known to be missing.
     fn is_complete(&self) -> bool {
         self.replica.cursor.seq >= self.ahead && self.replica.unconfirmed.is_empty()
     }
 }
 
-/// A call that stood at the end of a life.
+/// A call that was established at the end of an incarnation.
 #[derive(Clone, Copy, Debug)]
 pub struct OrphanedCall<'a> {
     pub owner: FrontId,
     pub incarnation: Incarnation,
-    /// When it was learned here that the life is over.
+    /// When this front learned that the incarnation had ended.
     pub since: f64,
     pub record: &'a CallRecord,
 }
 
-/// Copies of all origins.
+/// Replicas of all origins.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replicas {
     pub(crate) params: ReplicaParams,
     own: FrontId,
     pub(crate) current: BTreeMap<FrontId, Replica>,
     pub(crate) ended: BTreeMap<(FrontId, Incarnation), EndedReplica>,
-    /// Lives up to this one are of no use any more, whoever still has copies of them.
+    /// Incarnations up to this one are no longer needed, even if some front still has replicas of them.
     pub(crate) obsolete_up_to: BTreeMap<FrontId, Incarnation>,
     pub(crate) tracks_changes: bool,
 }
@@ -92,15 +93,15 @@
 
     // ---- this front's own facts ----
 
-    /// Writes a fact, in place of one of the same key; nothing happens where it says the same.
+    /// Writes a fact, replacing one under the same key. Returns false if the same fact was there already.
     pub fn write(&mut self, now: f64, key: Key, fact: Fact) -> Result<bool, Full> {
         self.put_own(now, key, Some(fact))
     }
 
-    /// Deletes a fact, if there is one.
+    /// Deletes a fact if there is one.
     pub fn delete(&mut self, now: f64, key: Key) -> bool {
-        let there = self.own_fact(&key).is_some();
-        there && self.put_own(now, key, None).is_ok()
+        let exists = self.own_fact(&key).is_some();
+        exists && self.put_own(now, key, None).is_ok()
     }
 
     pub fn own_fact(&self, key: &Key) -> Option<&Fact> {
@@ -114,11 +115,13 @@
         if before.is_some_and(|e| e.fact == fact) {
             return Ok(false);
         }
-        // What nobody was told of needs no deletion: calls that end before they are told leave nothing behind.
+        // A fact that was never sent needs no deletion: calls that end before they are sent leave nothing
+        // behind.
         let unsent = before.is_some_and(|e| e.is_new && e.seq > replica.sent_up_to);
-        let first = unsent || before.is_none();
+        let is_new = unsent || before.is_none();
         if before.is_none() && replica.entries.len() >= max_facts {
-            // Deletions make room first, however young; many at once, since looking for them takes time.
+            // Deletions are dropped first to free capacity, however recent; many at once, because finding
+            // them takes time.
             let Some(seq) = replica.deletions.iter().take(max_facts / 8 + 1).next_back().copied() else {
                 return Err(Full);
             };
@@ -129,13 +132,13 @@
             return Ok(true);
         }
         replica.cursor.seq += 1;
-        replica.put(key, Entry { seq: replica.cursor.seq, written_at: now, fact, is_new: first });
+        replica.put(key, Entry { seq: replica.cursor.seq, written_at: now, fact, is_new });
         Ok(true)
     }
 
-    /// This front has a new life: what it holds is written again under it. Others hold it under the one before, and so
-    /// does this front, to tell them later what of it ended.
-    pub fn renew(&mut self, now: f64, incarnation: Incarnation) {
+    /// Starts a new incarnation of this front: its facts are rewritten under the new one. The other fronts
+    /// hold them under the previous one, and so does this front, to report later which of them ended.
+    pub fn start_incarnation(&mut self, now: f64, incarnation: Incarnation) {
         let Some(replica) = self.current.get_mut(&self.own) else { return };
         let before = replica.clone();
         (replica.incarnation, replica.sent_up_to) = (incarnation, 0);
@@ -145,8 +148,9 @@
         self.end_incarnation(now, self.own, before);
     }
 
-    /// Forgets deletions that are old enough; in batches, since others begin anew where the floor overtakes them.
-    pub fn tick(&mut self, now: f64) {
+    /// Forgets deletions that are old enough; in batches, because replicas that the floor overtakes must be
+    /// rebuilt.
+    pub fn forget_old_deletions(&mut self, now: f64) {
         let deletion_retention = self.params.deletion_retention;
         let Some(replica) = self.current.get_mut(&self.own) else { return };
         let age = |seq: &u64| {
@@ -163,9 +167,10 @@
         }
     }
 
-    // ---- others' ----
+    // ---- replicas of other fronts ----
 
-    /// A front is known to have that life now: a copy of an earlier one is a past life's.
+    /// Notes that a front has that incarnation now: the replica of an earlier one becomes that of an ended
+    /// incarnation. Returns the keys that may have changed.
     pub fn advance_incarnation(&mut self, now: f64, front: FrontId, incarnation: Incarnation) -> Vec<Key> {
         if front == self.own {
             return Vec::new();
@@ -183,7 +188,8 @@
         keys
     }
 
-    /// A life of a front ended with that copy, as was learned at `since`.
+    /// Stores the final replica of an incarnation of a front; `since` is when this front learned that it had
+    /// ended.
     pub(crate) fn end_incarnation(&mut self, since: f64, front: FrontId, replica: Replica) -> Vec<Key> {
         if replica.dropped {
             return self.discard_up_to(front, replica.incarnation);
@@ -200,14 +206,15 @@
         }
     }
 
-    /// Ended lives of a front and how far their copies go, from the first on.
+    /// The ended incarnations of a front with the cursors of their replicas, earliest first.
     pub fn ended_cursors(&self, front: FrontId) -> Vec<(Incarnation, Cursor)> {
-        let top = Incarnation { number: u64::MAX, nonce: u64::MAX };
-        let range = self.ended.range((front, Incarnation::default())..=(front, top));
+        let max = Incarnation { number: u64::MAX, nonce: u64::MAX };
+        let range = self.ended.range((front, Incarnation::default())..=(front, max));
         range.map(|((_, incarnation), ended)| (*incarnation, ended.replica.cursor)).collect()
     }
 
-    /// How far the copy of an ended life goes, where somebody's goes up to `ahead`; none where it is of no use any more.
+    /// Returns the cursor for an ended incarnation of which some front has facts up to number `ahead`; none
+    /// if the incarnation is no longer needed.
     pub fn ended_cursor(
         &mut self,
         now: f64,
@@ -230,7 +237,7 @@
         Some(ended.replica.cursor)
     }
 
-    /// The copy of an ended life, a new one where there is none.
+    /// Returns the replica of an ended incarnation, a new one if there is none.
     fn ended_entry(&mut self, now: f64, front: FrontId, incarnation: Incarnation) -> &mut EndedReplica {
         let tracks_changes = self.tracks_changes;
         let fresh =
@@ -246,27 +253,29 @@
         incarnation <= self.obsolete_up_to(front)
     }
 
-    /// Lives of a front up to that one are of no use any more: what was kept of them is dropped.
+    /// Marks the incarnations of a front up to that one as no longer needed and discards their replicas.
+    /// Returns the keys that may have changed.
     pub fn discard_up_to(&mut self, front: FrontId, incarnation: Incarnation) -> Vec<Key> {
         if self.is_obsolete(front, incarnation) {
             return Vec::new();
         }
         self.obsolete_up_to.insert(front, incarnation);
-        let over: Vec<Incarnation> =
+        let discarded: Vec<Incarnation> =
             self.ended_cursors(front).into_iter().map(|p| p.0).filter(|l| *l <= incarnation).collect();
-        let gone = over.into_iter().filter_map(|incarnation| self.ended.remove(&(front, incarnation)));
-        gone.flat_map(|ended| ended.replica.entries.into_keys()).collect()
+        let removed =
+            discarded.into_iter().filter_map(|incarnation| self.ended.remove(&(front, incarnation)));
+        removed.flat_map(|ended| ended.replica.entries.into_keys()).collect()
     }
 
-    /// Settles lives that ended so long ago, seconds.
+    /// Discards incarnations that ended at least `age` seconds ago.
     pub fn discard_older(&mut self, now: f64, age: f64) -> Vec<Key> {
         let old = self.ended.iter().filter(|(_, ended)| now - ended.since >= age);
         let old: Vec<(FrontId, Incarnation)> = old.map(|(at, _)| *at).collect();
         old.into_iter().flat_map(|(front, incarnation)| self.discard_up_to(front, incarnation)).collect()
     }
 
-    /// What was kept of a front is of no use any more. Its life stays known, so that an old copy that somebody
-    /// still has does not bring it back.
+    /// Drops the facts of a front that are no longer needed. Its incarnation stays known, so that an old
+    /// replica that some front still has does not bring them back.
     pub fn drop_facts(&mut self, front: FrontId) -> Vec<Key> {
         let Some(replica) = self.current.get_mut(&front).filter(|_| front != self.own) else {
             return Vec::new();
@@ -275,7 +284,7 @@
         replica.clear()
     }
 
-    /// The front is off the list: nothing of it is kept.
+    /// Removes everything of a front that is no longer listed.
     pub fn remove_front(&mut self, front: FrontId) -> Vec<Key> {
         if front == self.own {
             return Vec::new();
@@ -287,7 +296,7 @@
         keys
     }
 
-    /// What this front holds of others and of ended lives is too old to be believed: it begins from nothing.
+    /// Clears the replicas of other fronts and of ended incarnations, which are too old to rely on.
     pub fn clear_others(&mut self) -> Vec<Key> {
         let ended = std::mem::take(&mut self.ended);
         let mut keys: Vec<Key> = ended.into_values().flat_map(|p| p.replica.entries.into_keys()).collect();
@@ -297,12 +306,12 @@
         keys
     }
 
-    /// The life that a front is known to have.
+    /// The incarnation that a front is known to have.
     pub fn incarnation(&self, front: FrontId) -> Incarnation {
         self.current.get(&front).map(|replica| replica.incarnation).unwrap_or_default()
     }
 
-    /// How far the copy of that life of a front goes; none where it is not wanted any more.
+    /// The cursor of the replica of that incarnation of a front; none if the replica is no longer wanted.
     pub fn cursor(&self, front: FrontId, incarnation: Incarnation) -> Option<Cursor> {
         match self.current.get(&front).filter(|c| c.incarnation == incarnation) {
             Some(replica) => (!replica.dropped).then_some(replica.cursor),
@@ -310,8 +319,8 @@
         }
     }
 
-    /// What a copy of `reach` of that life lacks, as far as `bytes` hold it. Of one that ended and is not kept, what the
-    /// life after it wrote.
+    /// Returns what a replica at `cursor` of that incarnation lacks, as far as it fits into `bytes`. For an
+    /// incarnation that ended and is not kept here, returns what the current incarnation wrote.
     pub fn delta(
         &mut self,
         now: f64,
@@ -330,7 +339,7 @@
         Some(delta)
     }
 
-    /// Takes a part in.
+    /// Applies a delta.
     pub fn apply(&mut self, now: f64, delta: &Delta) -> Applied {
         let (front, incarnation) = (FrontId(delta.front), to_incarnation(delta.incarnation));
         let current = self.incarnation(front);
@@ -370,7 +379,7 @@
                 keys.extend(before);
                 Applied::Changed { keys, more }
             }
-            // The new life alone is news.
+            // The new incarnation alone is a change.
             other if !before.is_empty() => {
                 Applied::Changed { keys: before, more: other != Applied::AlreadyKnown }
             }
@@ -378,9 +387,9 @@
         }
     }
 
-    // ---- what is read ----
+    // ---- queries ----
 
-    /// What each origin says of a key, with when it was written.
+    /// The fact of each origin under a key, with the time of its writing.
     pub fn facts_for(&self, key: Key) -> impl Iterator<Item = (FrontId, f64, &Fact)> + Clone {
         self.current.iter().filter_map(move |(front, replica)| {
             let entry = replica.entries.get(&key)?;
@@ -388,7 +397,7 @@
         })
     }
 
-    /// Calls that a front owns.
+    /// The calls that a front owns.
     pub fn calls_of(&self, front: FrontId) -> impl Iterator<Item = (u64, &CallRecord)> {
         let entries = self.current.get(&front).into_iter().flat_map(|replica| &replica.entries);
         entries.filter_map(|(key, entry)| match (key, &entry.fact) {
@@ -397,67 +406,72 @@
         })
     }
 
-    /// A call that stood at the end of a life, of the latest such: whose, since when that is known, the call.
+    /// The call as it was established at the end of an incarnation, the latest such incarnation.
     pub fn orphaned_call(&self, call: u64) -> Option<OrphanedCall<'_>> {
-        let found = self.ended.iter().filter_map(|((of, incarnation), ended)| {
+        let found = self.ended.iter().filter_map(|((owner, incarnation), ended)| {
             match ended.replica.fact(&Key::Call(call)) {
-                Some(Fact::Call(record)) => {
-                    Some(OrphanedCall { owner: *of, incarnation: *incarnation, since: ended.since, record })
-                }
+                Some(Fact::Call(record)) => Some(OrphanedCall {
+                    owner: *owner,
+                    incarnation: *incarnation,
+                    since: ended.since,
+                    record,
+                }),
                 _ => None,
             }
         });
         found.max_by_key(|found| found.incarnation)
     }
 
-    /// Whether a front's ended life is known to its end, as far as anybody knows it, and the call did not stand there.
-    pub fn ended_lacks(&self, front: FrontId, incarnation: Incarnation, call: u64) -> bool {
+    /// Whether an ended incarnation is complete, as far as any front knows it, and the call was not
+    /// established at its end.
+    pub fn ended_without_call(&self, front: FrontId, incarnation: Incarnation, call: u64) -> bool {
         let ended = self.ended.get(&(front, incarnation));
         ended.is_some_and(|ended| ended.is_complete() && ended.replica.fact(&Key::Call(call)).is_none())
     }
 
-    /// Whether a front said in an ended life that a call is over: that holds on, claims do not.
-    pub fn ended_earlier(&self, call: u64) -> bool {
-        let over = Fact::CallEnd(CallEnd { claim: false });
-        self.ended.values().any(|ended| ended.replica.fact(&Key::CallEnd(call)) == Some(&over))
+    /// Whether a front published in an ended incarnation that a call has ended. That remains valid; claims do
+    /// not.
+    pub fn has_earlier_end(&self, call: u64) -> bool {
+        let call_end = Fact::CallEnd(CallEnd { claim: false });
+        self.ended.values().any(|ended| ended.replica.fact(&Key::CallEnd(call)) == Some(&call_end))
     }
 
-    /// Whether nothing is known to be missing of a front's ended lives.
+    /// Whether nothing is known to be missing of the ended incarnations of a front.
     pub fn ended_are_complete(&self, front: FrontId) -> bool {
-        let mut ended = self.ended.iter().filter(|((of, _), _)| *of == front);
+        let mut ended = self.ended.iter().filter(|((owner, _), _)| *owner == front);
         ended.all(|(_, ended)| ended.is_complete())
     }
 
-    /// This front's words that calls are over which are older than that, seconds.
+    /// Keys of this front's call ends that are older than `age` seconds.
     pub fn old_call_ends(&self, now: f64, age: f64) -> Vec<Key> {
         let own = self.current.get(&self.own).into_iter();
-        // Keys are in the order of their classes: the calls before them are not looked at.
+        // Keys are ordered by class, so the calls before them are skipped.
         let call_ends =
             own.flat_map(|replica| replica.entries.range(Key::CallEnd(0)..=Key::CallEnd(u64::MAX)));
         let old = call_ends.filter(|(_, e)| e.fact.is_some() && now - e.written_at >= age);
         old.map(|(key, _)| *key).collect()
     }
 
-    /// Facts that are held of a front.
+    /// The number of facts in the replica of a front.
     pub fn fact_count(&self, front: FrontId) -> usize {
         self.current.get(&front).map_or(0, |replica| replica.fact_count)
     }
 
-    /// Facts of a front with their numbers: equal on copies that are equal.
+    /// The facts of a front with their numbers: equal on equal replicas.
     pub fn facts(&self, front: FrontId) -> Vec<(Key, u64, Fact)> {
         self.facts_of(front, self.incarnation(front))
     }
 
-    /// Facts of one life of a front with their numbers.
+    /// The facts of one incarnation of a front with their numbers.
     pub fn facts_of(&self, front: FrontId, incarnation: Incarnation) -> Vec<(Key, u64, Fact)> {
         let current = self.current.get(&front).filter(|replica| replica.incarnation == incarnation);
         let ended = self.ended.get(&(front, incarnation)).map(|ended| &ended.replica);
         let Some(replica) = current.or(ended) else { return Vec::new() };
-        let fact_count = replica.entries.iter().filter_map(|(k, e)| Some((*k, e.seq, e.fact.clone()?)));
-        fact_count.collect()
+        let facts = replica.entries.iter().filter_map(|(k, e)| Some((*k, e.seq, e.fact.clone()?)));
+        facts.collect()
     }
 
-    /// A mark of what is held of a front: equal on copies that are equal.
+    /// A digest of the replica of a front: equal on equal replicas.
     pub fn digest(&self, front: FrontId) -> u64 {
         self.current.get(&front).map_or(0, |replica| replica.digest)
     }
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -1,31 +1,32 @@
-//! How fronts stand with each other, for operators.
+//! The state of the fleet for operators.
 
 use crate::calls::CallCounts;
 use crate::fleet::{Counts, Fleet};
 use crate::view::Conflict;
 use shalespindle_peers::{FrontId, Incarnation, State};
 
-/// A peer, for operators.
+/// The state of one peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerStatus {
     pub front: FrontId,
     pub state: State,
-    /// Since its beat last rose.
+    /// Seconds since its heartbeat last increased.
     pub quiet_for: f64,
-    /// Facts held of it, and how many numbers it is known to be ahead of the copy.
+    /// Number of facts in the replica of it, and by how many numbers the peer is known to be ahead of that
+    /// replica.
     pub facts: usize,
     pub behind: u64,
-    /// Equal where the copies of it are equal.
+    /// Equal on fronts whose replicas of it are equal.
     pub digest: u64,
 }
 
-/// The whole, for operators.
+/// The state of this front and its peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetStatus {
     pub incarnation: Incarnation,
     pub silenced: bool,
     pub isolated: bool,
-    /// A peer was heard and what it had is here.
+    /// A digest from a peer has arrived, and this front has everything that the digest named.
     pub caught_up: bool,
     pub own_facts: usize,
     pub own_digest: u64,
@@ -33,7 +34,7 @@
     pub conflict_count: u64,
     pub conflicts: Vec<Conflict>,
     pub calls: CallCounts,
-    /// Calls that two or more fronts released, and which.
+    /// Calls that two or more fronts released, with those fronts.
     pub double_releases: Vec<(u64, Vec<FrontId>)>,
     pub counts: Counts,
 }
--- a/crates/replica/src/view.rs
+++ b/crates/replica/src/view.rs
@@ -1,4 +1,5 @@
-//! What the facts of several origins come to, by the rule of each class, the same on every front.
+//! The merged view of the facts of several origins. Each class has its rule, which gives the same result on
+//! every front.
 
 use crate::facts::{CallRecord, Fact, Key, LevelOrder, ServerRecord};
 use crate::replicas::Replicas;
@@ -7,23 +8,23 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Meetings of copies that differ that are kept for operators.
+/// Maximum number of conflicts that are listed for operators.
 const MAX_CONFLICTS: usize = 1000;
 
-/// What changed by what other fronts said.
+/// A change that results from facts of other fronts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetEvent {
-    /// What others' lists say of a server, settled.
+    /// The merged state of a server in the pool lists of other fronts.
     Server(PeerWarning),
-    /// The level that operators hold, and until when; none: it is let go.
+    /// The level that operators have pinned, and until when; none if the pin has ended.
     Level { level: Option<u8>, until: f64, issued_by: String },
-    /// A call of this front was released by another.
+    /// A call of this front was released by another front.
     CallEnded { call: u64 },
-    /// This front is to release a call of one that died, in both directions.
+    /// This front has to release a call of a dead front in both directions.
     Release { call: u64, record: Box<CallRecord> },
 }
 
-/// Two or more origins that say different things of one start of one server.
+/// Two or more origins that report different states for one incarnation of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conflict {
     pub address: SocketAddr,
@@ -33,13 +34,13 @@
     pub since: f64,
 }
 
-/// The settled view, and what of it has been told.
+/// The merged view, and the changes that were not yet taken from it.
 #[derive(Clone, Debug)]
 pub struct View {
     warning_ttl: f64,
     servers: BTreeMap<SocketAddr, PeerWarning>,
-    /// Version of the word on the level that counts, and who said it.
-    level: (u64, String),
+    /// Version of the level order in effect, and the front that issued it.
+    level_rank: (u64, String),
     adopted_order: Option<LevelOrder>,
     events: VecDeque<FleetEvent>,
     open_conflicts: BTreeMap<SocketAddr, Conflict>,
@@ -47,12 +48,13 @@
 }
 
 impl View {
-    /// A warning of another front counts for so many seconds from when it was written.
+    /// `warning_ttl` is the time in seconds for which a warning of another front counts, from when it was
+    /// written.
     pub fn new(warning_ttl: f64) -> View {
         View {
             warning_ttl,
             servers: BTreeMap::new(),
-            level: (0, String::new()),
+            level_rank: (0, String::new()),
             adopted_order: None,
             events: VecDeque::new(),
             open_conflicts: BTreeMap::new(),
@@ -60,17 +62,18 @@
         }
     }
 
-    /// A key's facts may have changed.
+    /// Recomputes the view of a key whose facts may have changed.
     pub fn key_changed(&mut self, now: f64, replicas: &Replicas, key: &Key) {
         match key {
             Key::Server(address) => self.update_server(now, replicas, key, *address),
             Key::Level => self.update_level(now, replicas),
-            // Settled by the calls' own rule.
+            // Calls are merged by `Calls`.
             Key::Call(_) | Key::CallEnd(_) => {}
         }
     }
 
-    /// The highest incarnation; of it the most careful word, and the youngest start.
+    /// Merges the records of a server: only those of the highest incarnation count; of them the most severe
+    /// state, and the latest start.
     fn update_server(&mut self, now: f64, replicas: &Replicas, key: &Key, address: SocketAddr) {
         let records: Vec<(FrontId, f64, ServerRecord)> = replicas
             .facts_for(*key)
@@ -79,33 +82,33 @@
                 _ => None,
             })
             .collect();
-        let highest = records.iter().map(|w| w.2.incarnation).max();
-        let of_highest = || records.iter().filter(|w| Some(w.2.incarnation) == highest);
-        self.update_conflict(now, address, of_highest().map(|w| (w.0, w.2.reported)).collect(), highest);
-        // What this front itself said it knows already.
-        let others = of_highest().filter(|w| w.0 != replicas.own());
-        let started = others.clone().filter_map(|w| Some(w.1 - w.2.age?)).reduce(f64::max);
-        // The same word of two fronts: the later one, since it counts for longer.
+        let highest = records.iter().map(|r| r.2.incarnation).max();
+        let of_highest = || records.iter().filter(|r| Some(r.2.incarnation) == highest);
+        self.update_conflict(now, address, of_highest().map(|r| (r.0, r.2.reported)).collect(), highest);
+        // This front already acts on its own records.
+        let others = of_highest().filter(|r| r.0 != replicas.own());
+        let started = others.clone().filter_map(|r| Some(r.1 - r.2.age?)).reduce(f64::max);
+        // Of two fronts with the same state, the record written later is valid for longer.
         let latest = others.max_by(|a, b| a.2.reported.cmp(&b.2.reported).then(a.1.total_cmp(&b.1)));
         let Some(&(_, written, record)) = latest else {
             self.servers.remove(&address);
             return;
         };
         let until = written + self.warning_ttl;
-        let (pool, incarnation, told) = (record.pool, record.incarnation, record.reported);
-        let warning = PeerWarning { address, pool, incarnation, state: told, started, until };
+        let (pool, incarnation, state) = (record.pool, record.incarnation, record.reported);
+        let warning = PeerWarning { address, pool, incarnation, state, started, until };
         let before = self.servers.insert(address, warning);
-        let same = |b: PeerWarning| {
+        let is_same = |b: PeerWarning| {
             let close = |a: f64, b: f64| (a - b).abs() < 1.0;
-            let starts = match (b.started, started) {
+            let same_start = match (b.started, started) {
                 (Some(a), Some(b)) => close(a, b),
                 (a, b) => a.is_none() && b.is_none(),
             };
             (b.incarnation, b.state) == (warning.incarnation, warning.state)
-                && starts
+                && same_start
                 && close(b.until, until)
         };
-        if until > now && !before.is_some_and(same) {
+        if until > now && !before.is_some_and(is_same) {
             self.events.push_back(FleetEvent::Server(warning));
         }
     }
@@ -117,13 +120,13 @@
         reports: Vec<(FrontId, ReportedState)>,
         highest: Option<u64>,
     ) {
-        let resolved = reports.iter().map(|w| w.1).max();
-        let differ = reports.iter().any(|w| Some(w.1) != resolved);
+        let resolved = reports.iter().map(|r| r.1).max();
+        let differ = reports.iter().any(|r| Some(r.1) != resolved);
         let (Some(resolved), Some(incarnation), true) = (resolved, highest, differ) else {
             self.open_conflicts.remove(&address);
             return;
         };
-        match self.open_conflicts.get_mut(&address).filter(|m| m.incarnation == incarnation) {
+        match self.open_conflicts.get_mut(&address).filter(|c| c.incarnation == incarnation) {
             Some(conflict) => (conflict.reports, conflict.resolved) = (reports, resolved),
             None => {
                 self.conflict_count += 1;
@@ -135,32 +138,35 @@
         }
     }
 
-    /// The word of the highest version, then of the higher name of who said it: the same whoever passes it on.
+    /// Applies the level order of the highest version, then of the higher name of the front that issued it:
+    /// the same result whichever front passes it on.
     fn update_level(&mut self, now: f64, replicas: &Replicas) {
-        let Some((front, written, record)) = highest_order(replicas) else { return };
-        if record.rank() <= (self.level.0, self.level.1.as_str()) {
+        let Some((front, written, order)) = highest_order(replicas) else { return };
+        if order.rank() <= (self.level_rank.0, self.level_rank.1.as_str()) {
             return;
         }
-        self.level = (record.version, record.issued_by.clone());
-        let until = written + record.valid_for;
+        self.level_rank = (order.version, order.issued_by.clone());
+        let until = written + order.valid_for;
         if front != replicas.own() {
-            let level = record.level.filter(|_| until > now);
-            self.events.push_back(FleetEvent::Level { level, until, issued_by: record.issued_by.clone() });
-            // Passed on as this front's own, so that it outlives the front that was asked.
-            self.adopted_order = Some(LevelOrder { valid_for: (until - now).max(0.0), ..record.clone() });
+            let level = order.level.filter(|_| until > now);
+            self.events.push_back(FleetEvent::Level { level, until, issued_by: order.issued_by.clone() });
+            // Republished as this front's own fact, so that the order outlives the front that received it
+            // from the operator.
+            self.adopted_order = Some(LevelOrder { valid_for: (until - now).max(0.0), ..order.clone() });
         }
     }
 
-    /// An operator's word that was taken up since this was last asked.
+    /// Returns an operator's level order that was adopted since the last call.
     pub fn take_adopted_order(&mut self) -> Option<LevelOrder> {
         self.adopted_order.take()
     }
 
-    /// The version that a new word on the level must have to count.
+    /// The version that a new level order needs to take precedence.
     pub fn next_version(&self) -> u64 {
-        self.level.0 + 1
+        self.level_rank.0 + 1
     }
 
+    /// Queues an event for [`View::next_event`].
     pub fn push_event(&mut self, event: FleetEvent) {
         self.events.push_back(event);
     }
@@ -169,21 +175,21 @@
         self.events.pop_front()
     }
 
-    /// Copies that differ now, and how that is settled.
+    /// The current conflicts and how they are resolved.
     pub fn conflicts(&self) -> impl Iterator<Item = &Conflict> {
         self.open_conflicts.values()
     }
 
-    /// How often copies that differ have met so far.
+    /// Number of conflicts so far.
     pub fn conflict_count(&self) -> u64 {
         self.conflict_count
     }
 }
 
 fn highest_order(replicas: &Replicas) -> Option<(FrontId, f64, &LevelOrder)> {
-    let records = replicas.facts_for(Key::Level).filter_map(|(front, written, fact)| match fact {
-        Fact::Level(record) => Some((front, written, record)),
+    let orders = replicas.facts_for(Key::Level).filter_map(|(front, written, fact)| match fact {
+        Fact::Level(order) => Some((front, written, order)),
         _ => None,
     });
-    records.max_by_key(|w| w.2.rank())
+    orders.max_by_key(|o| o.2.rank())
 }
--- a/crates/replica/tests/model.rs
+++ b/crates/replica/tests/model.rs
@@ -159,7 +159,7 @@
     fn step(&mut self, step: Step, planted: Planted) -> bool {
         self.now += STEP;
         let now = self.now;
-        self.replicas[0].tick(now);
+        self.replicas[0].forget_old_deletions(now);
         match step {
             Step::Write(n) => {
                 self.version += 1;
