--- a/crates/replica/tests/calls.rs
+++ b/crates/replica/tests/calls.rs
@@ -1,22 +1,23 @@
-//! Standing calls of fronts that die: given back, released by one, released once; cuts and losses between.
+//! Established calls of fronts that die: they are taken back, or released exactly once, despite cuts and
+//! message loss.
 
 mod common;
 
-use common::{record, Net, HEARTBEAT_INTERVAL};
+use common::{record, Network, HEARTBEAT_INTERVAL};
 use shalespindle_peers::FrontId;
 use shalespindle_replica::{dialog_hash, CallRecord, FleetParams};
 
 const HOLD: f64 = 5.0;
 
-fn net(count: usize) -> Net {
+fn net(count: usize) -> Network {
     let mut params = FleetParams::with_heartbeat_interval(HEARTBEAT_INTERVAL);
     params.calls.hold = HOLD;
     params.replicas.max_facts = 200_000;
-    Net::new(count, 1, params)
+    Network::new(count, 1, params)
 }
 
 #[test]
-fn a_front_that_returns_is_given_its_calls_back_by_its_fleet() {
+fn a_restarted_front_takes_its_calls_back_from_the_replicas_of_others() {
     for loss in [0.0, 0.33] {
         let mut net = net(4);
         net.loss = loss;
@@ -28,8 +29,8 @@
         net.advance(4.0);
         assert_eq!(net.owned(0), 100, "loss {loss}");
         net.advance(2.0 * HOLD);
-        assert_eq!(net.all_released(), Vec::<u64>::new(), "nothing of it is released");
-        // They are its own again: their end is told like any other.
+        assert_eq!(net.all_released(), Vec::<u64>::new(), "none of its calls is released");
+        // The calls belong to it again: their end is published like any other.
         let now = net.now;
         (0..100).for_each(|n| net.at(0).publish_call(now, n, None));
         net.advance(3.0);
@@ -42,21 +43,21 @@
 }
 
 #[test]
-fn the_calls_of_a_front_that_stays_away_are_released_once_each_and_not_before_their_time() {
+fn calls_of_a_dead_front_are_released_once_each_and_only_after_the_holding_time() {
     let mut net = net(5);
     net.loss = 0.25;
     net.establish(2, 0..60);
     net.advance(3.0);
     net.fronts[2] = None;
-    // Gone after fifteen beats, then held.
+    // The front is gone after fifteen heartbeat intervals; then its calls are held for the holding time.
     net.advance(15.0 * HEARTBEAT_INTERVAL + HOLD - 1.0);
     assert_eq!(net.all_released(), Vec::<u64>::new());
     net.advance(5.0);
     assert_eq!(net.all_released(), (0..60).collect::<Vec<_>>());
-    // Over several fronts: each bears its part.
-    let bear = (0..5).filter(|front| !net.released(*front).is_empty()).count();
-    assert!(bear >= 3, "{bear}");
-    // It returns too late: they are over, and nobody gives them back.
+    // The releases are spread over several fronts.
+    let releasing = (0..5).filter(|front| !net.released(*front).is_empty()).count();
+    assert!(releasing >= 3, "{releasing}");
+    // It returns too late: the calls have ended, and no front gives them back.
     net.restart(2, 2);
     net.advance(5.0);
     assert_eq!(net.owned(2), 0);
@@ -64,14 +65,14 @@
 }
 
 #[test]
-fn whoever_is_told_that_a_call_is_over_finds_it_once() {
+fn a_call_is_ended_once_through_any_front_that_its_caller_or_server_reaches() {
     let mut net = net(3);
     net.establish(0, 0..3);
     net.advance(2.0);
     let now = net.now;
-    // By its caller at another front, while its own lives.
+    // By its caller at another front, while its own front is alive.
     assert_eq!(net.at(1).end_call(now, 0, false), Some((0, Some(record(0)))));
-    assert_eq!(net.at(1).end_call(now, 0, false), Some((0, None)), "told again");
+    assert_eq!(net.at(1).end_call(now, 0, false), Some((0, None)), "ended a second time");
     net.advance(2.0);
     assert_eq!(net.ended(0), [0]);
     assert_eq!(net.at(2).end_call(now, 0, false), Some((0, None)), "known everywhere");
@@ -81,22 +82,25 @@
     assert_eq!(net.at(2).end_call(now, 99, false), None);
     assert_eq!(net.at(2).end_call(now, dialog_hash("leg-99"), true), None);
     net.advance(15.0 * HEARTBEAT_INTERVAL + HOLD + 3.0);
-    assert_eq!(net.all_released(), [2], "the rest was over");
+    assert_eq!(net.all_released(), [2], "the other calls had ended");
 }
 
 #[test]
-fn on_two_sides_of_a_cut_only_most_of_the_fronts_release_and_the_others_hear_of_it() {
+fn only_the_majority_side_of_a_cut_releases_calls_and_the_other_side_learns_of_it() {
     let mut net = net(5);
     net.establish(0, 0..20);
     net.establish(4, 20..40);
     net.advance(2.0);
-    let few = |n: usize| n < 2;
-    net.cut = (0..5).flat_map(|a| (0..5).map(move |b| (a, b))).filter(|(a, b)| few(*a) != few(*b)).collect();
-    // The few are alone among themselves: they wait, and release nothing at all.
+    let in_minority = |n: usize| n < 2;
+    net.cut = (0..5)
+        .flat_map(|a| (0..5).map(move |b| (a, b)))
+        .filter(|(a, b)| in_minority(*a) != in_minority(*b))
+        .collect();
+    // The two are isolated: they wait, and release nothing at all.
     net.advance(40.0 * HEARTBEAT_INTERVAL + HOLD + 4.0);
-    assert_eq!(net.all_released(), (0..20).collect::<Vec<_>>(), "those of front 0, by the three");
+    assert_eq!(net.all_released(), (0..20).collect::<Vec<_>>(), "the calls of front 0, by the other three");
     assert!((0..2).all(|front| net.released(front).is_empty()));
-    // On the side of the few one of the many's calls ends meanwhile.
+    // On the side of the minority a call of the majority ends meanwhile.
     let now = net.now;
     assert!(net.at(1).end_call(now, 30, false).is_some());
     net.cut.clear();
@@ -108,14 +112,17 @@
 }
 
 #[test]
-fn two_releases_of_one_call_are_counted_and_listed_on_every_front() {
+fn double_releases_are_counted_and_listed_on_every_front() {
     let mut net = net(3);
     net.establish(0, 0..1);
     net.advance(2.0);
     net.cut = vec![(1, 2), (2, 1), (0, 1), (1, 0), (0, 2), (2, 0)];
     let now = net.now;
     assert!(net.at(1).end_call(now, 0, false).unwrap().1.is_some());
-    assert!(net.at(2).end_call(now, 0, false).unwrap().1.is_some(), "the cut hides the other's record");
+    assert!(
+        net.at(2).end_call(now, 0, false).unwrap().1.is_some(),
+        "the cut hides the end that the other front published"
+    );
     net.cut.clear();
     net.advance(3.0);
     for front in 0..3 {
@@ -126,27 +133,28 @@
 }
 
 #[test]
-fn a_claim_of_a_front_that_dies_before_it_releases_holds_nobody_up() {
+fn the_claim_of_a_front_that_dies_before_the_release_is_void() {
     let mut net = net(5);
     net.establish(0, 0..40);
     net.advance(2.0);
     net.fronts[0] = None;
-    // Stepwise, until somebody has claimed and released nothing yet.
-    let claimed = |net: &mut Net| (1..5).find(|n| net.at(*n).status(0.0).calls.claims > 0);
+    // Advances in small steps until a front has claimed calls and none has been released.
+    let claimed = |net: &mut Network| (1..5).find(|n| net.at(*n).status(0.0).calls.claims > 0);
     let claimer = (0..400).find_map(|_| {
         net.advance(HEARTBEAT_INTERVAL / 4.0);
         claimed(&mut net)
     });
     let claimer = claimer.unwrap();
     assert_eq!(net.all_released(), Vec::<u64>::new());
-    // Its claims have been told.
+    // Its claims reach the other fronts.
     net.advance(2.0 * HEARTBEAT_INTERVAL);
     net.fronts[claimer] = None;
     net.advance(20.0);
     assert_eq!(net.all_released(), (0..40).collect::<Vec<_>>());
 }
 
-/// A front that comes empty to one with that many calls: messages sent by both, and seconds until it has all.
+/// A front that starts empty next to one with that many calls. Returns the messages sent by both, and the
+/// seconds until it has all of them.
 fn catch_up(calls: u64) -> (usize, f64) {
     let mut net = net(2);
     net.fronts[1] = None;
@@ -156,23 +164,23 @@
     let (sent, begin) = (net.sent, net.now);
     while net.at(1).replicas().fact_count(FrontId(0)) < calls as usize {
         net.advance(HEARTBEAT_INTERVAL / 4.0);
-        assert!(net.now - begin < 600.0, "{calls} calls never come");
+        assert!(net.now - begin < 600.0, "{calls} calls never arrive");
     }
     (net.sent - sent, net.now - begin)
 }
 
 #[test]
-fn catching_up_costs_what_is_missing_and_asks_once_for_each_burst() {
-    let (few, some) = (catch_up(1000), catch_up(4000));
-    // About sixteen calls a message.
-    assert!(few.0 < 1000 / 8 && some.0 < 4000 / 8, "{few:?} {some:?}");
-    assert!(some.1 < 8.0 * few.1.max(HEARTBEAT_INTERVAL), "{few:?} {some:?}");
+fn catching_up_takes_messages_in_proportion_to_what_is_missing() {
+    let (small, large) = (catch_up(1000), catch_up(4000));
+    // About sixteen calls fit into a message.
+    assert!(small.0 < 1000 / 8 && large.0 < 4000 / 8, "{small:?} {large:?}");
+    assert!(large.1 < 8.0 * small.1.max(HEARTBEAT_INTERVAL), "{small:?} {large:?}");
 }
 
-/// By hand (`--ignored --nocapture`).
+/// Run by hand with `--ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
-fn catching_up_at_size() {
+fn catching_up_with_many_calls() {
     for calls in [1000, 10_000, 100_000] {
         let begin = std::time::Instant::now();
         let (sent, seconds) = catch_up(calls);
@@ -184,7 +192,7 @@
 }
 
 #[test]
-fn what_cannot_be_told_is_not_told() {
+fn records_that_are_too_long_or_contain_line_ends_are_not_published() {
     let mut net = net(2);
     let now = net.now;
     let long = CallRecord { leg_to: "x".repeat(256), ..record(1) };
@@ -194,10 +202,10 @@
     assert_eq!(net.owned(0), 0);
 }
 
-/// Guards against what a copy that lags makes of a life that ended: a front that was cut off while calls ended, and
-/// hears of their front's next life before it hears of their end.
+/// Guards against a stale replica of an ended incarnation: a front that was cut off while calls ended learns
+/// of their front's next incarnation before it learns of their end.
 #[test]
-fn what_ended_before_a_front_died_is_not_brought_back_by_one_that_was_cut_off() {
+fn calls_that_ended_before_a_crash_do_not_come_back_from_a_stale_replica() {
     let mut net = net(4);
     net.establish(0, 0..50);
     net.advance(2.0);
@@ -210,8 +218,8 @@
     net.restart(0, 2);
     net.cut.clear();
     net.advance(4.0);
-    assert_eq!(net.owned(0), 11, "one that stood on and ten that are younger");
-    // Nor after they were its own again and ended there.
+    assert_eq!(net.owned(0), 11, "one that remained established and ten later ones");
+    // Nor after the front took them back and they ended there.
     let now = net.now;
     (49..60).for_each(|n| net.at(0).publish_call(now, n, None));
     net.advance(2.0);
@@ -223,9 +231,10 @@
     }
 }
 
-/// Guards against what a life said that is over itself: that a call ended is known by that word alone.
+/// Guards against the loss of a call's end when the incarnation that published it ends: that fact alone tells
+/// that the call ended.
 #[test]
-fn a_word_that_a_call_is_over_outlives_the_life_that_said_it() {
+fn the_end_of_a_call_outlives_the_incarnation_that_published_it() {
     let mut net = net(4);
     net.establish(0, 0..10);
     net.advance(2.0);
@@ -233,7 +242,7 @@
     net.advance(2.0);
     assert_eq!(net.owned(0), 10);
     let now = net.now;
-    // Four end at their front, three at another; both start anew.
+    // Four calls end at their front, three at another front; both fronts restart.
     (0..4).for_each(|n| net.at(0).publish_call(now, n, None));
     (4..7).for_each(|n| assert!(net.at(1).end_call(now, n, false).unwrap().1.is_some()));
     net.advance(2.0);
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! Fronts that tell each other over a network of the test's own: loss, doubling, reordering, cuts, crashes.
+//! Fronts that exchange messages over a simulated network with loss, duplication, reordering, cuts and
+//! crashes.
 
-// Each test program uses a part of it.
+// Each test binary uses only some of these helpers.
 #![allow(dead_code)]
 
 use rand::{Rng, SeedableRng};
@@ -16,7 +17,7 @@
     SocketAddr::from(([127, 0, 0, 1], n))
 }
 
-/// A call of that number.
+/// Record of the call with that number.
 pub fn record(n: u64) -> CallRecord {
     CallRecord {
         epoch: 1,
@@ -33,26 +34,26 @@
     }
 }
 
-pub struct Net {
+pub struct Network {
     params: FleetParams,
     pub fronts: Vec<Option<Fleet>>,
     rng: ChaCha8Rng,
     pub now: f64,
-    /// Due time, to, from, message.
+    /// Messages in flight: arrival time, receiver, sender, message.
     pub in_flight: Vec<(f64, usize, usize, Message)>,
-    /// Parts of messages lost and doubled.
+    /// Fraction of messages that are lost, and of those that are duplicated.
     pub loss: f64,
-    /// Longest delay of a message beside a step of the clock, seconds; each has one of its own.
+    /// Maximum delay of a message in seconds, in addition to a step of the clock; drawn for each message.
     pub max_delay: f64,
-    /// Pairs that do not hear: from, to.
+    /// Pairs of sender and receiver whose messages are all lost.
     pub cut: Vec<(usize, usize)>,
     pub events: BTreeMap<usize, Vec<FleetEvent>>,
     pub sent: usize,
 }
 
-impl Net {
-    pub fn new(count: usize, seed: u64, params: FleetParams) -> Net {
-        let mut net = Net {
+impl Network {
+    pub fn new(count: usize, seed: u64, params: FleetParams) -> Network {
+        let mut net = Network {
             params,
             fronts: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -97,23 +98,23 @@
                     front.receive(self.now, FrontId(from as u64), message);
                 }
             }
-            for place in 0..self.fronts.len() {
-                let Some(front) = &mut self.fronts[place] else { continue };
+            for index in 0..self.fronts.len() {
+                let Some(front) = &mut self.fronts[index] else { continue };
                 front.turn(self.now);
                 while let Some(events) = front.next_event() {
-                    self.events.entry(place).or_default().push(events);
+                    self.events.entry(index).or_default().push(events);
                 }
                 while let Some(out) = front.next_output() {
                     let Output::Send { to, message } = out else { continue };
                     let to = to.0 as usize;
                     self.sent += 1;
                     for _ in 0..2 {
-                        let lost = self.rng.random::<f64>() < self.loss || self.cut.contains(&(place, to));
-                        let late = self.max_delay * self.rng.random::<f64>();
+                        let lost = self.rng.random::<f64>() < self.loss || self.cut.contains(&(index, to));
+                        let delay = self.max_delay * self.rng.random::<f64>();
                         if !lost {
-                            self.in_flight.push((self.now + late, to, place, message.clone()));
+                            self.in_flight.push((self.now + delay, to, index, message.clone()));
                         }
-                        // Doubled as often as lost.
+                        // Duplicated as often as lost.
                         if self.rng.random::<f64>() >= self.loss {
                             break;
                         }
@@ -127,17 +128,17 @@
         self.fronts[n].as_mut().unwrap()
     }
 
-    /// Calls of these numbers stand at a front.
+    /// Establishes the calls with these numbers at a front.
     pub fn establish(&mut self, front: usize, calls: std::ops::Range<u64>) {
         let now = self.now;
         calls.for_each(|n| self.at(front).publish_call(now, n, Some(record(n))));
     }
 
-    /// All copies of all fronts that live are equal.
+    /// Whether all replicas on all running fronts are equal.
     pub fn replicas_are_equal(&self) -> bool {
-        let living = || self.fronts.iter().flatten();
+        let running = || self.fronts.iter().flatten();
         (0..self.fronts.len() as u64).all(|of| {
-            let mut replicas = living().map(|f| f.replicas().facts(FrontId(of)));
+            let mut replicas = running().map(|f| f.replicas().facts(FrontId(of)));
             let first = replicas.next();
             replicas.all(|c| Some(&c) == first.as_ref())
         })
@@ -157,7 +158,7 @@
         self.fronts[front].as_ref().unwrap().replicas().calls_of(FrontId(front as u64)).count()
     }
 
-    /// What a front was to release for one that died.
+    /// Calls that a front had to release for a dead front.
     pub fn released(&self, front: usize) -> Vec<u64> {
         let events = self.events.get(&front).into_iter().flatten();
         events
@@ -165,14 +166,14 @@
             .collect()
     }
 
-    /// What a front was told of its own calls, in their order.
+    /// Calls of a front that other fronts ended, sorted.
     pub fn ended(&self, front: usize) -> Vec<u64> {
         let events = self.events.get(&front).into_iter().flatten();
-        let over =
+        let ended =
             events.filter_map(|n| if let FleetEvent::CallEnded { call } = n { Some(*call) } else { None });
-        let mut over: Vec<u64> = over.collect();
-        over.sort();
-        over
+        let mut ended: Vec<u64> = ended.collect();
+        ended.sort();
+        ended
     }
 
     pub fn all_released(&self) -> Vec<u64> {
