--- a/crates/cli/src/live.rs
+++ b/crates/cli/src/live.rs
@@ -3,7 +3,7 @@
 use crate::commands::BAD_INPUT;
 use crate::signals::Signals;
 use shalespindle_platform::{read_file, StartFile};
-use shalespindle_platform_service::{one_core, Service};
+use shalespindle_platform_service::{use_single_worker, Service};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io;
 use std::net::SocketAddr;
@@ -40,12 +40,12 @@
     file.name = name.unwrap_or(file.name);
     let name = file.name.clone();
     // Before the first coroutine.
-    one_core();
+    use_single_worker();
     let service = Service::start(file)?;
     info!(target: "shalespindle::platform", name, address = %service.address(), "in service");
     let mut asked = false;
     let mut reload = Reload::default();
-    while !service.is_over() {
+    while !service.has_ended() {
         for signal in signals.pending() {
             if signal == SIGHUP {
                 reload = Reload { until: Some(Instant::now() + REREAD_FOR), told: false };
--- a/crates/platform-service/src/lib.rs
+++ b/crates/platform-service/src/lib.rs
@@ -6,4 +6,4 @@
 mod readers;
 mod service;
 
-pub use service::{one_core, Service};
+pub use service::{use_single_worker, Service};
--- a/crates/platform-service/src/owner.rs
+++ b/crates/platform-service/src/owner.rs
@@ -2,7 +2,9 @@
 
 use crate::places::Places;
 use crate::readers;
-use shalespindle_platform::{ConnectionId, Edge, LogLevel, LogRecord, Loss, Output, StartFile, UNCOUNTED};
+use shalespindle_platform::{
+    ConnectionId, Edge, LogLevel, LogRecord, Loss, Output, StartFile, UNCOUNTED_CONNECTIONS,
+};
 use shalespindle_sockets::{Ground, Mail, Mailbox, Writing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -90,7 +92,7 @@
             self.take_in(next);
             let now = self.ground.now();
             self.edge.poll(now);
-            self.places.set_most(self.edge.most_clients() + UNCOUNTED);
+            self.places.set_most(self.edge.max_clients() + UNCOUNTED_CONNECTIONS);
             if blocked {
                 self.write_on();
             }
@@ -132,7 +134,7 @@
 
     fn lies_unread(&self) -> bool {
         let unread = |connection| self.peers.get(connection).is_some_and(|p| p.writing.has_unread());
-        self.edge.read_first(self.ground.now()).iter().any(unread)
+        self.edge.connections_to_read_first(self.ground.now()).iter().any(unread)
     }
 
     fn take(&mut self, event: OwnerEvent) {
@@ -161,7 +163,7 @@
                 }
             }
             OwnerEvent::Reload(file) => self.edge.reconfigured(now, *file),
-            OwnerEvent::End => self.edge.end(now),
+            OwnerEvent::End => self.edge.begin_shutdown(now),
         }
     }
 
@@ -199,7 +201,7 @@
         match written {
             Ok(size) => {
                 if peer.waiting.is_empty() && size < bytes.len() {
-                    self.edge.blocked(connection, true);
+                    self.edge.set_blocked(connection, true);
                     info!(target: "shalespindle::platform", connection, "writing waits for its reader");
                 }
                 peer.waiting.extend_from_slice(&bytes[size..]);
@@ -227,7 +229,7 @@
                 Ok(size) => {
                     peer.waiting.drain(..size);
                     if peer.waiting.is_empty() {
-                        self.edge.blocked(*connection, false);
+                        self.edge.set_blocked(*connection, false);
                     }
                 }
                 Err(_) => lost.push(*connection),
@@ -256,7 +258,7 @@
             return;
         }
         self.counted_at = now;
-        let [in_hand, standing, clients, links] = self.edge.held();
+        let [in_hand, standing, clients, links] = self.edge.gauges();
         let late_ms = (std::mem::take(&mut self.late) * 1000.0).round();
         let counters = self.edge.counters();
         info!(target: "shalespindle::platform", in_hand, standing, clients, links, late_ms, ?counters, "counters");
--- a/crates/platform-service/src/service.rs
+++ b/crates/platform-service/src/service.rs
@@ -4,7 +4,7 @@
 use crate::places::Places;
 use crate::readers;
 use may::net::TcpListener;
-use shalespindle_platform::{Edge, StartFile, UNCOUNTED};
+use shalespindle_platform::{Edge, StartFile, UNCOUNTED_CONNECTIONS};
 use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mailbox, LARGE_STACK};
 use std::io;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 const BIND_AGAIN: Duration = Duration::from_millis(20);
 
 /// Fits the coroutines' scheduler to a machine of one core. Called once, before the first coroutine.
-pub fn one_core() {
+pub fn use_single_worker() {
     may::config().set_workers(1);
 }
 
@@ -41,7 +41,7 @@
         let listener = bind(listen)?;
         let address = listener.local_addr()?;
         let (mailbox, mail) = mailbox(ROOM);
-        let places = Places::new(edge.most_clients() + UNCOUNTED);
+        let places = Places::new(edge.max_clients() + UNCOUNTED_CONNECTIONS);
         let accepting = readers::accept(listener, mailbox.clone(), ground.clone(), places.clone())?;
         let owner = Owner::new(edge, ground, mailbox.clone(), mail, places);
         let owner = start(LARGE_STACK, move || owner.run())?;
@@ -62,7 +62,7 @@
         let _ = self.mailbox.send_urgent(OwnerEvent::End);
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.owner.as_ref().is_none_or(|o| o.is_done())
     }
 }
--- a/crates/platform-service/tests/sockets.rs
+++ b/crates/platform-service/tests/sockets.rs
@@ -71,7 +71,7 @@
         caller(service.address()).write_all(&TEST.as_bytes()[..size]).unwrap();
     }
     assert!(is_served(service.address()));
-    assert!(!service.is_over());
+    assert!(!service.has_ended());
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let service = service(256);
     service.end();
     let begin = std::time::Instant::now();
-    while !service.is_over() {
+    while !service.has_ended() {
         assert!(begin.elapsed() < PATIENCE, "it never ends");
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -289,15 +289,15 @@
     }
 
     /// Attaches in hand, calls standing, callers' connections, links.
-    pub fn held(&self) -> [usize; 4] {
+    pub fn gauges(&self) -> [usize; 4] {
         [self.calls.in_hand(), self.calls.standing(), self.clients.all.len(), self.servers.links.len()]
     }
 
     /// Connections on which something may have come that changes what is sent next: those of callers whose attaches
     /// may be sent on, and the feed; and those of callers that may be closed, since what has come on them is owed an
     /// answer. None where nothing may be sent or closed.
-    pub fn read_first(&self, now: f64) -> Vec<ConnectionId> {
-        let all_may_close = self.takes_no_more(now) || self.clients.all.len() > self.most_clients();
+    pub fn connections_to_read_first(&self, now: f64) -> Vec<ConnectionId> {
+        let all_may_close = self.takes_no_more(now) || self.clients.all.len() > self.max_clients();
         // Part of one that is being written to a server that does not read may still wait here.
         let is_blocked = |link| self.servers.links.get(&link).is_some_and(|l| l.blocked);
         let waits =
--- a/crates/platform/src/ending.rs
+++ b/crates/platform/src/ending.rs
@@ -25,7 +25,7 @@
 
 impl Edge {
     /// An orderly end is asked for.
-    pub fn end(&mut self, now: f64) {
+    pub fn begin_shutdown(&mut self, now: f64) {
         if self.ending.is_none() {
             self.ending = Some(now);
             let left = self.ends_at_latest(now) - now;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -25,4 +25,4 @@
 pub use edge::{ConnectionId, Counters, Edge, Loss, Output};
 pub use file::{read_file, StartFile};
 pub use log::{LogLevel, LogRecord};
-pub use room::UNCOUNTED;
+pub use room::UNCOUNTED_CONNECTIONS;
--- a/crates/platform/src/room.rs
+++ b/crates/platform/src/room.rs
@@ -7,7 +7,7 @@
 /// and the connection that takes its place, the configuration while it is read.
 const OWN: usize = 12;
 /// Connections that may have been accepted and not yet been counted by the front.
-pub const UNCOUNTED: usize = 4;
+pub const UNCOUNTED_CONNECTIONS: usize = 4;
 /// Least kept for all that is not a caller's connection, where the limit leaves callers their part.
 const KEPT: usize = 72;
 /// Part of the limit that callers can always have: what the platform's page says they hold at most.
@@ -15,14 +15,14 @@
 
 impl Edge {
     /// Connections that callers may hold now.
-    pub fn most_clients(&self) -> usize {
-        let kept = KEPT.max(OWN + UNCOUNTED + MOST_LINKS * self.servers.all.len());
+    pub fn max_clients(&self) -> usize {
+        let kept = KEPT.max(OWN + UNCOUNTED_CONNECTIONS + MOST_LINKS * self.servers.all.len());
         self.most_sockets.saturating_sub(kept).max(self.most_sockets / CALLERS_PART)
     }
 
     /// Whether one more link to a server may be made. The first to each server goes before others.
     pub(crate) fn has_room_for_link(&self, is_first: bool) -> bool {
-        let most = self.most_sockets.saturating_sub(OWN + UNCOUNTED + self.most_clients());
+        let most = self.most_sockets.saturating_sub(OWN + UNCOUNTED_CONNECTIONS + self.max_clients());
         let unlinked = self.servers.all.values().filter(|s| s.links.is_empty()).count();
         let kept_for_first = if is_first { 0 } else { unlinked };
         self.servers.links.len() + kept_for_first < most
@@ -31,11 +31,11 @@
     /// Closes callers' connections where there are too many. After all that came has been taken in: a set-up that has
     /// come whole is no longer on a connection of no use.
     pub(crate) fn make_room(&mut self, now: f64) {
-        while self.clients.all.len() > self.most_clients() {
+        while self.clients.all.len() > self.max_clients() {
             let Some(least) = self.clients.least_useful(now) else { return };
             // Where all others owe an answer a newcomer is told that it is refused, rather than closed on.
             if self.clients.is_awaited(now, least)
-                && self.clients.all.len() <= self.most_clients() + UNCOUNTED
+                && self.clients.all.len() <= self.max_clients() + UNCOUNTED_CONNECTIONS
             {
                 return;
             }
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -252,7 +252,7 @@
     }
 
     /// The host can not write on for now, or can again.
-    pub fn blocked(&mut self, connection: ConnectionId, blocked: bool) {
+    pub fn set_blocked(&mut self, connection: ConnectionId, blocked: bool) {
         if let Some(link) = self.servers.links.get_mut(&connection) {
             link.blocked = blocked;
         }
--- a/crates/platform/tests/callers.rs
+++ b/crates/platform/tests/callers.rs
@@ -77,7 +77,7 @@
     w.bytes(first, request("ACK", 1).as_bytes());
     for _ in 0..2000 {
         w.client();
-        assert!(w.edge.held()[2] <= 256 - 64);
+        assert!(w.edge.gauges()[2] <= 256 - 64);
     }
     assert!(!w.closed.contains(&(first, false)));
     let late = w.client();
@@ -114,7 +114,7 @@
     let client = w.client();
     let all: String = (0..60).map(|n| invite(n + 1, 0)).collect();
     w.bytes(client, all.as_bytes());
-    assert!(w.edge.held()[0] <= 50);
+    assert!(w.edge.gauges()[0] <= 50);
     assert!(w.edge.counters().no_place > 0);
     assert!(w.answers(client).iter().all(|a| a.0 == "503"));
 }
@@ -230,7 +230,7 @@
 fn an_orderly_end_serves_on_then_refuses_then_ends() {
     let (mut w, links) = World::linked(1);
     let client = w.client();
-    w.edge.end(w.now);
+    w.edge.begin_shutdown(w.now);
     w.pass(0.6);
     w.bytes(client, invite(1, 0).as_bytes());
     assert!(w.took(links[0]).contains("setup"));
@@ -271,7 +271,7 @@
     w.say(links[0], &answer(1));
     w.bytes(client, request("ACK", 1).as_bytes());
     w.took(links[0]);
-    w.edge.end(w.now);
+    w.edge.begin_shutdown(w.now);
     w.pass(3.5);
     assert!(!w.edge.is_done(w.now));
     w.pass(0.15);
@@ -285,7 +285,7 @@
 fn an_ending_front_answers_what_is_in_hand_before_it_is_gone() {
     let (mut w, links) = World::linked(3);
     let (out, waits) = (w.client(), w.client());
-    w.edge.end(w.now);
+    w.edge.begin_shutdown(w.now);
     w.pass(0.69);
     let patient = |call: u64| {
         let lines = format!("X-Setup-Ms: 9000\r\nX-Route: dest:{};width:1;via:-1\r\n", call - 1);
@@ -309,5 +309,5 @@
     assert_eq!(last, [("504".into(), id(1)), ("503".into(), id(2))]);
     let told = w.took(links[2]);
     assert!(told.contains(r#""release","id":"0000000000000001","fields":{},"cause":16"#), "{told}");
-    assert_eq!(w.edge.held()[0], 0, "in hand at the end");
+    assert_eq!(w.edge.gauges()[0], 0, "in hand at the end");
 }
--- a/crates/platform/tests/cases.rs
+++ b/crates/platform/tests/cases.rs
@@ -44,7 +44,7 @@
     assert_eq!(w.first(other), "200");
     let told = w.took(links[1]);
     assert!(told.contains(r#""type":"release""#) && told.contains(r#""cause":31"#), "{told}");
-    assert_eq!(w.edge.held()[..2], [0, 0]);
+    assert_eq!(w.edge.gauges()[..2], [0, 0]);
 }
 
 #[test]
@@ -95,7 +95,7 @@
     w.say(links[0], &answer(1));
     assert!(w.took(links[0]).contains(r#""cause":16"#));
     assert_eq!(w.took(client), "", "nothing after the final answer");
-    assert_eq!(w.edge.held()[..2], [0, 0]);
+    assert_eq!(w.edge.gauges()[..2], [0, 0]);
     let counters = w.edge.counters();
     assert_eq!((counters.ended_before_answer, counters.late_answers), (1, 1));
 }
@@ -111,7 +111,7 @@
     w.bytes(client, request("ACK", 1).as_bytes());
     w.took(client);
     w.say(links[0], &release(1, 16, ""));
-    assert_eq!((w.took(client).as_str(), w.edge.held()[1]), ("", 1), "its server is another");
+    assert_eq!((w.took(client).as_str(), w.edge.gauges()[1]), ("", 1), "its server is another");
     w.say(links[1], &release(1, 16, ""));
     assert_eq!(w.first(client), "BYE");
 }
@@ -131,7 +131,7 @@
     w.say(links[0], &answer(1));
     assert_eq!(w.took(client), "", "nothing after the final answer");
     assert!(w.took(links[0]).contains(r#""cause":16"#));
-    assert_eq!(w.edge.held()[..2], [0, 0]);
+    assert_eq!(w.edge.gauges()[..2], [0, 0]);
 }
 
 #[test]
@@ -154,7 +154,7 @@
     let answers: Vec<String> = w.answers(client).into_iter().map(|a| a.0).collect();
     assert_eq!(answers, ["200", "200", "BYE"]);
     assert!(w.took(links[0]).contains(r#""cause":16"#));
-    assert_eq!(w.edge.held()[..2], [0, 0]);
+    assert_eq!(w.edge.gauges()[..2], [0, 0]);
 }
 
 #[test]
@@ -169,7 +169,7 @@
     w.lose(client, Loss::Broken);
     let told = w.took(links[0]);
     assert!(told.contains(&id(2)) && !told.contains(&id(1)), "{told}");
-    assert_eq!(w.edge.held()[..2], [0, 1]);
+    assert_eq!(w.edge.gauges()[..2], [0, 1]);
     // Its release waits for a connection that proves of use.
     w.say(links[0], &release(1, 16, ""));
     let other = w.client();
@@ -246,7 +246,7 @@
     w.bytes(client, invite(2, 0).as_bytes());
     w.took(client);
     w.lose(links[0], Loss::Broken);
-    assert_eq!(w.edge.held()[..2], [1, 1]);
+    assert_eq!(w.edge.gauges()[..2], [1, 1]);
     let again = w.link(0);
     w.say(again, &release(1, 41, ""));
     assert_eq!(w.answers(client), [("BYE".into(), id(1))]);
@@ -322,7 +322,7 @@
     w.bytes(client, handed(1, "s0").as_bytes());
     w.bytes(client, handed(1, "s0").as_bytes());
     assert_eq!((w.took(client), w.took(links[0])), (String::new(), String::new()));
-    assert_eq!(w.edge.held()[1], 1);
+    assert_eq!(w.edge.gauges()[1], 1);
     w.say(links[0], &release(1, 16, ""));
     assert_eq!(w.answers(client), [("BYE".into(), id(1))]);
     // Of a server that is gone nothing stands; that it is gone, and not only unknown yet, shows when the list has had
@@ -359,7 +359,7 @@
     let told = w.took(link);
     assert!(told.contains(r#""release","id":"0000000000000002""#) && !told.contains(&id(1)), "{told}");
     w.pass(3.0);
-    assert_eq!((w.took(client), w.edge.held()[1]), (String::new(), 1));
+    assert_eq!((w.took(client), w.edge.gauges()[1]), (String::new(), 1));
     w.say(link, &release(1, 16, ""));
     assert_eq!(w.answers(client), [("BYE".into(), id(1))]);
 }
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -98,7 +98,7 @@
     let (mut w, links) = World::linked(1);
     w.caller(links[0], 1);
     w.say(links[0], &release(1, 16, ""));
-    w.edge.end(w.now);
+    w.edge.begin_shutdown(w.now);
     w.pass(1.0);
     assert!(!w.edge.is_done(w.now), "it may be heard yet");
     w.pass(1.1);
--- a/crates/platform/tests/room.rs
+++ b/crates/platform/tests/room.rs
@@ -15,7 +15,7 @@
 fn a_request_that_came_before_an_eviction_is_not_lost_with_its_connection() {
     let mut w = limited(64, 1);
     let link = w.link(0);
-    let most = w.edge.most_clients();
+    let most = w.edge.max_clients();
     let clients: Vec<_> = (0..most).map(|_| w.client()).collect();
     // In one turn: a connection more than there may be, and a set-up on the one that would have gone first.
     w.edge.accepted(w.now, 10_000);
@@ -29,7 +29,7 @@
 fn where_every_connection_has_a_request_the_newest_is_refused_and_none_is_dropped_without_a_word() {
     let mut w = limited(64, 1);
     let link = w.link(0);
-    let most = w.edge.most_clients();
+    let most = w.edge.max_clients();
     let clients: Vec<_> = (0..most as u64 + 5)
         .map(|call| {
             let client = w.client();
@@ -38,7 +38,7 @@
         })
         .collect();
     w.pass(0.3);
-    assert_eq!(w.edge.held()[2], most);
+    assert_eq!(w.edge.gauges()[2], most);
     let set_ups = w.took(link);
     for (call, client) in clients.iter().enumerate() {
         let answered = w.first(*client);
@@ -53,7 +53,7 @@
 fn a_connection_that_waits_for_its_callers_word_goes_after_those_that_wait_for_nothing() {
     let mut w = limited(64, 1);
     let link = w.link(0);
-    let most = w.edge.most_clients();
+    let most = w.edge.max_clients();
     let answered = w.client();
     w.bytes(answered, invite(1, 0).as_bytes());
     w.say(link, &answer(1));
@@ -62,7 +62,7 @@
         w.caller(link, call);
     }
     assert!(!w.closed.contains(&(answered, false)));
-    assert_eq!(w.edge.held()[2], most);
+    assert_eq!(w.edge.gauges()[2], most);
 }
 
 /// At any limit that a deployment may state, and with any number of servers.
@@ -71,7 +71,7 @@
     for sockets in [64, 65, 100, 128, 256, 576, 1024, 4096] {
         for servers in [0, 1, 3, 24, 100] {
             let mut w = limited(sockets, servers);
-            let most = w.edge.most_clients();
+            let most = w.edge.max_clients();
             assert!(most >= sockets / 3, "{sockets} {servers}: callers may hold a third");
             for _ in 0..sockets {
                 w.client();
@@ -86,7 +86,7 @@
                 w.bytes(client, invite(call, (call % 3) as u16).as_bytes());
             }
             w.pass(0.3);
-            let [_, _, clients, links] = w.edge.held();
+            let [_, _, clients, links] = w.edge.gauges();
             assert!(clients <= most);
             // 12 of the front's own, 4 accepted and not yet counted.
             assert!(clients + links + 16 <= sockets, "{sockets} {servers}: {clients} callers, {links} links");
--- a/crates/platform/tests/rules.rs
+++ b/crates/platform/tests/rules.rs
@@ -353,7 +353,7 @@
         assert_eq!(broken(&seen, end), None, "seed {seed}");
         let counters = world.edge.counters();
         assert!(counters.stood > 150 && counters.cut > 10 && counters.cancelled > 0, "{counters:?}");
-        assert_eq!(world.edge.held()[0], 0, "seed {seed}: nothing is left in hand");
+        assert_eq!(world.edge.gauges()[0], 0, "seed {seed}: nothing is left in hand");
     }
 }
 
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -149,7 +149,7 @@
             invite.replace("X-Service: voice", &format!("X-Service: {}", names.class(n))).as_bytes(),
         );
         for link in &links {
-            if w.edge.held()[0] > 0 {
+            if w.edge.gauges()[0] > 0 {
                 let said = match call % 5 {
                     0 => release(call, 34, r#""note":"throttled""#),
                     1 => release(call, 41, ""),
@@ -164,7 +164,7 @@
         }
         w.pass(0.3);
     }
-    w.edge.end(w.now);
+    w.edge.begin_shutdown(w.now);
     w.pass(5.0);
     assert!(w.edge.is_done(w.now));
     let log = std::mem::take(&mut w.log);
--- a/crates/platform/tests/silent_servers.rs
+++ b/crates/platform/tests/silent_servers.rs
@@ -39,7 +39,7 @@
     pass_with_dials(&mut w, 0.4, Loss::Broken);
     assert_eq!(byes(&mut w, client), 1);
     assert_eq!(w.edge.counters().calls_at_silent_servers, 1);
-    assert_eq!(w.edge.held()[1], 0);
+    assert_eq!(w.edge.gauges()[1], 0);
     // It was only cut off: its call is not left standing there.
     w.took(link);
     w.say(link, STATE);
@@ -56,7 +56,7 @@
             w.say(link, &ping.replace("ping", "pong"));
         }
     }
-    assert_eq!((byes(&mut w, client), w.edge.held()[1]), (0, 1));
+    assert_eq!((byes(&mut w, client), w.edge.gauges()[1]), (0, 1));
 }
 
 /// Where the deployment allows no tests a new connection asks, on which the server says its state first.
@@ -74,7 +74,7 @@
             w.link(0);
         }
     }
-    assert_eq!((byes(&mut w, client), w.edge.held()[1]), (0, 1));
+    assert_eq!((byes(&mut w, client), w.edge.gauges()[1]), (0, 1));
     assert!(!w.took(link).contains("ping"));
     pass_with_dials(&mut w, 7.2, Loss::Broken);
     assert_eq!(byes(&mut w, client), 1, "nothing comes up any more");
@@ -102,7 +102,7 @@
     let next = w.link(0);
     w.say(next, &release(1, 16, ""));
     assert_eq!(byes(&mut w, client), 1);
-    assert_eq!(w.edge.held()[1], 1, "the other call stands");
+    assert_eq!(w.edge.gauges()[1], 1, "the other call stands");
 }
 
 #[test]
@@ -115,7 +115,7 @@
     assert_eq!(byes(&mut w, client), 0, "a process may be restarting its listener");
     w.link(0);
     assert_eq!(byes(&mut w, client), 1);
-    assert_eq!(w.edge.held()[1], 0);
+    assert_eq!(w.edge.gauges()[1], 0);
 }
 
 #[test]
@@ -123,14 +123,14 @@
     let (mut w, link, client) = with_a_call();
     w.lose(link, Loss::Broken);
     let again = w.link(0);
-    assert_eq!((byes(&mut w, client), w.edge.held()[1]), (0, 1));
+    assert_eq!((byes(&mut w, client), w.edge.gauges()[1]), (0, 1));
     // And the process that has no room for another connection, but speaks on this one, is there.
     w.bytes(client, [invite(2, 0), invite(3, 0)].concat().as_bytes());
     for _ in 0..60 {
         w.say(again, STATE);
         pass_with_dials(&mut w, 0.1, Loss::Refused);
     }
-    assert_eq!((byes(&mut w, client), w.edge.held()[1]), (0, 1));
+    assert_eq!((byes(&mut w, client), w.edge.gauges()[1]), (0, 1));
 }
 
 /// What a front knows at its start names a server, says that it was removed, and names its successor at its address.
@@ -206,7 +206,7 @@
     let client = w.client();
     w.bytes(client, invite_with(1, "X-Setup-Ms: 3000\r\nX-Route: at:s0\r\n", "x").as_bytes());
     assert_eq!(byes(&mut w, client), 1);
-    assert_eq!(w.edge.held()[1], 0);
+    assert_eq!(w.edge.gauges()[1], 0);
     // Also where the list does not name its server yet.
     w.bytes(client, invite_with(2, "X-Setup-Ms: 3000\r\nX-Route: at:s9\r\n", "x").as_bytes());
     assert_eq!(byes(&mut w, client), 0);
