--- a/crates/platform-service/src/lib.rs
+++ b/crates/platform-service/src/lib.rs
@@ -2,8 +2,8 @@
 //! mailbox; it writes without blocking and decides nothing.
 
 mod owner;
-mod places;
 mod readers;
 mod service;
+mod slots;
 
 pub use service::{use_single_worker, Service};
--- a/crates/platform-service/src/owner.rs
+++ b/crates/platform-service/src/owner.rs
@@ -1,7 +1,7 @@
 //! The coroutine that owns the core: events in, polls, outputs out.
 
-use crate::places::Places;
 use crate::readers;
+use crate::slots::ConnectionSlots;
 use shalespindle_platform::{
     ConnectionId, Edge, LogLevel, LogRecord, Loss, Output, StartFile, UNCOUNTED_CONNECTIONS,
 };
@@ -11,19 +11,19 @@
 use tracing::{debug, info};
 
 /// The longest time that the core's turn is put off while more and more comes.
-const INTAKE: f64 = 0.02;
+const MAX_INTAKE: f64 = 0.02;
 /// What the scheduler gets to look at its sockets where something lies unread.
-const LOOK: Duration = Duration::from_millis(1);
+const SOCKET_CHECK: Duration = Duration::from_millis(1);
 /// Bytes that may wait for a peer that does not read.
-const BACKLOG: usize = 256 * 1024;
+const MAX_BACKLOG: usize = 256 * 1024;
 /// Wait before another try to write what waits.
-const AGAIN: f64 = 0.005;
+const WRITE_RETRY: f64 = 0.005;
 /// What readers get to read what came while the process stood still.
-const SETTLE: Duration = Duration::from_millis(5);
+const SETTLE_TIME: Duration = Duration::from_millis(5);
 /// A connection that is closed in order waits so long for its peer to read what was written, seconds.
-const LINGERS: f64 = 3.0;
+const LINGER: f64 = 3.0;
 /// Time between two lines of counters in the log.
-const COUNTERS: f64 = 5.0;
+const COUNTERS_INTERVAL: f64 = 5.0;
 
 /// What reaches the owner.
 pub(crate) enum OwnerEvent {
@@ -56,10 +56,10 @@
     mail: Mail<OwnerEvent>,
     peers: BTreeMap<ConnectionId, Peer>,
     dialled: BTreeSet<ConnectionId>,
-    places: Places,
-    counted_at: f64,
+    slots: ConnectionSlots,
+    counters_logged_at: f64,
     /// The longest time that the owner was late since the last line of counters.
-    late: f64,
+    max_lateness: f64,
 }
 
 impl Owner {
@@ -68,36 +68,46 @@
         ground: Ground,
         mailbox: Mailbox<OwnerEvent>,
         mail: Mail<OwnerEvent>,
-        places: Places,
+        slots: ConnectionSlots,
     ) -> Owner {
         let (peers, dialled) = Default::default();
-        Owner { edge, ground, mailbox, mail, peers, dialled, places, counted_at: 0.0, late: 0.0 }
+        Owner {
+            edge,
+            ground,
+            mailbox,
+            mail,
+            peers,
+            dialled,
+            slots,
+            counters_logged_at: 0.0,
+            max_lateness: 0.0,
+        }
     }
 
     /// Runs until the end that was asked for.
     pub fn run(mut self) {
         loop {
             let blocked = self.peers.values().any(|p| !p.waiting.is_empty());
-            let again = if blocked { self.ground.now() + AGAIN } else { f64::INFINITY };
+            let again = if blocked { self.ground.now() + WRITE_RETRY } else { f64::INFINITY };
             let due = self.edge.wake_at().min(again);
             let next = self.mail.next_within(self.ground.until(due));
             if self.ground.just_went_on() {
                 // Guards rule 3 and callers' patience: all that came meanwhile is known before it decides.
-                may::coroutine::sleep(SETTLE);
+                may::coroutine::sleep(SETTLE_TIME);
             }
             let now = self.ground.now();
             if next.is_none() && due.is_finite() {
-                self.late = self.late.max(now - due);
+                self.max_lateness = self.max_lateness.max(now - due);
             }
-            self.take_in(next);
+            self.receive_events(next);
             let now = self.ground.now();
             self.edge.poll(now);
-            self.places.set_most(self.edge.max_clients() + UNCOUNTED_CONNECTIONS);
+            self.slots.set_max(self.edge.max_clients() + UNCOUNTED_CONNECTIONS);
             if blocked {
-                self.write_on();
+                self.flush_waiting();
             }
-            self.carry();
-            self.count(now);
+            self.execute_outputs();
+            self.log_counters(now);
             // Guards answers that a caller has not made room for yet: they are written, and not only decided, before the end.
             let blocked = self.peers.values().any(|p| !p.waiting.is_empty());
             if self.edge.is_done(now) && (!blocked || self.edge.is_overdue(now)) {
@@ -109,12 +119,12 @@
     /// Takes in all that has come. Guards attaches whose callers have closed or cancelled, and servers that the list
     /// has taken out: what was said before the core's turn must not lie behind it, neither in the mailbox, nor with a
     /// reader that waits for room in it, nor unread in a socket.
-    fn take_in(&mut self, first: Option<OwnerEvent>) {
-        let until = self.ground.now() + INTAKE;
+    fn receive_events(&mut self, first: Option<OwnerEvent>) {
+        let until = self.ground.now() + MAX_INTAKE;
         let mut next = first;
         loop {
             while let Some(event) = next {
-                self.take(event);
+                self.handle_event(event);
                 next = if self.ground.now() < until { self.mail.try_next() } else { None };
             }
             // Readers that were woken or wait for room run now; the owner goes on behind them, on their worker.
@@ -124,20 +134,20 @@
             }
             next = self.mail.try_next();
             if next.is_none() {
-                if !self.lies_unread() {
+                if !self.has_unread_input() {
                     return;
                 }
-                may::coroutine::sleep(LOOK);
+                may::coroutine::sleep(SOCKET_CHECK);
             }
         }
     }
 
-    fn lies_unread(&self) -> bool {
+    fn has_unread_input(&self) -> bool {
         let unread = |connection| self.peers.get(connection).is_some_and(|p| p.writing.has_unread());
         self.edge.connections_to_read_first(self.ground.now()).iter().any(unread)
     }
 
-    fn take(&mut self, event: OwnerEvent) {
+    fn handle_event(&mut self, event: OwnerEvent) {
         let now = self.ground.now();
         match event {
             OwnerEvent::Accepted { connection, writing } => {
@@ -152,7 +162,7 @@
             }
             OwnerEvent::Bytes { arrived, connection, bytes } => {
                 if self.peers.contains_key(&connection) {
-                    self.late = self.late.max(now - arrived);
+                    self.max_lateness = self.max_lateness.max(now - arrived);
                     self.edge.bytes(now, arrived, connection, &bytes);
                 }
             }
@@ -167,13 +177,13 @@
         }
     }
 
-    fn carry(&mut self) {
+    fn execute_outputs(&mut self) {
         while let Some(output) = self.edge.next_output() {
             match output {
-                Output::Dial { connection, to, within } => {
+                Output::Dial { connection, to, timeout } => {
                     self.dialled.insert(connection);
-                    let within = Duration::from_secs_f64(within);
-                    readers::dial(connection, to, within, &self.mailbox, &self.ground);
+                    let timeout = Duration::from_secs_f64(timeout);
+                    readers::dial(connection, to, timeout, &self.mailbox, &self.ground);
                 }
                 Output::Write { connection, bytes } => self.write(connection, &bytes),
                 Output::Close { connection, reset } => {
@@ -191,7 +201,7 @@
         if reset || peer.waiting.is_empty() {
             return peer.writing.close(reset);
         }
-        peer.closes_at = Some(self.ground.now() + LINGERS);
+        peer.closes_at = Some(self.ground.now() + LINGER);
         self.peers.insert(connection, peer);
     }
 
@@ -209,20 +219,20 @@
             // Its reader reports the loss.
             Err(_) => return,
         }
-        if peer.waiting.len() > BACKLOG {
+        if peer.waiting.len() > MAX_BACKLOG {
             // Guards memory against peers that ask and never read.
-            self.shut(connection);
+            self.abort(connection);
         }
     }
 
     /// Writes on what waited.
-    fn write_on(&mut self) {
+    fn flush_waiting(&mut self) {
         let now = self.ground.now();
         // Guards set-ups of which only a part has left: their callers may have gone by what lies unread.
-        let links_wait = self.lies_unread();
+        let holds_links = self.has_unread_input();
         let (mut lost, mut closed) = (Vec::new(), Vec::new());
         for (connection, peer) in self.peers.iter_mut().filter(|p| !p.1.waiting.is_empty()) {
-            if links_wait && self.edge.is_link(*connection) {
+            if holds_links && self.edge.is_link(*connection) {
                 continue;
             }
             match peer.writing.write_some(&peer.waiting) {
@@ -243,25 +253,25 @@
                 peer.writing.close(!peer.waiting.is_empty());
             }
         }
-        lost.into_iter().for_each(|connection| self.shut(connection));
+        lost.into_iter().for_each(|connection| self.abort(connection));
     }
 
-    fn shut(&mut self, connection: ConnectionId) {
+    fn abort(&mut self, connection: ConnectionId) {
         if let Some(peer) = self.peers.remove(&connection) {
             peer.writing.close(true);
             self.edge.lost(self.ground.now(), connection, Loss::Broken);
         }
     }
 
-    fn count(&mut self, now: f64) {
-        if now - self.counted_at < COUNTERS {
+    fn log_counters(&mut self, now: f64) {
+        if now - self.counters_logged_at < COUNTERS_INTERVAL {
             return;
         }
-        self.counted_at = now;
-        let [in_hand, standing, clients, links] = self.edge.gauges();
-        let late_ms = (std::mem::take(&mut self.late) * 1000.0).round();
+        self.counters_logged_at = now;
+        let [pending, established, clients, links] = self.edge.gauges();
+        let late_ms = (std::mem::take(&mut self.max_lateness) * 1000.0).round();
         let counters = self.edge.counters();
-        info!(target: "shalespindle::platform", in_hand, standing, clients, links, late_ms, ?counters, "counters");
+        info!(target: "shalespindle::platform", in_hand = pending, standing = established, clients, links, late_ms, ?counters, "counters");
     }
 }
 
--- a/crates/platform-service/src/readers.rs
+++ b/crates/platform-service/src/readers.rs
@@ -1,7 +1,7 @@
 //! Coroutines that accept, dial and read.
 
 use crate::owner::OwnerEvent;
-use crate::places::Places;
+use crate::slots::ConnectionSlots;
 use may::net::{TcpListener, TcpStream};
 use shalespindle_platform::{ConnectionId, Loss};
 use shalespindle_sockets::{read_all, share, start, Ground, Handle, Mailbox, SMALL_STACK};
@@ -10,42 +10,42 @@
 use std::time::Duration;
 
 /// Bytes read at once: most messages are far shorter, and every connection has such a buffer.
-const READ: usize = 4 * 1024;
+const READ_SIZE: usize = 4 * 1024;
 /// Wait where a connection cannot be accepted: callers hold all that they may, or the system has none left.
-const NO_PLACE: Duration = Duration::from_millis(5);
+const ACCEPT_RETRY: Duration = Duration::from_millis(5);
 
 pub(crate) fn accept(
     listener: TcpListener,
     mailbox: Mailbox<OwnerEvent>,
     ground: Ground,
-    places: Places,
+    slots: ConnectionSlots,
 ) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
         let mut last: ConnectionId = 0;
         loop {
-            if places.are_full() {
-                may::coroutine::sleep(NO_PLACE);
+            if slots.are_full() {
+                may::coroutine::sleep(ACCEPT_RETRY);
                 continue;
             }
             let Ok((stream, _)) = listener.accept() else {
-                may::coroutine::sleep(NO_PLACE);
+                may::coroutine::sleep(ACCEPT_RETRY);
                 continue;
             };
-            let place = places.take();
+            let slot = slots.take();
             last += 2;
             // A socket that has ended already says so to its reader.
             let _ = stream.set_nodelay(true);
             let connection = last;
-            let (mailbox_of, ground) = (mailbox.clone(), ground.clone());
+            let (reader_mailbox, ground) = (mailbox.clone(), ground.clone());
             let (mut reading, writing) = share(stream);
             if mailbox.send(OwnerEvent::Accepted { connection, writing }).is_err() {
                 return;
             }
             let started = start(SMALL_STACK, move || {
-                read(&mut reading, connection, &mailbox_of, &ground);
+                read(&mut reading, connection, &reader_mailbox, &ground);
                 drop(reading);
-                drop(place);
-                let _ = mailbox_of.send(OwnerEvent::Lost { connection, loss: Loss::Broken });
+                drop(slot);
+                let _ = reader_mailbox.send(OwnerEvent::Lost { connection, loss: Loss::Broken });
             });
             if started.is_err() {
                 let _ = mailbox.send(OwnerEvent::Lost { connection, loss: Loss::Broken });
@@ -60,7 +60,7 @@
     mailbox: &Mailbox<OwnerEvent>,
     ground: &Ground,
 ) {
-    read_all(reading, READ, |bytes| {
+    read_all(reading, READ_SIZE, |bytes| {
         mailbox.send(OwnerEvent::Bytes { arrived: ground.arrival(), connection, bytes }).is_ok()
     });
 }
@@ -69,26 +69,26 @@
 pub(crate) fn dial(
     connection: ConnectionId,
     to: SocketAddr,
-    within: Duration,
+    timeout: Duration,
     mailbox: &Mailbox<OwnerEvent>,
     ground: &Ground,
 ) {
-    let (own, ground) = (mailbox.clone(), ground.clone());
+    let (mailbox_of_dial, ground) = (mailbox.clone(), ground.clone());
     let started = start(SMALL_STACK, move || {
-        let loss = match TcpStream::connect_timeout(&to, within) {
+        let loss = match TcpStream::connect_timeout(&to, timeout) {
             Ok(stream) => {
                 let _ = stream.set_nodelay(true);
                 let (mut reading, writing) = share(stream);
-                if own.send(OwnerEvent::Connected { connection, writing }).is_err() {
+                if mailbox_of_dial.send(OwnerEvent::Connected { connection, writing }).is_err() {
                     return;
                 }
-                read(&mut reading, connection, &own, &ground);
+                read(&mut reading, connection, &mailbox_of_dial, &ground);
                 Loss::Broken
             }
             Err(why) if why.kind() == io::ErrorKind::ConnectionRefused => Loss::Refused,
             Err(_) => Loss::Broken,
         };
-        let _ = own.send(OwnerEvent::Lost { connection, loss });
+        let _ = mailbox_of_dial.send(OwnerEvent::Lost { connection, loss });
     });
     if started.is_err() {
         let _ = mailbox.send_urgent(OwnerEvent::Lost { connection, loss: Loss::Broken });
--- a/crates/platform-service/src/service.rs
+++ b/crates/platform-service/src/service.rs
@@ -1,8 +1,8 @@
 //! A live front: its sockets, its coroutines, and the handle that asks it for things.
 
 use crate::owner::{Owner, OwnerEvent};
-use crate::places::Places;
 use crate::readers;
+use crate::slots::ConnectionSlots;
 use may::net::TcpListener;
 use shalespindle_platform::{Edge, StartFile, UNCOUNTED_CONNECTIONS};
 use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mailbox, LARGE_STACK};
@@ -12,11 +12,11 @@
 use tracing::warn;
 
 /// Letters that may wait for the owner; each holds one read at most.
-const ROOM: usize = 256;
+const MAILBOX_CAPACITY: usize = 256;
 
 /// An address that is taken is asked for again for so long, and so often.
-const TAKEN_FOR: Duration = Duration::from_secs(5);
-const BIND_AGAIN: Duration = Duration::from_millis(20);
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
+const BIND_RETRY: Duration = Duration::from_millis(20);
 
 /// Fits the coroutines' scheduler to a machine of one core. Called once, before the first coroutine.
 pub fn use_single_worker() {
@@ -40,10 +40,10 @@
         let edge = Edge::new(file, ground.now(), unix.as_secs_f64()).map_err(io::Error::other)?;
         let listener = bind(listen)?;
         let address = listener.local_addr()?;
-        let (mailbox, mail) = mailbox(ROOM);
-        let places = Places::new(edge.max_clients() + UNCOUNTED_CONNECTIONS);
-        let accepting = readers::accept(listener, mailbox.clone(), ground.clone(), places.clone())?;
-        let owner = Owner::new(edge, ground, mailbox.clone(), mail, places);
+        let (mailbox, mail) = mailbox(MAILBOX_CAPACITY);
+        let slots = ConnectionSlots::new(edge.max_clients() + UNCOUNTED_CONNECTIONS);
+        let accepting = readers::accept(listener, mailbox.clone(), ground.clone(), slots.clone())?;
+        let owner = Owner::new(edge, ground, mailbox.clone(), mail, slots);
         let owner = start(LARGE_STACK, move || owner.run())?;
         Ok(Service { address, mailbox, accepting: Some(accepting), owner: Some(owner) })
     }
@@ -72,9 +72,9 @@
     let begin = Instant::now();
     loop {
         match TcpListener::bind(listen) {
-            Err(why) if why.kind() == io::ErrorKind::AddrInUse && begin.elapsed() < TAKEN_FOR => {
+            Err(why) if why.kind() == io::ErrorKind::AddrInUse && begin.elapsed() < BIND_TIMEOUT => {
                 warn!(target: "shalespindle::platform", %listen, %why, "asked for again");
-                std::thread::sleep(BIND_AGAIN);
+                std::thread::sleep(BIND_RETRY);
             }
             bound => return bound,
         }
--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -26,7 +26,7 @@
 }
 
 /// A call that stands.
-pub struct Stands {
+pub struct EstablishedCall {
     pub pool: PoolId,
     /// The link of its set-up: its server says its end there. None for a call that was handed over.
     pub link: Option<ConnectionId>,
@@ -36,7 +36,7 @@
 
 pub enum CallState {
     Pending(Box<PendingCall>),
-    Stands(Stands),
+    Established(EstablishedCall),
 }
 
 pub struct Call {
@@ -53,7 +53,7 @@
     by_id: HashMap<u64, usize>,
     by_ue: HashMap<UeId, usize>,
     next_ue: UeId,
-    in_hand: usize,
+    pending_count: usize,
     /// Bytes of the descriptions held.
     bytes: usize,
 }
@@ -64,7 +64,7 @@
         self.next_ue = self.next_ue.wrapping_add(1);
         let ue = self.next_ue;
         if let CallState::Pending(pending) = &state {
-            self.in_hand += 1;
+            self.pending_count += 1;
             self.bytes += pending.description.len();
         }
         let key = self.slab.insert(Call { id, ue, client, state });
@@ -78,20 +78,21 @@
         let call = self.slab.remove(key);
         self.by_id.remove(&call.id);
         if let CallState::Pending(pending) = &call.state {
-            self.in_hand -= 1;
+            self.pending_count -= 1;
             self.bytes -= pending.description.len();
         }
         Some(call)
     }
 
     /// The attach's call stands from now on.
-    pub fn stands(&mut self, ue: UeId, pool: PoolId, link: ConnectionId) {
+    pub fn establish(&mut self, ue: UeId, pool: PoolId, link: ConnectionId) {
         let Some(&key) = self.by_ue.get(&ue) else { return };
         if let CallState::Pending(pending) = &self.slab[key].state {
-            self.in_hand -= 1;
+            self.pending_count -= 1;
             self.bytes -= pending.description.len();
         }
-        self.slab[key].state = CallState::Stands(Stands { pool, link: Some(link), confirmed: false });
+        self.slab[key].state =
+            CallState::Established(EstablishedCall { pool, link: Some(link), confirmed: false });
     }
 
     pub fn by_id(&mut self, id: u64) -> Option<&mut Call> {
@@ -107,7 +108,7 @@
         let call = self.by_ue(ue)?;
         match &mut call.state {
             CallState::Pending(pending) => Some((call.id, call.client, pending)),
-            CallState::Stands(_) => None,
+            CallState::Established(_) => None,
         }
     }
 
@@ -130,39 +131,39 @@
     pub fn link_of_try(&self, ue: UeId) -> Option<ConnectionId> {
         match &self.slab[*self.by_ue.get(&ue)?].state {
             CallState::Pending(pending) => pending.out.as_ref()?.link,
-            CallState::Stands(_) => None,
+            CallState::Established(_) => None,
         }
     }
 
     /// Those that stand at a pool, in the order of their places.
     pub fn standing_at(&self, pool: PoolId) -> Vec<UeId> {
-        let there = |c: &Call| matches!(&c.state, CallState::Stands(s) if s.pool == pool);
+        let there = |c: &Call| matches!(&c.state, CallState::Established(s) if s.pool == pool);
         self.slab.iter().filter(|(_, c)| there(c)).map(|(_, c)| c.ue).collect()
     }
 
     /// Whether any stands whose set-up came on a connection like that.
     pub fn any_standing(&self, is_meant: impl Fn(ConnectionId) -> bool) -> bool {
-        self.slab.iter().any(|(_, c)| matches!(c.state, CallState::Stands(_)) && is_meant(c.client))
+        self.slab.iter().any(|(_, c)| matches!(c.state, CallState::Established(_)) && is_meant(c.client))
     }
 
     /// The links of the set-ups of those that stand at a pool.
     pub fn links_of_standing_at(&self, pool: PoolId) -> BTreeSet<ConnectionId> {
         let link = |c: &Call| match &c.state {
-            CallState::Stands(stands) if stands.pool == pool => stands.link,
+            CallState::Established(established) if established.pool == pool => established.link,
             _ => None,
         };
         self.slab.iter().filter_map(|(_, c)| link(c)).collect()
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.in_hand
+    pub fn pending_count(&self) -> usize {
+        self.pending_count
     }
 
-    pub fn standing(&self) -> usize {
-        self.slab.len() - self.in_hand
+    pub fn established_count(&self) -> usize {
+        self.slab.len() - self.pending_count
     }
 
-    pub fn bytes(&self) -> usize {
+    pub fn description_bytes(&self) -> usize {
         self.bytes
     }
 }
--- a/crates/platform/src/early.rs
+++ b/crates/platform/src/early.rs
@@ -7,34 +7,34 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Ids remembered; past that the oldest is forgotten.
-const MOST: usize = 1024;
+const MAX_IDS: usize = 1024;
 
 /// Ids of such calls. An id is never used twice, so one that is not asked for any more is only forgotten.
 #[derive(Default)]
 pub struct EarlyIds {
-    until: HashMap<u64, f64>,
+    expires_at: HashMap<u64, f64>,
     /// The same in the order in which they came.
     order: VecDeque<u64>,
 }
 
 impl EarlyIds {
     /// Remembers one for that long.
-    pub fn add(&mut self, now: f64, id: u64, longest: f64) {
+    pub fn add(&mut self, now: f64, id: u64, lifetime: f64) {
         while let Some(oldest) = self.order.front() {
-            let over = self.until.get(oldest).is_none_or(|until| *until <= now);
-            if !over && self.order.len() < MOST {
+            let expired = self.expires_at.get(oldest).is_none_or(|expires_at| *expires_at <= now);
+            if !expired && self.order.len() < MAX_IDS {
                 break;
             }
-            self.order.pop_front().map(|oldest| self.until.remove(&oldest));
+            self.order.pop_front().map(|oldest| self.expires_at.remove(&oldest));
         }
-        if self.until.insert(id, now + longest).is_none() {
+        if self.expires_at.insert(id, now + lifetime).is_none() {
             self.order.push_back(id);
         }
     }
 
     /// Whether the end of that call has been read already; it is asked once.
     pub fn take(&mut self, now: f64, id: u64) -> bool {
-        self.until.remove(&id).is_some_and(|until| now < until)
+        self.expires_at.remove(&id).is_some_and(|expires_at| now < expires_at)
     }
 }
 
--- a/crates/platform/src/early_tests.rs
+++ b/crates/platform/src/early_tests.rs
@@ -9,12 +9,12 @@
     assert!(!early.take(19.0, 2), "its caller has long stopped waiting");
     for id in 0..10_000 {
         early.add(20.0, id, 9.0);
-        assert!(early.order.len() <= MOST && early.until.len() <= MOST);
+        assert!(early.order.len() <= MAX_IDS && early.expires_at.len() <= MAX_IDS);
     }
     assert!(early.take(20.0, 9_999) && !early.take(20.0, 0));
     // The same one again and again takes one place.
     for _ in 0..10 {
         early.add(30.0, 5, 9.0);
     }
-    assert_eq!((early.order.len(), early.until.len()), (1, 1));
+    assert_eq!((early.order.len(), early.expires_at.len()), (1, 1));
 }
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -4,14 +4,14 @@
 use crate::calls::{CallState, Calls, Try};
 use crate::client_connection::{ClientConnection, ClientConnections};
 use crate::early::EarlyIds;
-use crate::feed::{Event, Feed, DIAL_WITHIN};
-use crate::file::StartFile;
-use crate::handover::Handed;
+use crate::feed::{Event, Feed, DIAL_TIMEOUT};
+use crate::handover::UnresolvedHandover;
 use crate::lines;
 use crate::link::{LinkState, Phase, Servers};
 use crate::log::{call_subject, LogRecord};
 use crate::releases::Releases;
 use crate::sip;
+use crate::start_file::StartFile;
 use shalespindle_control::control::Control;
 use shalespindle_control::interface::{Decision, EndReason, PoolId, Report, UeId};
 use shalespindle_control::liveness::ProbeMethod;
@@ -37,7 +37,7 @@
     Dial {
         connection: ConnectionId,
         to: SocketAddr,
-        within: f64,
+        timeout: f64,
     },
     Write {
         connection: ConnectionId,
@@ -91,45 +91,45 @@
 }
 
 /// What falls due.
-pub(crate) enum Due {
+pub(crate) enum TimerEvent {
     Wake,
     /// A setup try's time is up.
-    Try(UeId, u32),
+    TryTimeout(UeId, u32),
     /// So long may a setup try wait for a link.
-    Waited(UeId, u32),
+    LinkWaitTimeout(UeId, u32),
     /// A link must be up by now.
-    Link(ConnectionId),
+    LinkTimeout(ConnectionId),
     /// A link that is made and still silent is asked for a word.
-    Silent(ConnectionId),
+    LinkSilent(ConnectionId),
     /// Another dial to that server.
-    Dial(PoolId),
+    Redial(PoolId),
     /// What stands at a server that was removed is over.
-    Gone(PoolId),
+    RemovalGraceOver(PoolId),
     /// An ending front answers what is still in hand.
-    LastAnswers,
+    AnswerAllPending,
     /// Callers' connections that were to be closed have been read to their end.
-    Close,
+    CloseMarked,
     Sweep,
 }
 
 /// Time between two looks at what may be overdue.
-const SWEEP: f64 = 0.1;
+const SWEEP_INTERVAL: f64 = 0.1;
 /// A platform's time limits are longer by this on sockets; the guard is kept by that much longer too.
 const SOCKET_SLACK: f64 = 0.05;
 /// Part of the memory limit that descriptions in hand may fill.
-const HELD_PART: f64 = 0.125;
+const DESCRIPTION_MEMORY_SHARE: f64 = 0.125;
 
 pub struct Edge {
     pub(crate) control: Control,
-    pub(crate) reading: ReportLayout,
+    pub(crate) report_layout: ReportLayout,
     /// Names of the procedures and the longest time that a caller of each may wait.
     pub(crate) procedures: Vec<(String, f64)>,
-    pub(crate) most_held: usize,
-    pub(crate) most_bytes: usize,
-    pub(crate) most_sockets: usize,
-    pub(crate) dial_within: f64,
+    pub(crate) max_pending: usize,
+    pub(crate) max_description_bytes: usize,
+    pub(crate) max_sockets: usize,
+    pub(crate) dial_timeout: f64,
     /// Unix time of the clock's zero, seconds.
-    pub(crate) zero: f64,
+    pub(crate) clock_epoch: f64,
     pub(crate) calls: Calls,
     pub(crate) clients: ClientConnections,
     pub(crate) releases: Releases,
@@ -139,19 +139,19 @@
     /// Callers' connections to close once all that has come on them is read.
     pub(crate) closing: BTreeSet<ConnectionId>,
     /// When a caller's connection was last there.
-    pub(crate) clients_at: f64,
+    pub(crate) last_client_seen_at: f64,
     pub(crate) servers: Servers,
     pub(crate) feed: Feed,
-    pub(crate) timers: Timers<Due>,
-    pub(crate) out: VecDeque<Output>,
+    pub(crate) timers: Timers<TimerEvent>,
+    pub(crate) outputs: VecDeque<Output>,
     pub(crate) counters: Counters,
     /// Calls handed over whose server is not known yet.
-    pub(crate) handed: Vec<Handed>,
-    pub(crate) ending: Option<f64>,
+    pub(crate) unresolved_handovers: Vec<UnresolvedHandover>,
+    pub(crate) shutdown_since: Option<f64>,
     /// Servers that have a link again: what waits for one goes out in the front's next turn.
-    pub(crate) linked: Vec<PoolId>,
+    pub(crate) newly_linked: Vec<PoolId>,
     last_connection_id: ConnectionId,
-    last_test: u64,
+    last_probe_id: u64,
 }
 
 impl Edge {
@@ -162,47 +162,47 @@
         let mut deployment = startup.deployment;
         deployment.release_guard += SOCKET_SLACK;
         let longest = deployment.procedures.iter().map(|p| p.t_timer);
-        let asking = if deployment.may_probe { ProbeMethod::Test } else { ProbeMethod::Dial };
+        let probe_method = if deployment.may_probe { ProbeMethod::Test } else { ProbeMethod::Dial };
         let procedures = startup.host.procedure_names.into_iter().zip(longest).collect();
         let mut edge = Edge {
             control: Control::new(file.seed, deployment, now),
-            reading: startup.report_layout,
+            report_layout: startup.report_layout,
             procedures,
-            most_held: startup.host.max_pending_attaches,
-            most_bytes: (file.limits.memory_mb * 1e6 * HELD_PART) as usize,
-            most_sockets: file.limits.sockets,
-            dial_within: startup.host.connect_timeout,
-            zero: unix - now,
+            max_pending: startup.host.max_pending_attaches,
+            max_description_bytes: (file.limits.memory_mb * 1e6 * DESCRIPTION_MEMORY_SHARE) as usize,
+            max_sockets: file.limits.sockets,
+            dial_timeout: startup.host.connect_timeout,
+            clock_epoch: unix - now,
             calls: Calls::default(),
             clients: ClientConnections::default(),
             releases: Releases::default(),
             early_cancels: EarlyIds::default(),
             early_releases: EarlyIds::default(),
             closing: BTreeSet::new(),
-            clients_at: now,
-            servers: Servers::new(asking),
+            last_client_seen_at: now,
+            servers: Servers::new(probe_method),
             feed: Feed::new(file.feed, now),
             timers: Timers::default(),
-            out: VecDeque::new(),
+            outputs: VecDeque::new(),
             counters: Counters::default(),
-            handed: Vec::new(),
-            ending: None,
-            linked: Vec::new(),
+            unresolved_handovers: Vec::new(),
+            shutdown_since: None,
+            newly_linked: Vec::new(),
             last_connection_id: 1,
-            last_test: file.seed,
+            last_probe_id: file.seed,
         };
-        edge.know(now, file.known.n, file.known.events);
-        edge.timers.set(now + SWEEP, Due::Sweep);
+        edge.apply_known_events(now, file.known.n, file.known.events);
+        edge.timers.set(now + SWEEP_INTERVAL, TimerEvent::Sweep);
         Ok(edge)
     }
 
     /// Events that a file brings along, and the number that the feed goes on from.
-    fn know(&mut self, now: f64, n: u64, events: Vec<Event>) {
-        let taken = self.feed.taken;
-        for event in events.into_iter().filter(|e| e.n > taken) {
-            self.listed(now, event);
+    fn apply_known_events(&mut self, now: f64, n: u64, events: Vec<Event>) {
+        let last_event = self.feed.last_event;
+        for event in events.into_iter().filter(|e| e.n > last_event) {
+            self.list_event(now, event);
         }
-        self.feed.taken = self.feed.taken.max(n);
+        self.feed.last_event = self.feed.last_event.max(n);
     }
 
     // ---- what the host tells ----
@@ -216,10 +216,14 @@
     pub fn connected(&mut self, now: f64, connection: ConnectionId) {
         if self.feed.connection == Some(connection) {
             let bytes = self.feed.connected(now);
-            self.log_info("feed connected", self.feed.to, format!("after event {}", self.feed.taken));
-            self.out.push_back(Output::Write { connection, bytes });
+            self.log_info(
+                "feed connected",
+                self.feed.address,
+                format!("after event {}", self.feed.last_event),
+            );
+            self.outputs.push_back(Output::Write { connection, bytes });
         } else {
-            self.link_made(now, connection);
+            self.link_connected(now, connection);
         }
     }
 
@@ -227,17 +231,17 @@
     pub fn lost(&mut self, now: f64, connection: ConnectionId, loss: Loss) {
         if self.feed.connection == Some(connection) {
             if self.feed.is_up() {
-                self.log_info("feed lost", self.feed.to, "connection ended");
+                self.log_info("feed lost", self.feed.address, "connection ended");
             }
             self.feed.lost(now);
         } else if self.clients.all.contains_key(&connection) {
-            self.client_lost(now, connection);
+            self.client_connection_lost(now, connection);
         } else {
             let pool =
                 self.servers.links.get(&connection).filter(|l| l.state == LinkState::Up).map(|l| l.pool);
             self.link_lost(now, connection, loss);
             if let Some(pool) = pool {
-                self.ask_other_links(now, pool);
+                self.probe_other_links(now, pool);
             }
         }
     }
@@ -249,14 +253,14 @@
         } else if self.servers.links.contains_key(&connection) {
             self.link_bytes(now, connection, bytes);
         } else if self.feed.connection == Some(connection) {
-            let mut news = Vec::new();
-            let good = self.feed.bytes(now, bytes, &mut news);
-            for event in news {
-                self.listed(now, event);
+            let mut events = Vec::new();
+            let usable = self.feed.bytes(now, bytes, &mut events);
+            for event in events {
+                self.list_event(now, event);
             }
-            if !good {
-                self.log_info("feed left", self.feed.to, "a gap, or what cannot be read");
-                self.out.push_back(Output::Close { connection, reset: false });
+            if !usable {
+                self.log_info("feed left", self.feed.address, "a gap, or what cannot be read");
+                self.outputs.push_back(Output::Close { connection, reset: false });
                 self.feed.lost(now);
             }
         }
@@ -266,22 +270,22 @@
     pub fn reconfigured(&mut self, now: f64, file: StartFile) {
         self.log_info("configuration taken", file.feed, format!("known to {}", file.known.n));
         // Only what follows without a gap, or begins anew with the whole list, may be taken from the file.
-        let first = file.known.events.iter().map(|e| e.n).find(|n| *n > self.feed.taken);
-        if first == Some(self.feed.taken + 1) {
-            self.know(now, file.known.n, file.known.events);
+        let first = file.known.events.iter().map(|e| e.n).find(|n| *n > self.feed.last_event);
+        if first == Some(self.feed.last_event + 1) {
+            self.apply_known_events(now, file.known.n, file.known.events);
         }
-        self.feed.moved(now, file.feed);
+        self.feed.address_changed(now, file.feed);
     }
 
     // ---- what it does ----
 
     /// When [`Edge::poll`] is due again at the latest.
     pub fn wake_at(&self) -> f64 {
-        self.timers.next().min(self.feed.due())
+        self.timers.next().min(self.feed.wake_at())
     }
 
     pub fn next_output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     pub fn counters(&self) -> Counters {
@@ -290,22 +294,27 @@
 
     /// Attaches in hand, calls standing, callers' connections, links.
     pub fn gauges(&self) -> [usize; 4] {
-        [self.calls.in_hand(), self.calls.standing(), self.clients.all.len(), self.servers.links.len()]
+        [
+            self.calls.pending_count(),
+            self.calls.established_count(),
+            self.clients.all.len(),
+            self.servers.links.len(),
+        ]
     }
 
     /// Connections on which something may have come that changes what is sent next: those of callers whose attaches
     /// may be sent on, and the feed; and those of callers that may be closed, since what has come on them is owed an
     /// answer. None where nothing may be sent or closed.
     pub fn connections_to_read_first(&self, now: f64) -> Vec<ConnectionId> {
-        let all_may_close = self.takes_no_more(now) || self.clients.all.len() > self.max_clients();
+        let all_may_close = self.refuses_new_calls(now) || self.clients.all.len() > self.max_clients();
         // Part of one that is being written to a server that does not read may still wait here.
         let is_blocked = |link| self.servers.links.get(&link).is_some_and(|l| l.blocked);
-        let waits =
+        let is_waiting =
             |ue: &UeId| self.calls.is_unsent(*ue) || self.calls.link_of_try(*ue).is_some_and(is_blocked);
-        let unsent = |d: &ClientConnection| d.open.iter().any(waits);
+        let has_unsent = |d: &ClientConnection| d.open.iter().any(is_waiting);
         let (mut connections, mut sends) = (Vec::new(), false);
         for (connection, client) in &self.clients.all {
-            let is_unsent = unsent(client);
+            let is_unsent = has_unsent(client);
             sends |= is_unsent;
             if is_unsent || all_may_close || self.closing.contains(connection) {
                 connections.push(*connection);
@@ -324,71 +333,71 @@
 
     /// Deals with what is due, then decides and carries out until there is nothing more.
     pub fn poll(&mut self, now: f64) {
-        self.send_waiting(now);
+        self.send_waiting_tries(now);
         while let Some(due) = self.timers.pop(now) {
-            self.due(now, due);
+            self.handle_timer(now, due);
         }
-        if self.feed.asks(now) {
+        if self.feed.should_reconnect(now) {
             if let Some(connection) = self.feed.connection {
-                self.log_info("feed left", self.feed.to, self.feed.why_left());
-                self.out.push_back(Output::Close { connection, reset: false });
+                self.log_info("feed left", self.feed.address, self.feed.close_reason());
+                self.outputs.push_back(Output::Close { connection, reset: false });
             }
             let connection = self.new_connection_id();
-            self.feed.asked(now, connection);
-            self.out.push_back(Output::Dial { connection, to: self.feed.to, within: DIAL_WITHIN });
+            self.feed.dialled(now, connection);
+            self.outputs.push_back(Output::Dial { connection, to: self.feed.address, timeout: DIAL_TIMEOUT });
         }
         while let Some(decision) = self.control.next_decision(now) {
-            self.carry(now, decision);
+            self.execute(now, decision);
         }
-        self.make_room(now);
+        self.evict_clients(now);
     }
 
-    fn due(&mut self, now: f64, due: Due) {
+    fn handle_timer(&mut self, now: f64, due: TimerEvent) {
         match due {
-            Due::Wake => self.control.wake(now),
-            Due::Try(ue, number) => self.try_due(now, ue, number),
-            Due::Waited(ue, number) => {
-                let waits = |t: &Try| t.link.is_none();
+            TimerEvent::Wake => self.control.wake(now),
+            TimerEvent::TryTimeout(ue, number) => self.try_timed_out(now, ue, number),
+            TimerEvent::LinkWaitTimeout(ue, number) => {
+                let is_waiting = |t: &Try| t.link.is_none();
                 let pending = self.calls.pending(ue).map(|c| c.2);
-                if pending.is_some_and(|h| h.tries == number && h.out.as_ref().is_some_and(waits)) {
-                    self.try_over(now, ue, EndReason::Unreached, Report::default());
+                if pending.is_some_and(|h| h.tries == number && h.out.as_ref().is_some_and(is_waiting)) {
+                    self.end_try(now, ue, EndReason::Unreached, Report::default());
                 }
             }
-            Due::Link(connection) => self.link_due(now, connection),
-            Due::Silent(connection) => self.link_silent(now, connection),
-            Due::Dial(pool) => self.dial_due(now, pool),
-            Due::Gone(pool) => self.server_gone(now, pool),
-            Due::LastAnswers => self.last_answers(now),
-            Due::Close => self.close_marked(now),
-            Due::Sweep => {
+            TimerEvent::LinkTimeout(connection) => self.link_timed_out(now, connection),
+            TimerEvent::LinkSilent(connection) => self.new_link_silent(now, connection),
+            TimerEvent::Redial(pool) => self.redial(now, pool),
+            TimerEvent::RemovalGraceOver(pool) => self.removal_expired(now, pool),
+            TimerEvent::AnswerAllPending => self.answer_all_pending(now),
+            TimerEvent::CloseMarked => self.close_marked(now),
+            TimerEvent::Sweep => {
                 self.sweep(now);
-                self.watch_servers(now);
+                self.check_servers(now);
                 if !self.clients.all.is_empty() {
-                    self.clients_at = now;
+                    self.last_client_seen_at = now;
                 }
-                self.timers.set(now + SWEEP, Due::Sweep);
+                self.timers.set(now + SWEEP_INTERVAL, TimerEvent::Sweep);
             }
         }
     }
 
-    fn carry(&mut self, now: f64, decision: Decision) {
+    fn execute(&mut self, now: f64, decision: Decision) {
         match decision {
             Decision::SetUp { ue, pool, timeout } => self.set_up(now, ue, pool, timeout),
             Decision::Cancel { ue, setup_try } => {
                 if self.calls.pending(ue).is_some_and(|c| c.2.out.is_some() && c.2.tries == setup_try + 1) {
-                    self.try_given_up(now, ue, EndReason::Cancelled);
+                    self.abandon_try(now, ue, EndReason::Cancelled);
                 }
             }
             Decision::Refuse { ue, pause } => {
                 self.counters.refused += 1;
-                self.final_answer(now, ue, 503, Some(pause), "no server may take it now");
+                self.send_final_answer(now, ue, 503, Some(pause), "no server may take it now");
             }
             Decision::Abort { ue } => {
                 self.counters.aborted += 1;
-                self.final_answer(now, ue, 504, None, "no time is left for another try");
+                self.send_final_answer(now, ue, 504, None, "no time is left for another try");
             }
-            Decision::Probe { pool } => self.test(now, pool),
-            Decision::Wake { after } => self.timers.set(now + after, Due::Wake),
+            Decision::Probe { pool } => self.probe(now, pool),
+            Decision::Wake { after } => self.timers.set(now + after, TimerEvent::Wake),
         }
     }
 
@@ -398,11 +407,11 @@
         pending.out = Some(Try { pool, link: None, sent_at: now });
         let (number, until) = (pending.tries, (now + timeout).min(pending.gives_up_at));
         self.counters.tries += 1;
-        self.timers.set(until, Due::Try(ue, number));
+        self.timers.set(until, TimerEvent::TryTimeout(ue, number));
         if self.servers.all.get(&pool).is_none_or(|s| s.phase != Phase::Up) {
-            return self.try_over(now, ue, EndReason::Unreached, Report::default());
+            return self.end_try(now, ue, EndReason::Unreached, Report::default());
         }
-        match self.servers.best_link(now, pool, self.dial_within) {
+        match self.servers.best_link(now, pool, self.dial_timeout) {
             Some(connection) => {
                 if !self.servers.links[&connection].open.is_empty() {
                     // The next set-up finds a link of its own: one that is spoilt takes few with it.
@@ -414,7 +423,7 @@
                 if let Some(server) = self.servers.all.get_mut(&pool) {
                     server.waiting.push_back(ue);
                 }
-                self.timers.set(now + self.dial_within, Due::Waited(ue, number));
+                self.timers.set(now + self.dial_timeout, TimerEvent::LinkWaitTimeout(ue, number));
                 self.dial(now, pool);
             }
         }
@@ -431,9 +440,9 @@
             lines::set_up(id, class, &pending.number, pending.gives_up_at - now, &pending.description);
         if let Some(link) = self.servers.links.get_mut(&connection) {
             link.open.push(ue);
-            link.asked(now);
+            link.request_sent(now);
         }
-        self.out.push_back(Output::Write { connection, bytes });
+        self.outputs.push_back(Output::Write { connection, bytes });
         let reason = format!("try {number} at {} on connection {connection}", self.server_name(pool));
         self.log_debug("set-up sent", call_subject(id), reason);
     }
@@ -460,14 +469,14 @@
     }
 
     /// A setup try ended by its server or by its link; the attach is still owed its answer.
-    pub(crate) fn try_over(&mut self, now: f64, ue: UeId, ended: EndReason, report: Report) {
+    pub(crate) fn end_try(&mut self, now: f64, ue: UeId, ended: EndReason, report: Report) {
         let Some(out) = self.take_try(now, ue) else { return };
-        self.count(ended);
-        self.log_try_over(now, ue, &out, ended);
+        self.count_try_end(ended);
+        self.log_try_end(now, ue, &out, ended);
         self.control.try_ended(now, ue, out.pool, ended, false, report);
     }
 
-    fn log_try_over(&mut self, now: f64, ue: UeId, out: &Try, ended: EndReason) {
+    fn log_try_end(&mut self, now: f64, ue: UeId, out: &Try, ended: EndReason) {
         let Some((id, _, pending)) = self.calls.pending(ue) else { return };
         let (number, lasted) = (pending.tries, now - out.sent_at);
         let reason =
@@ -475,7 +484,7 @@
         self.log_info("try over", call_subject(id), reason);
     }
 
-    pub(crate) fn count(&mut self, ended: EndReason) {
+    pub(crate) fn count_try_end(&mut self, ended: EndReason) {
         let counters = &mut self.counters;
         let counter = match ended {
             EndReason::Unreached => &mut counters.unreached,
@@ -490,34 +499,34 @@
     }
 
     /// The front itself ends a setup try: its server is told, so that nothing of it is left there.
-    fn try_given_up(&mut self, now: f64, ue: UeId, ended: EndReason) {
+    fn abandon_try(&mut self, now: f64, ue: UeId, ended: EndReason) {
         let Some((id, _, pending)) = self.calls.pending(ue) else { return };
         let connection = pending.out.as_ref().and_then(|t| t.link);
-        self.try_over(now, ue, ended, Report::default());
+        self.end_try(now, ue, ended, Report::default());
         if let Some(connection) = connection {
-            self.end_try_on(now, connection, id);
+            self.release_try(now, connection, id);
         }
     }
 
-    fn try_due(&mut self, now: f64, ue: UeId, number: u32) {
+    fn try_timed_out(&mut self, now: f64, ue: UeId, number: u32) {
         let Some((_, _, pending)) = self.calls.pending(ue) else { return };
         let Some(out) = pending.out.as_ref().filter(|_| pending.tries == number) else { return };
         let Some(connection) = out.link else {
             // Still waiting for a link: nothing of it has left.
-            return self.try_over(now, ue, EndReason::Unreached, Report::default());
+            return self.end_try(now, ue, EndReason::Unreached, Report::default());
         };
         let sent_at = out.sent_at;
         if let Some(link) = self.servers.links.get_mut(&connection) {
             // Guards against open links to machines that are gone: nothing has come on it since.
-            if link.heard_at < sent_at {
+            if link.last_received_at < sent_at {
                 link.retired = true;
             }
         }
-        self.try_given_up(now, ue, EndReason::TimedOut);
+        self.abandon_try(now, ue, EndReason::TimedOut);
     }
 
     /// The attach's one final answer, other than that its call stands.
-    pub(crate) fn final_answer(
+    pub(crate) fn send_final_answer(
         &mut self,
         now: f64,
         ue: UeId,
@@ -527,13 +536,13 @@
     ) {
         // The module answers only when no try is out; should one be, it must not be left behind.
         if self.calls.pending(ue).is_some_and(|c| c.2.out.is_some()) {
-            self.try_given_up(now, ue, EndReason::Cancelled);
+            self.abandon_try(now, ue, EndReason::Cancelled);
         }
         let Some(call) = self.calls.remove(ue) else { return };
         if let CallState::Pending(pending) = call.state {
-            self.leave_client(now, call.client, ue);
+            self.detach_from_client(now, call.client, ue);
             let bytes = sip::refusal(status, &pending.head, pause);
-            self.out.push_back(Output::Write { connection: call.client, bytes });
+            self.outputs.push_back(Output::Write { connection: call.client, bytes });
             let reason = format!("{status} after {} tries: {reason}", pending.tries);
             self.log_info("attach refused", call_subject(call.id), reason);
         }
@@ -544,8 +553,8 @@
         self.last_connection_id
     }
 
-    pub(crate) fn new_test(&mut self) -> u64 {
-        self.last_test = self.last_test.wrapping_add(1);
-        self.last_test
+    pub(crate) fn new_probe_id(&mut self) -> u64 {
+        self.last_probe_id = self.last_probe_id.wrapping_add(1);
+        self.last_probe_id
     }
 }
--- a/crates/platform/src/handover.rs
+++ b/crates/platform/src/handover.rs
@@ -3,106 +3,116 @@
 //! A server that is gone is in no list; one that is new may be in one that has not come. Which of the two it is shows
 //! when the list has had its time: to tell the caller at once that its call is over would end calls that stand.
 
-use crate::calls::{CallState, Stands};
-use crate::causes::{CLEARED, CUT};
-use crate::client_connection::Use;
+use crate::calls::{CallState, EstablishedCall};
+use crate::causes::{NORMAL_CLEARING, TEMPORARY_FAILURE};
+use crate::client_connection::Usage;
 use crate::edge::{ConnectionId, Edge};
 use crate::log::call_subject;
 use shalespindle_control::interface::PoolId;
 
 /// What the list knows reaches a front that follows it within this.
-const LISTED_WITHIN: f64 = 0.5;
+const FOLLOWED_LIST_TIMEOUT: f64 = 0.5;
 /// And one that does not, when it is asked again; past that the call counts as over with its server.
-const FOUND_WITHIN: f64 = 2.0;
+const UNFOLLOWED_LIST_TIMEOUT: f64 = 2.0;
 
 /// A call whose server is not known.
-pub struct Handed {
+pub struct UnresolvedHandover {
     id: u64,
     client: ConnectionId,
     server: String,
-    until: f64,
+    expires_at: f64,
     /// Its caller has released it meanwhile: its server is told once it is known.
-    released: Option<u16>,
+    released_cause: Option<u16>,
 }
 
 impl Edge {
     /// A call that stands already, set up by another front or by this one before it started.
-    pub(crate) fn handed_over(&mut self, now: f64, client: ConnectionId, id: u64, server: &str) {
-        if self.calls.by_id(id).is_some() || self.handed.iter().any(|h| h.id == id) {
+    pub(crate) fn call_handed_over(&mut self, now: f64, client: ConnectionId, id: u64, server: &str) {
+        if self.calls.by_id(id).is_some() || self.unresolved_handovers.iter().any(|h| h.id == id) {
             return;
         }
         // Bounded like the attaches in hand; beyond that it is not held and its caller not told.
-        if self.calls.standing() + self.handed.len() >= self.most_held {
+        if self.calls.established_count() + self.unresolved_handovers.len() >= self.max_pending {
             self.counters.no_place += 1;
             return;
         }
-        self.clients.used(now, client, Use::Asks);
+        self.clients.used(now, client, Usage::Requests);
         self.log_info("call handed over", call_subject(id), format!("it stands at {server}"));
         // Its server says an end again on the first connection that a front makes, which may be before this.
         if self.early_releases.take(now, id) {
-            return self.send_release(now, client, id, CLEARED);
+            return self.send_release(now, client, id, NORMAL_CLEARING);
         }
         match self.servers.named(server) {
-            Some(pool) => self.hold(now, client, id, pool),
+            Some(pool) => self.hold_established(now, client, id, pool),
             None => {
-                let within = if self.feed.is_up() { LISTED_WITHIN } else { FOUND_WITHIN };
-                let (server, until) = (server.to_string(), now + within);
-                self.handed.push(Handed { id, client, server, until, released: None });
+                let timeout = if self.feed.is_up() { FOLLOWED_LIST_TIMEOUT } else { UNFOLLOWED_LIST_TIMEOUT };
+                let (server, expires_at) = (server.to_string(), now + timeout);
+                self.unresolved_handovers.push(UnresolvedHandover {
+                    id,
+                    client,
+                    server,
+                    expires_at,
+                    released_cause: None,
+                });
             }
         }
         self.send_releases(now);
     }
 
-    fn hold(&mut self, now: f64, client: ConnectionId, id: u64, pool: PoolId) {
-        let ue = self.calls.add(id, client, CallState::Stands(Stands { pool, link: None, confirmed: true }));
+    fn hold_established(&mut self, now: f64, client: ConnectionId, id: u64, pool: PoolId) {
+        let ue = self.calls.add(
+            id,
+            client,
+            CallState::Established(EstablishedCall { pool, link: None, confirmed: true }),
+        );
         if let Some(client) = self.clients.all.get_mut(&client) {
-            client.standing.insert(ue);
+            client.established.insert(ue);
         }
         if let Some(server) = self.servers.all.get_mut(&pool) {
-            server.standing += 1;
+            server.established += 1;
         }
-        self.keep_linked(now, pool);
+        self.ensure_link(now, pool);
     }
 
     /// The list has named a server: calls that wait for it stand there.
-    pub(crate) fn take_handed(&mut self, now: f64) {
-        for handed in std::mem::take(&mut self.handed) {
-            match (self.servers.named(&handed.server), handed.released) {
+    pub(crate) fn resolve_handovers(&mut self, now: f64) {
+        for handed in std::mem::take(&mut self.unresolved_handovers) {
+            match (self.servers.named(&handed.server), handed.released_cause) {
                 (Some(pool), Some(cause)) => self.release_to(now, pool, handed.id, cause),
-                (Some(pool), None) => self.hold(now, handed.client, handed.id, pool),
-                (None, _) => self.handed.push(handed),
+                (Some(pool), None) => self.hold_established(now, handed.client, handed.id, pool),
+                (None, _) => self.unresolved_handovers.push(handed),
             }
         }
     }
 
     /// The server of such a call, which the list does not name yet, has released it; false where there is none of that id.
-    pub(crate) fn handed_ended(&mut self, now: f64, id: u64, cause: u16) -> bool {
-        let Some(place) = self.handed.iter().position(|h| h.id == id) else { return false };
-        let handed = self.handed.swap_remove(place);
-        if handed.released.is_none() {
+    pub(crate) fn handover_ended(&mut self, now: f64, id: u64, cause: u16) -> bool {
+        let Some(position) = self.unresolved_handovers.iter().position(|h| h.id == id) else { return false };
+        let handed = self.unresolved_handovers.swap_remove(position);
+        if handed.released_cause.is_none() {
             self.send_release(now, handed.client, id, cause);
         }
         true
     }
 
     /// The caller of such a call has released it; false where there is none of that id.
-    pub(crate) fn handed_released(&mut self, id: u64, cause: u16) -> bool {
-        let handed = self.handed.iter_mut().find(|h| h.id == id);
-        handed.map(|h| h.released = Some(cause)).is_some()
+    pub(crate) fn handover_released(&mut self, id: u64, cause: u16) -> bool {
+        let handed = self.unresolved_handovers.iter_mut().find(|h| h.id == id);
+        handed.map(|h| h.released_cause = Some(cause)).is_some()
     }
 
     /// Those whose server no list has named in time are over.
-    pub(crate) fn expire_handed(&mut self, now: f64) {
-        let (over, left): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.handed).into_iter().partition(|h| h.until <= now);
-        self.handed = left;
-        for handed in over.into_iter().filter(|h| h.released.is_none()) {
+    pub(crate) fn expire_handovers(&mut self, now: f64) {
+        let (expired, remaining): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.unresolved_handovers).into_iter().partition(|h| h.expires_at <= now);
+        self.unresolved_handovers = remaining;
+        for handed in expired.into_iter().filter(|h| h.released_cause.is_none()) {
             self.log_info(
                 "call over",
                 call_subject(handed.id),
                 format!("no list names its server {}", handed.server),
             );
-            self.send_release(now, handed.client, handed.id, CUT);
+            self.send_release(now, handed.client, handed.id, TEMPORARY_FAILURE);
         }
     }
 }
--- a/crates/platform/src/lines.rs
+++ b/crates/platform/src/lines.rs
@@ -8,39 +8,39 @@
 use std::borrow::Cow;
 
 /// No message is longer; a line beyond it does not end.
-pub const LONGEST: usize = 16 * 1024;
+pub const MAX_LINE: usize = 16 * 1024;
 
 /// Bytes of one connection that are not yet a whole line.
 #[derive(Default)]
-pub struct Lines {
+pub struct LineFramer {
     bytes: Vec<u8>,
-    from: usize,
-    seen: usize,
+    start: usize,
+    searched: usize,
 }
 
 /// A line that is too long.
 #[derive(Debug, PartialEq, Eq)]
 pub struct TooLong;
 
-impl Lines {
+impl LineFramer {
     pub fn push(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.from);
-        self.seen -= self.from;
-        self.from = 0;
+        self.bytes.drain(..self.start);
+        self.searched -= self.start;
+        self.start = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
     pub fn next_line(&mut self) -> Result<Option<&[u8]>, TooLong> {
-        let Some(end) = memchr(b'\n', &self.bytes[self.seen..]).map(|at| self.seen + at) else {
-            self.seen = self.bytes.len();
-            return if self.seen - self.from > LONGEST { Err(TooLong) } else { Ok(None) };
+        let Some(end) = memchr(b'\n', &self.bytes[self.searched..]).map(|at| self.searched + at) else {
+            self.searched = self.bytes.len();
+            return if self.searched - self.start > MAX_LINE { Err(TooLong) } else { Ok(None) };
         };
-        let from = self.from;
-        (self.from, self.seen) = (end + 1, end + 1);
-        if end - from > LONGEST {
+        let start = self.start;
+        (self.start, self.searched) = (end + 1, end + 1);
+        if end - start > MAX_LINE {
             Err(TooLong)
         } else {
-            Ok(Some(&self.bytes[from..end]))
+            Ok(Some(&self.bytes[start..end]))
         }
     }
 }
@@ -70,7 +70,7 @@
 }
 
 #[derive(Deserialize)]
-struct Written<'a> {
+struct WireLine<'a> {
     #[serde(borrow, rename = "type")]
     kind: Cow<'a, str>,
     #[serde(borrow, default)]
@@ -103,8 +103,8 @@
 
 /// Reads a line; none where it cannot be read or lacks what it needs.
 pub fn read(line: &[u8]) -> Option<Line<'_>> {
-    let written: Written = serde_json::from_slice(line).ok()?;
-    let kind = match &*written.kind {
+    let wire: WireLine = serde_json::from_slice(line).ok()?;
+    let kind = match &*wire.kind {
         "answer" => Kind::Answer,
         "release" => Kind::Release,
         "ping" => Kind::Ping,
@@ -112,35 +112,35 @@
         "state" => Kind::State,
         _ => Kind::Other,
     };
-    let id = call_id(&written.id);
+    let id = call_id(&wire.id);
     if matches!(kind, Kind::Answer | Kind::Release | Kind::Pong) && id.is_none()
-        || kind == Kind::Answer && written.sdp.is_none()
-        || matches!(kind, Kind::Release | Kind::Pong) && written.cause.is_none()
+        || kind == Kind::Answer && wire.sdp.is_none()
+        || matches!(kind, Kind::Release | Kind::Pong) && wire.cause.is_none()
     {
         return None;
     }
     Some(Line {
         kind,
         id,
-        cause: written.cause.unwrap_or(0),
-        note: text(written.fields.note),
-        load: text(written.fields.load),
-        description: written.sdp.unwrap_or_default(),
+        cause: wire.cause.unwrap_or(0),
+        note: text(wire.fields.note),
+        load: text(wire.fields.load),
+        description: wire.sdp.unwrap_or_default(),
     })
 }
 
 impl Line<'_> {
     /// What it says of its sender, as far as the settings name it.
-    pub fn report(&self, reading: &ReportLayout) -> Report {
+    pub fn report(&self, layout: &ReportLayout) -> Report {
         let mut report = Report::default();
         for (name, value) in self.load.iter().flat_map(|l| l.split(';')).filter_map(|p| p.split_once(':')) {
             let Some(value) = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0) else {
                 continue;
             };
             match name.trim() {
-                "x0" | "free" if reading.free_agents_index.is_some() => report.free_agents = Some(value),
-                "x1" | "size" if reading.agents_index.is_some() => report.agents = Some(value),
-                "latency_ms" if reading.wait_index.is_some() => report.wait = Some(value / 1000.0),
+                "x0" | "free" if layout.free_agents_index.is_some() => report.free_agents = Some(value),
+                "x1" | "size" if layout.agents_index.is_some() => report.agents = Some(value),
+                "latency_ms" if layout.wait_index.is_some() => report.wait = Some(value / 1000.0),
                 _ => {}
             }
         }
@@ -148,7 +148,7 @@
     }
 
     /// How a release before the answer ends a setup try.
-    pub fn ended(&self) -> EndReason {
+    pub fn end_reason(&self) -> EndReason {
         match (self.cause, self.note.as_deref()) {
             (34, Some("congestion")) => EndReason::NoAgent,
             (34, _) => EndReason::Throttled { wait: None },
@@ -176,17 +176,17 @@
 }
 
 #[derive(Serialize)]
-struct Plain<'a> {
+struct PlainLine<'a> {
     #[serde(rename = "type")]
     kind: &'a str,
     id: &'a str,
-    fields: Nothing,
+    fields: NoFields,
     #[serde(skip_serializing_if = "Option::is_none")]
     cause: Option<u16>,
 }
 
 #[derive(Serialize)]
-struct Nothing {}
+struct NoFields {}
 
 fn line(value: &impl Serialize) -> Vec<u8> {
     // Strings and numbers only: writing them to memory cannot fail.
@@ -203,20 +203,20 @@
 }
 
 pub fn release(id: u64, cause: u16) -> Vec<u8> {
-    line(&Plain { kind: "release", id: &format!("{id:016x}"), fields: Nothing {}, cause: Some(cause) })
+    line(&PlainLine { kind: "release", id: &format!("{id:016x}"), fields: NoFields {}, cause: Some(cause) })
 }
 
 pub fn released(id: u64) -> Vec<u8> {
-    line(&Plain { kind: "released", id: &format!("{id:016x}"), fields: Nothing {}, cause: None })
+    line(&PlainLine { kind: "released", id: &format!("{id:016x}"), fields: NoFields {}, cause: None })
 }
 
 /// A test that asks for a report.
 pub fn ping(id: u64) -> Vec<u8> {
-    line(&Plain { kind: "ping", id: &format!("{id:016x}"), fields: Nothing {}, cause: Some(1) })
+    line(&PlainLine { kind: "ping", id: &format!("{id:016x}"), fields: NoFields {}, cause: Some(1) })
 }
 
 pub fn pong(id: u64) -> Vec<u8> {
-    line(&Plain { kind: "pong", id: &format!("{id:016x}"), fields: Nothing {}, cause: Some(1) })
+    line(&PlainLine { kind: "pong", id: &format!("{id:016x}"), fields: NoFields {}, cause: Some(1) })
 }
 
 #[cfg(test)]
--- a/crates/platform/src/lines_tests.rs
+++ b/crates/platform/src/lines_tests.rs
@@ -4,17 +4,17 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn all(stream: &[u8], steps: &[usize]) -> Result<Vec<Vec<u8>>, TooLong> {
-    let (mut lines, mut out, mut from, mut step) = (Lines::default(), Vec::new(), 0, 0);
-    while from < stream.len() {
-        let size = steps[step % steps.len()].clamp(1, stream.len() - from);
+fn read_all(stream: &[u8], steps: &[usize]) -> Result<Vec<Vec<u8>>, TooLong> {
+    let (mut framer, mut out, mut start, mut step) = (LineFramer::default(), Vec::new(), 0, 0);
+    while start < stream.len() {
+        let size = steps[step % steps.len()].clamp(1, stream.len() - start);
         step += 1;
-        lines.push(&stream[from..from + size]);
-        while let Some(line) = lines.next_line()? {
+        framer.push(&stream[start..start + size]);
+        while let Some(line) = framer.next_line()? {
             out.push(line.to_vec());
         }
-        assert!(lines.bytes.len() <= LONGEST + size + 1, "holds a line and a read at most");
-        from += size;
+        assert!(framer.bytes.len() <= MAX_LINE + size + 1, "holds a line and a read at most");
+        start += size;
     }
     Ok(out)
 }
@@ -27,14 +27,14 @@
         r#"{{"type":"release","id":"{ID}","fields":{{"note":"throttled","load":"x0:12;x1:40;latency_ms:3.5;queue:-1"}},"cause":34}}"#
     );
     let line = read(refusal.as_bytes()).unwrap();
-    assert_eq!((line.id, line.ended()), (call_id(ID), EndReason::Throttled { wait: None }));
-    let reading = ReportLayout {
+    assert_eq!((line.id, line.end_reason()), (call_id(ID), EndReason::Throttled { wait: None }));
+    let layout = ReportLayout {
         free_agents_index: Some(0),
         agents_index: Some(1),
         wait_index: Some(2),
         throttled_includes_wait: false,
     };
-    let report = line.report(&reading);
+    let report = line.report(&layout);
     assert_eq!((report.free_agents, report.agents, report.wait), (Some(12.0), Some(40.0), Some(0.0035)));
     assert_eq!(line.report(&ReportLayout::default()).wait, None);
     for bad in [
@@ -71,20 +71,20 @@
     ) {
         let stream: String = wanted.iter().map(|l| format!("{l}\n")).collect();
         let wanted: Vec<Vec<u8>> = wanted.iter().map(|l| l.as_bytes().to_vec()).collect();
-        prop_assert_eq!(all(stream.as_bytes(), &steps), Ok(wanted));
+        prop_assert_eq!(read_all(stream.as_bytes(), &steps), Ok(wanted));
     }
 
     #[test]
     fn noise_never_panics_and_what_does_not_end_is_given_up(
         noise in proptest::collection::vec(any::<u8>(), 0..3000), step in 1usize..700,
     ) {
-        for line in all(&noise, &[step]).unwrap_or_default() {
+        for line in read_all(&noise, &[step]).unwrap_or_default() {
             if let Some(line) = read(&line) {
                 line.report(&ReportLayout::default());
             }
         }
-        let endless = vec![b'x'; LONGEST + 700];
-        prop_assert_eq!(all(&endless, &[step]), Err(TooLong));
+        let endless = vec![b'x'; MAX_LINE + 700];
+        prop_assert_eq!(read_all(&endless, &[step]), Err(TooLong));
     }
 
     #[test]
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -52,7 +52,7 @@
     }
 
     pub(crate) fn log(&mut self, level: LogLevel, event: &'static str, subject: String, reason: String) {
-        self.out.push_back(Output::Log(LogRecord { level, event, subject, reason }));
+        self.outputs.push_back(Output::Log(LogRecord { level, event, subject, reason }));
     }
 
     /// The name of a server that is still listed.
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -1,42 +1,42 @@
 //! The signalling servers' side of a front: the list, links, and what comes on them.
 
 use crate::calls::CallState;
-use crate::causes::{CLEARED, CUT};
-use crate::edge::{ConnectionId, Due, Edge, Loss, Output};
+use crate::causes::{NORMAL_CLEARING, TEMPORARY_FAILURE};
+use crate::edge::{ConnectionId, Edge, Loss, Output, TimerEvent};
 use crate::feed::Event;
 use crate::lines::{self, Kind, Line};
-use crate::link::{Link, LinkState, Phase, MOST_LINKS};
+use crate::link::{Link, LinkState, Phase, MAX_LINKS};
 use crate::log::call_subject;
 use crate::sip;
 use shalespindle_control::interface::{EndReason, PoolEntry, PoolId, Report, UeId};
 use std::collections::HashSet;
 
 /// Pauses between dials to a server that cannot be reached, doubling.
-const FIRST_PAUSE: f64 = 0.05;
-const LONGEST_PAUSE: f64 = 1.0;
+const MIN_PAUSE: f64 = 0.05;
+const MAX_PAUSE: f64 = 1.0;
 /// So long after a server was removed what stood there is over, unless it said so itself.
-const LAST_WORDS: f64 = 0.5;
+const REMOVAL_GRACE: f64 = 0.5;
 /// A call whose end was read before its caller told of it is remembered for so long.
-const HANDED_OVER_WITHIN: f64 = 30.0;
+const EARLY_RELEASE_LIFETIME: f64 = 30.0;
 /// Part of the time for a dial that a server has to say its state unasked.
-const UNASKED: f64 = 0.2;
+const UNPROMPTED_STATE_SHARE: f64 = 0.2;
 /// Releases that wait for a link to one server.
-pub(crate) const MOST_OWED: usize = 4096;
+pub(crate) const MAX_QUEUED_RELEASES: usize = 4096;
 
 impl Edge {
     // ---- the list ----
 
-    pub(crate) fn listed(&mut self, now: f64, event: Event) {
-        let Some(news) = event.members else { return };
+    pub(crate) fn list_event(&mut self, now: f64, event: Event) {
+        let Some(members) = event.members else { return };
         let mut entries = Vec::new();
-        if news.complete {
-            let named: HashSet<&str> = news.members.iter().map(|m| m.id.as_str()).collect();
-            let gone = self.servers.all.values().filter(|s| !named.contains(s.id.as_str()));
-            for pool in gone.map(|s| s.pool).collect::<Vec<_>>() {
-                self.phase(now, pool, Phase::Removed);
+        if members.complete {
+            let named: HashSet<&str> = members.members.iter().map(|m| m.id.as_str()).collect();
+            let unlisted = self.servers.all.values().filter(|s| !named.contains(s.id.as_str()));
+            for pool in unlisted.map(|s| s.pool).collect::<Vec<_>>() {
+                self.set_phase(now, pool, Phase::Removed);
             }
         }
-        for member in news.members {
+        for member in members.members {
             let phase = match member.phase.as_str() {
                 "up" => Phase::Up,
                 "removed" => Phase::Removed,
@@ -44,18 +44,18 @@
             };
             let unix = member.up_since_ms / 1000.0;
             // On the front's clock; what began before it did is long ago.
-            let started = if unix > 0.0 { (unix - self.zero).max(0.0) } else { 0.0 };
+            let started = if unix > 0.0 { (unix - self.clock_epoch).max(0.0) } else { 0.0 };
             let pool = match (self.servers.named(&member.id), member.host_port) {
                 (Some(pool), address) => {
                     let server = self.servers.all.get_mut(&pool);
-                    let anew = server.is_some_and(|s| {
-                        let anew = started > s.started || address.is_some_and(|a| a != s.address);
-                        s.started = s.started.max(started);
+                    let restarted = server.is_some_and(|s| {
+                        let restarted = started > s.started_at || address.is_some_and(|a| a != s.address);
+                        s.started_at = s.started_at.max(started);
                         s.address = address.unwrap_or(s.address);
-                        anew
+                        restarted
                     });
-                    if anew {
-                        self.server_anew(now, pool);
+                    if restarted {
+                        self.server_restarted(now, pool);
                     }
                     pool
                 }
@@ -67,38 +67,38 @@
             let number = self.servers.all.get(&pool).map_or(member.cell, |s| s.number);
             entries.push(PoolEntry { id: pool, number, started, ready: phase == Phase::Up });
             let at = self.servers.all.get(&pool).map(|s| s.address);
-            let why = format!("{phase:?}, pool {number}, {at:?}, started {started}, event {}", event.n);
-            self.log_info("server listed", &member.id, why);
-            self.phase(now, pool, phase);
+            let reason = format!("{phase:?}, pool {number}, {at:?}, started {started}, event {}", event.n);
+            self.log_info("server listed", &member.id, reason);
+            self.set_phase(now, pool, phase);
         }
-        self.control.pools_listed(now, &entries, news.complete);
-        self.take_handed(now);
+        self.control.pools_listed(now, &entries, members.complete);
+        self.resolve_handovers(now);
     }
 
-    fn phase(&mut self, now: f64, pool: PoolId, phase: Phase) {
+    fn set_phase(&mut self, now: f64, pool: PoolId, phase: Phase) {
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
         let before = std::mem::replace(&mut server.phase, phase);
         if phase == Phase::Up {
-            return self.keep_linked(now, pool);
+            return self.ensure_link(now, pool);
         }
         // Guards rule 3: what waits for a link must not go out after the grace.
         for ue in std::mem::take(&mut server.waiting) {
-            self.try_over(now, ue, EndReason::Unreached, Report::default());
+            self.end_try(now, ue, EndReason::Unreached, Report::default());
         }
         if phase == Phase::Removed {
-            self.drop_links_not_up(now, pool);
+            self.drop_unfinished_links(now, pool);
         }
         if phase == Phase::Removed && before != Phase::Removed {
             if let Some(server) = self.servers.all.get_mut(&pool) {
                 server.removed_at = now;
             }
-            self.timers.set(now + LAST_WORDS, Due::Gone(pool));
+            self.timers.set(now + REMOVAL_GRACE, TimerEvent::RemovalGraceOver(pool));
         }
     }
 
     /// Guards the calls of a new server against links that a removed one never had: what comes up at its address now
     /// is somebody else, who may be listed under another name.
-    fn drop_links_not_up(&mut self, now: f64, pool: PoolId) {
+    fn drop_unfinished_links(&mut self, now: f64, pool: PoolId) {
         let links = self.servers.all.get(&pool).map(|s| s.links.clone()).unwrap_or_default();
         for connection in links {
             if self.servers.links.get(&connection).is_none_or(|l| l.state == LinkState::Up) {
@@ -107,69 +107,71 @@
             // One that the host has not begun is not made at all: who takes it would say there what is said once.
             let begins_it =
                 |o: &Output| matches!(o, Output::Dial { connection: dialled, .. } if *dialled == connection);
-            self.out.retain(|output| !begins_it(output));
+            self.outputs.retain(|output| !begins_it(output));
             self.drop_link(now, connection, "not up, and its server was removed");
         }
     }
 
     /// Two entries of the list lead to one address: what is said there comes from one process.
-    fn share_address(&self, one: PoolId, other: PoolId) -> bool {
+    fn have_same_address(&self, one: PoolId, other: PoolId) -> bool {
         let address = |pool| self.servers.all.get(&pool).map(|s| s.address);
         one == other || address(one).is_some() && address(one) == address(other)
     }
 
     /// Another process under the same name: what was there is over.
-    fn server_anew(&mut self, now: f64, pool: PoolId) {
+    fn server_restarted(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         for connection in server.links.clone() {
             self.drop_link(now, connection, "its server started anew");
         }
-        self.process_gone(now, pool, "its server started anew");
+        self.process_ended(now, pool, "its server started anew");
     }
 
     /// A server that was removed has had the time for its last words.
-    pub(crate) fn server_gone(&mut self, now: f64, pool: PoolId) {
+    pub(crate) fn removal_expired(&mut self, now: f64, pool: PoolId) {
         // Guards the last words of one that was back in between and is removed again: its first removal's time is no
         // longer its own.
-        let due =
-            |s: &&crate::link::Server| s.phase == Phase::Removed && now >= s.removed_at + LAST_WORDS - 1e-6;
-        let Some(server) = self.servers.all.get(&pool).filter(due) else { return };
+        let is_expired = |s: &&crate::link::Server| {
+            s.phase == Phase::Removed && now >= s.removed_at + REMOVAL_GRACE - 1e-6
+        };
+        let Some(server) = self.servers.all.get(&pool).filter(is_expired) else { return };
         for connection in server.links.clone() {
             self.drop_link(now, connection, "its server was removed");
         }
-        self.process_gone(now, pool, "its server was removed");
+        self.process_ended(now, pool, "its server was removed");
         self.servers.forget(pool);
     }
 
     /// What stands at a server is over.
-    pub(crate) fn ends_at(&mut self, now: f64, pool: PoolId, reason: &'static str) {
+    pub(crate) fn end_calls_at(&mut self, now: f64, pool: PoolId, reason: &'static str) {
         for ue in self.calls.standing_at(pool) {
             self.control.try_ended(now, ue, pool, EndReason::Cut, true, Report::default());
-            self.over(now, ue, pool, CUT, reason);
+            self.end_established_call(now, ue, pool, TEMPORARY_FAILURE, reason);
         }
     }
 
     /// The process is gone, and with it what stood there: it need not be told of anything.
-    pub(crate) fn process_gone(&mut self, now: f64, pool: PoolId, reason: &'static str) {
-        self.ends_at(now, pool, reason);
+    pub(crate) fn process_ended(&mut self, now: f64, pool: PoolId, reason: &'static str) {
+        self.end_calls_at(now, pool, reason);
         if let Some(server) = self.servers.all.get_mut(&pool) {
-            server.owed.clear();
+            server.queued_releases.clear();
         }
     }
 
-    pub(crate) fn stands_no_more(&mut self, pool: PoolId) {
+    pub(crate) fn call_left_server(&mut self, pool: PoolId) {
         if let Some(server) = self.servers.all.get_mut(&pool) {
-            server.standing = server.standing.saturating_sub(1);
+            server.established = server.established.saturating_sub(1);
         }
     }
 
     // ---- links ----
 
     /// Sees to it that a server which is up, or at which calls stand, has a link or is dialled.
-    pub(crate) fn keep_linked(&mut self, now: f64, pool: PoolId) {
+    pub(crate) fn ensure_link(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         let wanted = server.phase == Phase::Up
-            || server.phase == Phase::Draining && (server.standing > 0 || !server.owed.is_empty());
+            || server.phase == Phase::Draining
+                && (server.established > 0 || !server.queued_releases.is_empty());
         if wanted && server.links.is_empty() {
             self.dial(now, pool);
         }
@@ -180,16 +182,16 @@
         if self.servers.is_dialling(pool) {
             return;
         }
-        let count = self.servers.all.get(&pool).map_or(MOST_LINKS, |s| s.links.len());
-        if count >= MOST_LINKS {
-            match self.servers.spare(now, pool, self.dial_within) {
+        let count = self.servers.all.get(&pool).map_or(MAX_LINKS, |s| s.links.len());
+        if count >= MAX_LINKS {
+            match self.servers.replaceable_link(now, pool, self.dial_timeout) {
                 Some(connection) => self.drop_link(now, connection, "silent, another takes its place"),
                 None => return,
             }
         }
         let found = self.servers.all.get(&pool).map(|s| (s.address, s.links.is_empty()));
         let Some((to, is_first)) = found else { return };
-        if !self.has_room_for_link(is_first) {
+        if !self.has_descriptor_for_link(is_first) {
             self.counters.no_descriptor += 1;
             return;
         }
@@ -198,55 +200,56 @@
             server.links.push(connection);
         }
         self.servers.links.insert(connection, Link::new(now, pool));
-        self.timers.set(now + self.dial_within, Due::Link(connection));
-        self.out.push_back(Output::Dial { connection, to, within: self.dial_within });
+        self.timers.set(now + self.dial_timeout, TimerEvent::LinkTimeout(connection));
+        self.outputs.push_back(Output::Dial { connection, to, timeout: self.dial_timeout });
     }
 
-    pub(crate) fn dial_due(&mut self, now: f64, pool: PoolId) {
+    pub(crate) fn redial(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
-        if !server.waiting.is_empty() || server.test_waits {
+        if !server.waiting.is_empty() || server.probe_pending {
             self.dial(now, pool);
         } else {
-            self.keep_linked(now, pool);
+            self.ensure_link(now, pool);
         }
     }
 
-    pub(crate) fn link_made(&mut self, now: f64, connection: ConnectionId) {
+    pub(crate) fn link_connected(&mut self, now: f64, connection: ConnectionId) {
         let Some(link) = self.servers.links.get_mut(&connection) else { return };
         link.state = LinkState::Made;
-        if self.servers.all.get(&link.pool).is_some_and(|s| s.mute) {
+        if self.servers.all.get(&link.pool).is_some_and(|s| s.never_announced) {
             self.link_up(now, connection);
         } else {
-            self.timers.set(now + self.dial_within * UNASKED, Due::Silent(connection));
+            self.timers
+                .set(now + self.dial_timeout * UNPROMPTED_STATE_SHARE, TimerEvent::LinkSilent(connection));
         }
     }
 
     /// Guards against servers that do not say their state first: whether a process is there is asked.
-    pub(crate) fn link_silent(&mut self, now: f64, connection: ConnectionId) {
+    pub(crate) fn new_link_silent(&mut self, now: f64, connection: ConnectionId) {
         let Some(link) = self.servers.links.get(&connection).filter(|l| l.state == LinkState::Made) else {
             return;
         };
         if let Some(server) = self.servers.all.get_mut(&link.pool) {
             // One that has said its state before hangs, or its word is late: that a connection is made tells nothing.
-            server.mute = !server.says_state;
+            server.never_announced = !server.announces_state;
         }
-        self.test_on(now, connection);
+        self.probe_link(now, connection);
     }
 
     /// A link that is not up by now will not come up.
-    pub(crate) fn link_due(&mut self, now: f64, connection: ConnectionId) {
+    pub(crate) fn link_timed_out(&mut self, now: f64, connection: ConnectionId) {
         if self.servers.links.get(&connection).is_some_and(|l| l.state != LinkState::Up) {
-            self.out.push_back(Output::Close { connection, reset: true });
+            self.outputs.push_back(Output::Close { connection, reset: true });
             self.link_lost(now, connection, Loss::Broken);
         }
     }
 
     /// The front gives a link up; what has not left it must not arrive.
-    pub(crate) fn drop_link(&mut self, now: f64, connection: ConnectionId, why: &'static str) {
+    pub(crate) fn drop_link(&mut self, now: f64, connection: ConnectionId, reason: &'static str) {
         if let Some(link) = self.servers.links.get(&connection) {
             let of = self.servers.all.get(&link.pool).map_or(String::new(), |s| s.id.clone());
-            self.log_info("link given up", of, format!("connection {connection}: {why}"));
-            self.out.push_back(Output::Close { connection, reset: true });
+            self.log_info("link given up", of, format!("connection {connection}: {reason}"));
+            self.outputs.push_back(Output::Close { connection, reset: true });
             self.link_lost(now, connection, Loss::Broken);
         }
     }
@@ -260,11 +263,11 @@
 
     /// Tells a server that a setup try is given up. Where its link is blocked the try itself may not have left yet: it
     /// must not arrive after its end, so the link goes with all that waits there.
-    pub(crate) fn end_try_on(&mut self, now: f64, connection: ConnectionId, id: u64) {
+    pub(crate) fn release_try(&mut self, now: f64, connection: ConnectionId, id: u64) {
         if self.servers.links.get(&connection).is_some_and(|l| l.blocked) {
             self.drop_link(now, connection, "blocked, with a set-up that was given up");
         } else {
-            self.out.push_back(Output::Write { connection, bytes: lines::release(id, CLEARED) });
+            self.outputs.push_back(Output::Write { connection, bytes: lines::release(id, NORMAL_CLEARING) });
         }
     }
 
@@ -274,7 +277,7 @@
         let was_up = link.state == LinkState::Up;
         self.counters.links_lost += u64::from(was_up);
         for ue in link.open {
-            self.try_over(now, ue, EndReason::Cut, Report::default());
+            self.end_try(now, ue, EndReason::Cut, Report::default());
         }
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
         server.links.retain(|w| *w != connection);
@@ -285,20 +288,20 @@
             server.pause = 0.0;
         }
         let pause = server.pause;
-        server.pause = (2.0 * pause).clamp(FIRST_PAUSE, LONGEST_PAUSE);
+        server.pause = (2.0 * pause).clamp(MIN_PAUSE, MAX_PAUSE);
         // Refused, nothing that waits can be sent; reset while new, another dial may still bring it there.
         let waiting = if refused { std::mem::take(&mut server.waiting) } else { Default::default() };
         for ue in waiting {
-            self.try_over(now, ue, EndReason::Unreached, Report::default());
+            self.end_try(now, ue, EndReason::Unreached, Report::default());
         }
         self.log_info("link down", id, format!("connection {connection}: {:?}, {loss:?}", link.state));
         if dead {
-            self.process_gone(now, pool, "its server's address refuses connections");
+            self.process_ended(now, pool, "its server's address refuses connections");
         }
         if pause > 0.0 {
-            self.timers.set(now + pause, Due::Dial(pool));
+            self.timers.set(now + pause, TimerEvent::Redial(pool));
         } else {
-            self.dial_due(now, pool);
+            self.redial(now, pool);
         }
     }
 
@@ -309,24 +312,24 @@
         let pool = link.pool;
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
         server.pause = 0.0;
-        let test_waits = std::mem::take(&mut server.test_waits);
+        let probe_pending = std::mem::take(&mut server.probe_pending);
         let id = server.id.clone();
         if server.liveness.is_another_process() {
             self.process_replaced(now, pool, connection);
         }
-        self.send_owed(pool, connection);
-        self.linked.push(pool);
-        if test_waits {
-            self.test_on(now, connection);
+        self.send_queued_releases(pool, connection);
+        self.newly_linked.push(pool);
+        if probe_pending {
+            self.probe_link(now, connection);
         }
         self.log_info("link up", id, format!("connection {connection}"));
     }
 
     /// Guards against attaches whose callers have gone: what waited for a link goes out only when all that came beside
     /// the server's first word has been taken in.
-    pub(crate) fn send_waiting(&mut self, now: f64) {
-        for pool in std::mem::take(&mut self.linked) {
-            let Some(connection) = self.servers.best_link(now, pool, self.dial_within) else { continue };
+    pub(crate) fn send_waiting_tries(&mut self, now: f64) {
+        for pool in std::mem::take(&mut self.newly_linked) {
+            let Some(connection) = self.servers.best_link(now, pool, self.dial_timeout) else { continue };
             let Some(server) = self.servers.all.get_mut(&pool) else { continue };
             for ue in std::mem::take(&mut server.waiting) {
                 self.write_set_up(now, ue, connection);
@@ -350,7 +353,7 @@
             };
             self.line(now, connection, &line);
             match self.servers.links.get_mut(&connection) {
-                Some(link) => link.heard(now),
+                Some(link) => link.line_received(now),
                 None => return,
             }
         }
@@ -364,33 +367,33 @@
         let pool = link.pool;
         if link.state != LinkState::Up {
             if let Some(server) = self.servers.all.get_mut(&pool).filter(|_| line.kind == Kind::State) {
-                (server.says_state, server.mute) = (true, false);
+                (server.announces_state, server.never_announced) = (true, false);
             }
             self.link_up(now, connection);
         }
         if let Some(server) = self.servers.all.get_mut(&pool) {
             server.liveness.message_received(now);
         }
-        self.send_owed(pool, connection);
-        let report = line.report(&self.reading);
+        self.send_queued_releases(pool, connection);
+        let report = line.report(&self.report_layout);
         match (line.kind, line.id) {
-            (Kind::Answer, Some(id)) => self.answered(now, connection, pool, id, line),
-            (Kind::Release, Some(id)) => self.released(now, connection, pool, id, line, report),
+            (Kind::Answer, Some(id)) => self.answer_received(now, connection, pool, id, line),
+            (Kind::Release, Some(id)) => self.release_received(now, connection, pool, id, line, report),
             (Kind::Pong, Some(id)) => {
-                let known = self.servers.links.get_mut(&connection).is_some_and(|l| l.test_back(id));
+                let known = self.servers.links.get_mut(&connection).is_some_and(|l| l.take_probe(id));
                 if known {
                     self.control.pool_reported(now, pool, line.cause == 1, report);
                 }
             }
             (Kind::Ping, Some(id)) => {
-                self.out.push_back(Output::Write { connection, bytes: lines::pong(id) });
+                self.outputs.push_back(Output::Write { connection, bytes: lines::pong(id) });
             }
             (Kind::State, _) => self.control.pool_reported(now, pool, false, report),
             _ => {}
         }
     }
 
-    fn answered(&mut self, now: f64, connection: ConnectionId, pool: PoolId, id: u64, line: &Line) {
+    fn answer_received(&mut self, now: f64, connection: ConnectionId, pool: PoolId, id: u64, line: &Line) {
         let call = self.calls.by_id(id);
         let ue = call.map(|call| (call.ue, call.client, &call.state));
         let (ue, client) = match ue {
@@ -401,11 +404,12 @@
                 (ue, client)
             }
             // A second copy.
-            Some((_, _, CallState::Stands(stands))) if stands.pool == pool => return,
+            Some((_, _, CallState::Established(established))) if established.pool == pool => return,
             // Late, or for a try that is over: nothing may be left standing of it.
             _ => {
                 self.counters.late_answers += 1;
-                self.out.push_back(Output::Write { connection, bytes: lines::release(id, CLEARED) });
+                self.outputs
+                    .push_back(Output::Write { connection, bytes: lines::release(id, NORMAL_CLEARING) });
                 return;
             }
         };
@@ -415,19 +419,19 @@
         self.counters.stood += 1;
         self.log_debug("call stands", call_subject(id), self.server_name(pool).to_string());
         self.control.attach_established(now, ue, pool, now - out.sent_at);
-        self.calls.stands(ue, pool, connection);
+        self.calls.establish(ue, pool, connection);
         if let Some(server) = self.servers.all.get_mut(&pool) {
-            server.standing += 1;
+            server.established += 1;
         }
-        self.leave_client(now, client, ue);
+        self.detach_from_client(now, client, ue);
         if let Some(client) = self.clients.all.get_mut(&client) {
             client.unconfirmed.push(ue);
-            client.standing.insert(ue);
+            client.established.insert(ue);
         }
-        self.out.push_back(Output::Write { connection: client, bytes });
+        self.outputs.push_back(Output::Write { connection: client, bytes });
     }
 
-    fn released(
+    fn release_received(
         &mut self,
         now: f64,
         connection: ConnectionId,
@@ -436,34 +440,34 @@
         line: &Line,
         report: Report,
     ) {
-        let stands_at = self.calls.by_id(id).and_then(|call| match &call.state {
-            CallState::Stands(stands) => Some(stands.pool),
+        let server_of_call = self.calls.by_id(id).and_then(|call| match &call.state {
+            CallState::Established(established) => Some(established.pool),
             CallState::Pending(_) => None,
         });
-        let is_its_servers = stands_at.is_some_and(|at| self.share_address(at, pool));
+        let is_from_its_server = server_of_call.is_some_and(|at| self.have_same_address(at, pool));
         let call = self.calls.by_id(id).map(|call| (call.ue, &call.state));
         match call {
             Some((ue, CallState::Pending(pending)))
                 if pending.out.as_ref().is_some_and(|t| t.link == Some(connection)) =>
             {
-                if line.cause == CLEARED {
+                if line.cause == NORMAL_CLEARING {
                     self.ended_before_answer(now, ue, report);
                 } else {
-                    self.try_over(now, ue, line.ended(), report);
+                    self.end_try(now, ue, line.end_reason(), report);
                 }
             }
-            Some((ue, CallState::Stands(stands))) if is_its_servers => {
-                let pool = stands.pool;
-                let ended = if line.cause == CLEARED { EndReason::Released } else { EndReason::Cut };
+            Some((ue, CallState::Established(established))) if is_from_its_server => {
+                let pool = established.pool;
+                let ended = if line.cause == NORMAL_CLEARING { EndReason::Released } else { EndReason::Cut };
                 self.control.try_ended(now, ue, pool, ended, true, report);
-                self.out.push_back(Output::Write { connection, bytes: lines::released(id) });
-                self.over(now, ue, pool, line.cause, "its server's word");
+                self.outputs.push_back(Output::Write { connection, bytes: lines::released(id) });
+                self.end_established_call(now, ue, pool, line.cause, "its server's word");
             }
             Some(_) => self.control.pool_reported(now, pool, false, report),
             None => {
                 self.control.pool_reported(now, pool, false, report);
-                if !self.handed_ended(now, id, line.cause) {
-                    self.early_releases.add(now, id, HANDED_OVER_WITHIN);
+                if !self.handover_ended(now, id, line.cause) {
+                    self.early_releases.add(now, id, EARLY_RELEASE_LIFETIME);
                 }
             }
         }
@@ -473,42 +477,42 @@
     /// again: its caller would hold a call standing that is over by its first server's word.
     fn ended_before_answer(&mut self, now: f64, ue: UeId, report: Report) {
         self.counters.ended_before_answer += 1;
-        self.try_over(now, ue, EndReason::Released, report);
-        self.final_answer(now, ue, 504, None, "it ended before its answer came");
+        self.end_try(now, ue, EndReason::Released, report);
+        self.send_final_answer(now, ue, 504, None, "it ended before its answer came");
         self.control.client_left(now, ue);
     }
 
     /// Releases a call at its server, now or as soon as there is a link.
     pub(crate) fn release_to(&mut self, now: f64, pool: PoolId, id: u64, cause: u16) {
-        if let Some(connection) = self.servers.any_link(now, pool, self.dial_within) {
-            self.out.push_back(Output::Write { connection, bytes: lines::release(id, cause) });
+        if let Some(connection) = self.servers.any_link(now, pool, self.dial_timeout) {
+            self.outputs.push_back(Output::Write { connection, bytes: lines::release(id, cause) });
         } else if let Some(server) = self.servers.all.get_mut(&pool) {
-            if server.owed.len() < MOST_OWED {
-                server.owed.push_back((id, cause));
+            if server.queued_releases.len() < MAX_QUEUED_RELEASES {
+                server.queued_releases.push_back((id, cause));
             }
-            self.keep_linked(now, pool);
+            self.ensure_link(now, pool);
         }
     }
 
     /// The module's probe.
-    pub(crate) fn test(&mut self, now: f64, pool: PoolId) {
-        match self.servers.best_link(now, pool, self.dial_within) {
-            Some(connection) => self.test_on(now, connection),
+    pub(crate) fn probe(&mut self, now: f64, pool: PoolId) {
+        match self.servers.best_link(now, pool, self.dial_timeout) {
+            Some(connection) => self.probe_link(now, connection),
             None => {
                 if let Some(server) = self.servers.all.get_mut(&pool) {
-                    server.test_waits = true;
+                    server.probe_pending = true;
                 }
                 self.dial(now, pool);
             }
         }
     }
 
-    pub(crate) fn test_on(&mut self, now: f64, connection: ConnectionId) {
-        let id = self.new_test();
+    pub(crate) fn probe_link(&mut self, now: f64, connection: ConnectionId) {
+        let id = self.new_probe_id();
         if let Some(link) = self.servers.links.get_mut(&connection) {
-            link.test_sent(now, id);
+            link.probe_sent(now, id);
             self.counters.tests += 1;
-            self.out.push_back(Output::Write { connection, bytes: lines::ping(id) });
+            self.outputs.push_back(Output::Write { connection, bytes: lines::ping(id) });
         }
     }
 }
--- a/crates/platform/src/presence.rs
+++ b/crates/platform/src/silent_servers.rs
@@ -1,52 +1,54 @@
 //! Silent servers: the calls that stand on them are not left to the list of servers, which may be away.
 
-use crate::causes::CUT;
+use crate::causes::TEMPORARY_FAILURE;
 use crate::edge::{ConnectionId, Edge, Output};
 use crate::lines;
 use crate::link::{LinkState, Server};
-use crate::servers::MOST_OWED;
+use crate::servers::MAX_QUEUED_RELEASES;
 use shalespindle_control::interface::PoolId;
 use shalespindle_control::liveness::{LivenessStatus, ProbeMethod};
 
 impl Edge {
     /// Looks after every server on which calls stand: asks those that are silent, and ends the calls of those that do
     /// not answer any more.
-    pub(crate) fn watch_servers(&mut self, now: f64) {
-        let judge = |(pool, server): (&PoolId, &mut Server)| {
-            let verdict = server.liveness.evaluate(now, server.standing > 0);
-            (server.standing > 0).then_some((*pool, verdict))
+    pub(crate) fn check_servers(&mut self, now: f64) {
+        let evaluate = |(pool, server): (&PoolId, &mut Server)| {
+            let status = server.liveness.evaluate(now, server.established > 0);
+            (server.established > 0).then_some((*pool, status))
         };
-        let watched: Vec<(PoolId, LivenessStatus)> = self.servers.all.iter_mut().filter_map(judge).collect();
-        for (pool, verdict) in watched {
-            match verdict {
-                LivenessStatus::Alive => self.watch_links(now, pool),
-                LivenessStatus::ProbeDue => self.ask_server(now, pool),
-                LivenessStatus::Dead => self.server_silent(now, pool),
+        let watched: Vec<(PoolId, LivenessStatus)> =
+            self.servers.all.iter_mut().filter_map(evaluate).collect();
+        for (pool, status) in watched {
+            match status {
+                LivenessStatus::Alive => self.check_links(now, pool),
+                LivenessStatus::ProbeDue => self.probe_server(now, pool),
+                LivenessStatus::Dead => self.end_calls_of_silent_server(now, pool),
             }
         }
     }
 
     /// A server speaks on some connection; one with calls that is silent beside it leads nowhere any more.
-    fn watch_links(&mut self, now: f64, pool: PoolId) {
+    fn check_links(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
-        let verdict_of = |connection: &ConnectionId| {
+        let status_of = |connection: &ConnectionId| {
             let link = self.servers.links.get(connection).filter(|l| l.state == LinkState::Up)?;
-            let verdict = server.liveness.evaluate_connection(now, link.heard_at, link.unanswered_since());
+            let status =
+                server.liveness.evaluate_connection(now, link.last_received_at, link.unanswered_since());
             // What is out on it has a time of its own.
-            let keeps = verdict == LivenessStatus::Dead && !link.open.is_empty();
-            Some((*connection, verdict)).filter(|_| verdict != LivenessStatus::Alive && !keeps)
+            let is_kept = status == LivenessStatus::Dead && !link.open.is_empty();
+            Some((*connection, status)).filter(|_| status != LivenessStatus::Alive && !is_kept)
         };
-        let mut verdicts: Vec<(ConnectionId, LivenessStatus)> =
-            server.links.iter().filter_map(verdict_of).collect();
-        if verdicts.is_empty() {
+        let mut statuses: Vec<(ConnectionId, LivenessStatus)> =
+            server.links.iter().filter_map(status_of).collect();
+        if statuses.is_empty() {
             return;
         }
         let with_calls = self.calls.links_of_standing_at(pool);
-        verdicts.retain(|(connection, _)| with_calls.contains(connection));
-        for (connection, verdict) in verdicts {
-            match verdict {
-                LivenessStatus::ProbeDue if self.servers.asking == ProbeMethod::Test => {
-                    self.test_on(now, connection)
+        statuses.retain(|(connection, _)| with_calls.contains(connection));
+        for (connection, status) in statuses {
+            match status {
+                LivenessStatus::ProbeDue if self.servers.probe_method == ProbeMethod::Test => {
+                    self.probe_link(now, connection)
                 }
                 LivenessStatus::Dead => {
                     self.drop_link(now, connection, "silent, while its server speaks on another");
@@ -60,34 +62,36 @@
 
     /// Asks a silent server for a word: on the connection that has been silent longest, and on a new one where none is
     /// sound any more.
-    fn ask_server(&mut self, now: f64, pool: PoolId) {
+    fn probe_server(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
         server.liveness.probe_sent(now);
         let links = server.links.iter().filter_map(|c| Some((*c, self.servers.links.get(c)?)));
         let up = links.filter(|(_, link)| link.state == LinkState::Up);
-        let unasked = up.filter(|(_, link)| link.unanswered_since().is_none());
-        let longest = unasked.min_by(|(_, a), (_, b)| a.heard_at.total_cmp(&b.heard_at)).map(|(c, _)| c);
-        if let Some(connection) = longest.filter(|_| self.servers.asking == ProbeMethod::Test) {
-            self.test_on(now, connection);
+        let unprobed = up.filter(|(_, link)| link.unanswered_since().is_none());
+        let longest = unprobed
+            .min_by(|(_, a), (_, b)| a.last_received_at.total_cmp(&b.last_received_at))
+            .map(|(c, _)| c);
+        if let Some(connection) = longest.filter(|_| self.servers.probe_method == ProbeMethod::Test) {
+            self.probe_link(now, connection);
         }
-        let none_sound = self.servers.best_link(now, pool, self.dial_within).is_none();
-        if none_sound || self.servers.asking == ProbeMethod::Dial {
+        let no_usable_link = self.servers.best_link(now, pool, self.dial_timeout).is_none();
+        if no_usable_link || self.servers.probe_method == ProbeMethod::Dial {
             self.dial(now, pool);
         }
     }
 
     /// Nothing has been heard of a server for so long that its calls are over, whatever became of it. It may only be cut
     /// off: should it be heard again, it is told of their ends.
-    fn server_silent(&mut self, now: f64, pool: PoolId) {
-        let standing = self.calls.standing_at(pool);
-        let ids: Vec<u64> = standing.iter().filter_map(|ue| self.calls.by_ue(*ue).map(|c| c.id)).collect();
+    fn end_calls_of_silent_server(&mut self, now: f64, pool: PoolId) {
+        let established = self.calls.standing_at(pool);
+        let ids: Vec<u64> = established.iter().filter_map(|ue| self.calls.by_ue(*ue).map(|c| c.id)).collect();
         let name = self.server_name(pool).to_string();
         self.log_info("server silent", name, format!("{} calls stand there", ids.len()));
         self.counters.calls_at_silent_servers += ids.len() as u64;
-        self.ends_at(now, pool, "its server is silent");
+        self.end_calls_at(now, pool, "its server is silent");
         if let Some(server) = self.servers.all.get_mut(&pool) {
-            let room = MOST_OWED.saturating_sub(server.owed.len());
-            server.owed.extend(ids.into_iter().take(room).map(|id| (id, CUT)));
+            let capacity = MAX_QUEUED_RELEASES.saturating_sub(server.queued_releases.len());
+            server.queued_releases.extend(ids.into_iter().take(capacity).map(|id| (id, TEMPORARY_FAILURE)));
         }
     }
 
@@ -101,28 +105,28 @@
                 self.drop_link(now, connection, "another process is at its address");
             }
         }
-        self.process_gone(now, pool, "another process is at its server's address");
+        self.process_ended(now, pool, "another process is at its server's address");
     }
 
     /// Guards standing calls against a process that ends without a sign on some of its links: it is asked for a word on
     /// those that are left, and where nobody is there the word is refused.
-    pub(crate) fn ask_other_links(&mut self, now: f64, pool: PoolId) {
-        let Some(server) = self.servers.all.get(&pool).filter(|s| s.standing > 0) else { return };
-        if self.servers.asking == ProbeMethod::Dial {
+    pub(crate) fn probe_other_links(&mut self, now: f64, pool: PoolId) {
+        let Some(server) = self.servers.all.get(&pool).filter(|s| s.established > 0) else { return };
+        if self.servers.probe_method == ProbeMethod::Dial {
             return;
         }
         for connection in server.links.clone() {
             if self.servers.links.get(&connection).is_some_and(|l| l.state == LinkState::Up) {
-                self.test_on(now, connection);
+                self.probe_link(now, connection);
             }
         }
     }
 
     /// Tells a server on a link that is up which calls are over, where no link could take the word before.
-    pub(crate) fn send_owed(&mut self, pool: PoolId, connection: ConnectionId) {
+    pub(crate) fn send_queued_releases(&mut self, pool: PoolId, connection: ConnectionId) {
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
-        for (id, cause) in std::mem::take(&mut server.owed) {
-            self.out.push_back(Output::Write { connection, bytes: lines::release(id, cause) });
+        for (id, cause) in std::mem::take(&mut server.queued_releases) {
+            self.outputs.push_back(Output::Write { connection, bytes: lines::release(id, cause) });
         }
     }
 }
--- a/crates/platform/src/sip.rs
+++ b/crates/platform/src/sip.rs
@@ -11,7 +11,7 @@
 
 /// A set-up as its caller wrote it.
 #[derive(Debug, PartialEq)]
-pub struct Asked<'a> {
+pub struct SetUpRequest<'a> {
     pub number: &'a str,
     pub procedure: usize,
     /// How long the caller waits, seconds.
@@ -62,11 +62,11 @@
 }
 
 /// Reads a set-up; `procedures` are names and longest times a caller may wait.
-pub fn asked<'a>(
+pub fn read_set_up<'a>(
     message: &Message<'a>,
     route: &Route,
     procedures: &[(String, f64)],
-) -> Result<Asked<'a>, BadForm> {
+) -> Result<SetUpRequest<'a>, BadForm> {
     if message.cseq().map(|c| c.1) != Ok(Method::Invite) {
         return Err(BadForm("CSeq"));
     }
@@ -82,7 +82,13 @@
     if description.is_empty() {
         return Err(BadForm("description"));
     }
-    Ok(Asked { number, procedure, patience: ms / 1000.0, first_choice: route.first_choice, description })
+    Ok(SetUpRequest {
+        number,
+        procedure,
+        patience: ms / 1000.0,
+        first_choice: route.first_choice,
+        description,
+    })
 }
 
 /// The number called as the module is told it: 0 where it is not of the usual form.
--- a/crates/platform/src/sip_tests.rs
+++ b/crates/platform/src/sip_tests.rs
@@ -15,7 +15,7 @@
     let message = Message::parse(text.as_bytes()).map_err(|_| BadForm("message"))?;
     id(&message).ok_or(BadForm("Call-ID"))?;
     let route = route(&message)?;
-    asked(&message, &route, &[("voice".into(), 9.0)]).map(|a| (a.patience, a.first_choice))
+    read_set_up(&message, &route, &[("voice".into(), 9.0)]).map(|a| (a.patience, a.first_choice))
 }
 
 #[test]
--- a/crates/platform/src/sse.rs
+++ b/crates/platform/src/sse.rs
@@ -3,12 +3,12 @@
 use memchr::memchr;
 
 /// Longest head, line and event; a stream beyond them is given up.
-const LONGEST_HEAD: usize = 8 * 1024;
-const LONGEST_EVENT: usize = 1 << 20;
+const MAX_HEAD: usize = 8 * 1024;
+const MAX_EVENT: usize = 1 << 20;
 
 /// Why a stream is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum StreamError {
     Head,
     Chunk,
     TooLong,
@@ -23,23 +23,23 @@
 }
 
 /// Bytes of one response that are not yet an event. Holds at most one event and one read.
-pub struct Events {
+pub struct EventStream {
     body: Body,
     raw: Vec<u8>,
     text: Vec<u8>,
     data: Vec<u8>,
 }
 
-impl Default for Events {
-    fn default() -> Events {
-        Events { body: Body::Head, raw: Vec::new(), text: Vec::new(), data: Vec::new() }
+impl Default for EventStream {
+    fn default() -> EventStream {
+        EventStream { body: Body::Head, raw: Vec::new(), text: Vec::new(), data: Vec::new() }
     }
 }
 
-impl Events {
+impl EventStream {
     /// Takes bytes in; `told` gets the data of each whole event. What is left of an event that the stream
     /// breaks off in is never told.
-    pub fn push(&mut self, bytes: &[u8], mut told: impl FnMut(&[u8])) -> Result<(), Spoilt> {
+    pub fn push(&mut self, bytes: &[u8], mut on_event: impl FnMut(&[u8])) -> Result<(), StreamError> {
         self.raw.extend_from_slice(bytes);
         if let Body::Head = self.body {
             if !self.head()? {
@@ -54,7 +54,7 @@
             from += end + 1;
             if line.is_empty() {
                 if !self.data.is_empty() {
-                    told(&self.data);
+                    on_event(&self.data);
                     self.data.clear();
                 }
             } else if let Some(value) = line.strip_prefix(b"data:") {
@@ -66,8 +66,8 @@
         }
         self.text.drain(..from);
         // Guards memory against an event without end.
-        if self.text.len() > LONGEST_EVENT || self.data.len() > LONGEST_EVENT {
-            return Err(Spoilt::TooLong);
+        if self.text.len() > MAX_EVENT || self.data.len() > MAX_EVENT {
+            return Err(StreamError::TooLong);
         }
         Ok(())
     }
@@ -78,16 +78,16 @@
         within || !self.raw.is_empty() || !self.text.is_empty() || !self.data.is_empty()
     }
 
-    fn head(&mut self) -> Result<bool, Spoilt> {
+    fn head(&mut self) -> Result<bool, StreamError> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut response = httparse::Response::new(&mut headers);
         let size = match response.parse(&self.raw) {
             Ok(httparse::Status::Complete(size)) => size,
-            Ok(httparse::Status::Partial) if self.raw.len() <= LONGEST_HEAD => return Ok(false),
-            _ => return Err(Spoilt::Head),
+            Ok(httparse::Status::Partial) if self.raw.len() <= MAX_HEAD => return Ok(false),
+            _ => return Err(StreamError::Head),
         };
         if response.code != Some(200) {
-            return Err(Spoilt::Head);
+            return Err(StreamError::Head);
         }
         let chunked = |h: &httparse::Header| {
             h.name.eq_ignore_ascii_case("transfer-encoding") && h.value.eq_ignore_ascii_case(b"chunked")
@@ -97,7 +97,7 @@
         Ok(true)
     }
 
-    fn unwrap_body(&mut self) -> Result<(), Spoilt> {
+    fn unwrap_body(&mut self) -> Result<(), StreamError> {
         let Body::Chunks(left) = &mut self.body else {
             self.text.append(&mut self.raw);
             return Ok(());
@@ -114,18 +114,18 @@
                 continue;
             }
             let Some(end) = memchr(b'\n', &self.raw[from..]) else { break };
-            let line = std::str::from_utf8(&self.raw[from..from + end]).map_err(|_| Spoilt::Chunk)?;
+            let line = std::str::from_utf8(&self.raw[from..from + end]).map_err(|_| StreamError::Chunk)?;
             let digits = line.split(';').next().unwrap_or("").trim();
-            let size = usize::from_str_radix(digits, 16).map_err(|_| Spoilt::Chunk)?;
-            if size > LONGEST_EVENT {
-                return Err(Spoilt::TooLong);
+            let size = usize::from_str_radix(digits, 16).map_err(|_| StreamError::Chunk)?;
+            if size > MAX_EVENT {
+                return Err(StreamError::TooLong);
             }
             *left = size + 2;
             from += end + 1;
         }
         self.raw.drain(..from);
-        if self.raw.len() > LONGEST_HEAD {
-            Err(Spoilt::Chunk)
+        if self.raw.len() > MAX_HEAD {
+            Err(StreamError::Chunk)
         } else {
             Ok(())
         }
--- a/crates/platform/src/sse_tests.rs
+++ b/crates/platform/src/sse_tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn read(stream: &[u8], steps: &[usize]) -> Result<Vec<String>, Spoilt> {
-    let (mut events, mut out, mut from, mut step) = (Events::default(), Vec::new(), 0, 0);
+fn read(stream: &[u8], steps: &[usize]) -> Result<Vec<String>, StreamError> {
+    let (mut events, mut out, mut from, mut step) = (EventStream::default(), Vec::new(), 0, 0);
     while from < stream.len() {
         let size = steps[step % steps.len()].clamp(1, stream.len() - from);
         step += 1;
@@ -30,12 +30,12 @@
 
 #[test]
 fn a_bad_head_and_a_bad_chunk_are_named() {
-    assert_eq!(read(b"HTTP/1.1 404 No\r\n\r\n", &[9]), Err(Spoilt::Head));
-    assert_eq!(read(&[b'x'; 9000], &[100]), Err(Spoilt::Head));
+    assert_eq!(read(b"HTTP/1.1 404 No\r\n\r\n", &[9]), Err(StreamError::Head));
+    assert_eq!(read(&[b'x'; 9000], &[100]), Err(StreamError::Head));
     let bad = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n";
-    assert_eq!(read(bad.as_bytes(), &[3]), Err(Spoilt::Chunk));
-    let long = format!("HTTP/1.1 200 OK\r\n\r\ndata: {}", "x".repeat(LONGEST_EVENT + 1));
-    assert_eq!(read(long.as_bytes(), &[65_536]), Err(Spoilt::TooLong));
+    assert_eq!(read(bad.as_bytes(), &[3]), Err(StreamError::Chunk));
+    let long = format!("HTTP/1.1 200 OK\r\n\r\ndata: {}", "x".repeat(MAX_EVENT + 1));
+    assert_eq!(read(long.as_bytes(), &[65_536]), Err(StreamError::TooLong));
 }
 
 proptest! {
--- a/crates/platform/src/file.rs
+++ b/crates/platform/src/start_file.rs
@@ -15,7 +15,7 @@
     pub seed: u64,
     pub limits: Limits,
     pub feed: SocketAddr,
-    pub known: Known,
+    pub known: KnownEvents,
     pub settings: StartupSettings,
 }
 
@@ -27,7 +27,7 @@
 
 /// What the feed has told up to now.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Known {
+pub struct KnownEvents {
     pub n: u64,
     pub events: Vec<Event>,
 }
@@ -38,22 +38,22 @@
 }
 
 /// Least limits that a front can serve within.
-const LEAST_SOCKETS: usize = 64;
-const LEAST_MEMORY_MB: f64 = 8.0;
+const MIN_SOCKETS: usize = 64;
+const MIN_MEMORY_MB: f64 = 8.0;
 /// No machine has more.
-const MOST_MEMORY_MB: f64 = 1e9;
+const MAX_MEMORY_MB: f64 = 1e9;
 
 /// Reads the file's text; a fault names its place and what is allowed there.
 pub fn read_file(text: &[u8]) -> Result<StartFile, String> {
     let json = &mut serde_json::Deserializer::from_slice(text);
     let file: StartFile = serde_path_to_error::deserialize(json).map_err(|e| e.to_string())?;
-    if file.limits.sockets < LEAST_SOCKETS {
-        return Err(format!("limits.sockets is {}; {LEAST_SOCKETS} or more is allowed", file.limits.sockets));
+    if file.limits.sockets < MIN_SOCKETS {
+        return Err(format!("limits.sockets is {}; {MIN_SOCKETS} or more is allowed", file.limits.sockets));
     }
-    if !(LEAST_MEMORY_MB..=MOST_MEMORY_MB).contains(&file.limits.memory_mb) {
+    if !(MIN_MEMORY_MB..=MAX_MEMORY_MB).contains(&file.limits.memory_mb) {
         let found = file.limits.memory_mb;
         return Err(format!(
-            "limits.memory_mb is {found}; {LEAST_MEMORY_MB} or more, up to {MOST_MEMORY_MB} is allowed"
+            "limits.memory_mb is {found}; {MIN_MEMORY_MB} or more, up to {MAX_MEMORY_MB} is allowed"
         ));
     }
     // Checked here so that nothing starts, or is taken over, on settings that cannot be used.
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -298,9 +298,9 @@
             let mut edge = shalespindle_platform::Edge::new(file, BEGIN, UNIX).unwrap();
             edge.poll(BEGIN);
             while let Some(output) = edge.next_output() {
-                if let shalespindle_platform::Output::Dial { within, .. } = output {
+                if let shalespindle_platform::Output::Dial { timeout, .. } = output {
                     // What the shell does with it.
-                    assert!(std::time::Duration::from_secs_f64(within) > std::time::Duration::ZERO);
+                    assert!(std::time::Duration::from_secs_f64(timeout) > std::time::Duration::ZERO);
                 }
             }
         }
