--- a/crates/platform-service/src/lib.rs
+++ b/crates/platform-service/src/lib.rs
@@ -1,5 +1,5 @@
-//! The live front on sockets. One coroutine owns the core; readers send it what comes over one bounded
-//! mailbox; it writes without blocking and decides nothing.
+//! The live front on sockets. One coroutine owns the [`shalespindle_platform::Edge`]; reader coroutines send
+//! it their input through one bounded mailbox. This crate writes without blocking and makes no decisions.
 
 mod owner;
 mod readers;
--- a/crates/platform-service/src/owner.rs
+++ b/crates/platform-service/src/owner.rs
@@ -1,4 +1,4 @@
-//! The coroutine that owns the core: events in, polls, outputs out.
+//! The coroutine that owns the `Edge`: it passes events in, polls, and carries out the outputs.
 
 use crate::readers;
 use crate::slots::ConnectionSlots;
@@ -10,22 +10,22 @@
 use std::time::Duration;
 use tracing::{debug, info};
 
-/// The longest time that the core's turn is put off while more and more comes.
+/// Limit of the time spent on receiving events before the `Edge` is polled, seconds.
 const MAX_INTAKE: f64 = 0.02;
-/// What the scheduler gets to look at its sockets where something lies unread.
+/// Pause in which the scheduler checks its sockets if one of them has unread input.
 const SOCKET_CHECK: Duration = Duration::from_millis(1);
-/// Bytes that may wait for a peer that does not read.
+/// Limit of the bytes queued for a peer that does not read.
 const MAX_BACKLOG: usize = 256 * 1024;
-/// Wait before another try to write what waits.
+/// Pause before queued bytes are written again, seconds.
 const WRITE_RETRY: f64 = 0.005;
-/// What readers get to read what came while the process stood still.
+/// Pause in which readers read what arrived while the process was stalled.
 const SETTLE_TIME: Duration = Duration::from_millis(5);
-/// A connection that is closed in order waits so long for its peer to read what was written, seconds.
+/// Time that a connection closed in order waits for its peer to read the remaining bytes, seconds.
 const LINGER: f64 = 3.0;
-/// Time between two lines of counters in the log.
+/// Interval between two log events with the counters, seconds.
 const COUNTERS_INTERVAL: f64 = 5.0;
 
-/// What reaches the owner.
+/// What the owner receives.
 pub(crate) enum OwnerEvent {
     Accepted { connection: ConnectionId, writing: Writing },
     Connected { connection: ConnectionId, writing: Writing },
@@ -37,9 +37,10 @@
 
 struct Peer {
     writing: Writing,
-    /// What did not fit into the socket yet.
+    /// Bytes that did not fit into the socket yet.
     waiting: Vec<u8>,
-    /// The core has closed it: it goes once that is written, or then.
+    /// Set once the `Edge` has closed the connection: it is closed when all bytes are written, or at this
+    /// time.
     closes_at: Option<f64>,
 }
 
@@ -58,7 +59,7 @@
     dialled: BTreeSet<ConnectionId>,
     slots: ConnectionSlots,
     counters_logged_at: f64,
-    /// The longest time that the owner was late since the last line of counters.
+    /// The longest delay of the owner since the last log event with the counters, seconds.
     max_lateness: f64,
 }
 
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Runs until the end that was asked for.
+    /// Runs until the shutdown has finished.
     pub fn run(mut self) {
         loop {
             let blocked = self.peers.values().any(|p| !p.waiting.is_empty());
@@ -92,7 +93,8 @@
             let due = self.edge.wake_at().min(again);
             let next = self.mail.next_within(self.ground.until(due));
             if self.ground.just_went_on() {
-                // Guards rule 3 and callers' patience: all that came meanwhile is known before it decides.
+                // After a stall all input that arrived meanwhile is read before anything is decided: callers
+                // may have left, and servers may have gone out of service (platform rule 3).
                 may::coroutine::sleep(SETTLE_TIME);
             }
             let now = self.ground.now();
@@ -108,7 +110,7 @@
             }
             self.execute_outputs();
             self.log_counters(now);
-            // Guards answers that a caller has not made room for yet: they are written, and not only decided, before the end.
+            // Answers queued for a slow reader must be written before the end.
             let blocked = self.peers.values().any(|p| !p.waiting.is_empty());
             if self.edge.is_done(now) && (!blocked || self.edge.is_overdue(now)) {
                 return;
@@ -116,9 +118,9 @@
         }
     }
 
-    /// Takes in all that has come. Guards attaches whose callers have closed or cancelled, and servers that the list
-    /// has taken out: what was said before the core's turn must not lie behind it, neither in the mailbox, nor with a
-    /// reader that waits for room in it, nor unread in a socket.
+    /// Handles all events that have arrived. A caller's close or CANCEL and a server's removal must be known
+    /// before the next poll, so events in the mailbox, with a reader that waits for space in it, and unread
+    /// in a socket are all included.
     fn receive_events(&mut self, first: Option<OwnerEvent>) {
         let until = self.ground.now() + MAX_INTAKE;
         let mut next = first;
@@ -127,7 +129,7 @@
                 self.handle_event(event);
                 next = if self.ground.now() < until { self.mail.try_next() } else { None };
             }
-            // Readers that were woken or wait for room run now; the owner goes on behind them, on their worker.
+            // Lets readers that were woken or wait for mailbox space run first, on the same worker.
             may::coroutine::yield_now();
             if self.ground.now() >= until {
                 return;
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Guards answers that wait for their reader: a connection that is closed in order is closed behind them.
+    /// Closes a connection. An orderly close waits until the queued bytes are written.
     fn close(&mut self, connection: ConnectionId, reset: bool) {
         let Some(mut peer) = self.peers.remove(&connection) else { return };
         if reset || peer.waiting.is_empty() {
@@ -216,19 +218,20 @@
                 }
                 peer.waiting.extend_from_slice(&bytes[size..]);
             }
-            // Its reader reports the loss.
+            // The connection's reader reports the loss.
             Err(_) => return,
         }
         if peer.waiting.len() > MAX_BACKLOG {
-            // Guards memory against peers that ask and never read.
+            // Bounds the memory used by a peer that sends requests and never reads.
             self.abort(connection);
         }
     }
 
-    /// Writes on what waited.
+    /// Writes queued bytes.
     fn flush_waiting(&mut self) {
         let now = self.ground.now();
-        // Guards set-ups of which only a part has left: their callers may have gone by what lies unread.
+        // A partly written set-up is held back while there is unread input, which may say that its caller has
+        // left.
         let holds_links = self.has_unread_input();
         let (mut lost, mut closed) = (Vec::new(), Vec::new());
         for (connection, peer) in self.peers.iter_mut().filter(|p| !p.1.waiting.is_empty()) {
--- a/crates/platform-service/src/readers.rs
+++ b/crates/platform-service/src/readers.rs
@@ -9,9 +9,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes read at once: most messages are far shorter, and every connection has such a buffer.
+/// Buffer size of one read; most messages are far shorter, and every connection has such a buffer.
 const READ_SIZE: usize = 4 * 1024;
-/// Wait where a connection cannot be accepted: callers hold all that they may, or the system has none left.
+/// Pause if a connection cannot be accepted because clients hold the limit or the system has no descriptor
+/// left.
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
 
 pub(crate) fn accept(
@@ -33,7 +34,7 @@
             };
             let slot = slots.take();
             last += 2;
-            // A socket that has ended already says so to its reader.
+            // An error here means that the socket has ended, which its reader reports.
             let _ = stream.set_nodelay(true);
             let connection = last;
             let (reader_mailbox, ground) = (mailbox.clone(), ground.clone());
@@ -65,7 +66,7 @@
     });
 }
 
-/// Dials and then reads.
+/// Dials a peer and reads from the connection.
 pub(crate) fn dial(
     connection: ConnectionId,
     to: SocketAddr,
--- a/crates/platform-service/src/service.rs
+++ b/crates/platform-service/src/service.rs
@@ -1,4 +1,4 @@
-//! A live front: its sockets, its coroutines, and the handle that asks it for things.
+//! A live front: its sockets, its coroutines, and the handle to control it.
 
 use crate::owner::{Owner, OwnerEvent};
 use crate::readers;
@@ -11,19 +11,19 @@
 use std::time::{Duration, Instant, SystemTime};
 use tracing::warn;
 
-/// Letters that may wait for the owner; each holds one read at most.
+/// Events that may be queued for the owner; each holds one read at most.
 const MAILBOX_CAPACITY: usize = 256;
 
-/// An address that is taken is asked for again for so long, and so often.
+/// Total time and interval for which binding is retried while the address is in use.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 const BIND_RETRY: Duration = Duration::from_millis(20);
 
-/// Fits the coroutines' scheduler to a machine of one core. Called once, before the first coroutine.
+/// Configures the coroutine scheduler for a machine with one core. Called once, before the first coroutine.
 pub fn use_single_worker() {
     may::config().set_workers(1);
 }
 
-/// A live front in service.
+/// A running live front.
 pub struct Service {
     address: SocketAddr,
     mailbox: Mailbox<OwnerEvent>,
@@ -32,7 +32,7 @@
 }
 
 impl Service {
-    /// Takes the list as far as it is known, then listens and starts.
+    /// Applies the known list of servers, then listens and starts.
     pub fn start(file: StartFile) -> io::Result<Service> {
         let ground = Ground::new();
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or(Duration::ZERO);
@@ -52,12 +52,12 @@
         self.address
     }
 
-    /// The file was replaced. An owner that has ended takes nothing more.
+    /// Passes on a new start file; an owner that has ended ignores it.
     pub fn reload(&self, file: StartFile) {
         let _ = self.mailbox.send_urgent(OwnerEvent::Reload(Box::new(file)));
     }
 
-    /// Asks for an orderly end.
+    /// Starts an orderly shutdown.
     pub fn end(&self) {
         let _ = self.mailbox.send_urgent(OwnerEvent::End);
     }
@@ -67,7 +67,8 @@
     }
 }
 
-/// Guards a restart against its own predecessor, whose listener the system may not have taken back yet.
+/// Binds the listener, with retries: after a restart the system may not have released the predecessor's
+/// listener.
 fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
     let begin = Instant::now();
     loop {
--- a/crates/platform-service/src/slots.rs
+++ b/crates/platform-service/src/slots.rs
@@ -1,5 +1,5 @@
-//! How many callers' connections are open, beside how many may be: read by the coroutine that accepts, so that
-//! descriptors are left for servers, the list and files whatever callers do.
+//! Counts the open client connections against their limit. The accepting coroutine checks it, so that
+//! descriptors remain for servers, the feed and files.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
     max: AtomicUsize,
 }
 
-/// One open connection; its place is free again when it is dropped.
+/// One open connection; its slot is freed on drop.
 pub(crate) struct Slot(ConnectionSlots);
 
 impl ConnectionSlots {
@@ -28,7 +28,7 @@
         self.0.held.load(Ordering::Acquire) >= self.0.max.load(Ordering::Relaxed)
     }
 
-    /// Takes one: by the coroutine that accepts alone, after it has found them not full.
+    /// Takes a slot. Called only by the accepting coroutine, after it has found a free one.
     pub fn take(&self) -> Slot {
         self.0.held.fetch_add(1, Ordering::AcqRel);
         Slot(self.clone())
--- a/crates/platform/src/callers.rs
+++ b/crates/platform/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side of a front: what comes on their connections, and what goes out to them.
+//! The callers' side of a front: messages received on client connections, and those sent to callers.
 
 use crate::calls::{CallState, EstablishedCall, PendingCall};
 use crate::causes::{NORMAL_CLEARING, TEMPORARY_FAILURE};
@@ -11,7 +11,7 @@
 use shalespindle_signalling::write::{ResponseHead, Writer};
 use shalespindle_signalling::{Framer, Message, Method, Start};
 
-/// Time for what has come on a connection to be read before it is closed, seconds.
+/// Time between marking a connection for closing and closing it, in which pending input is read, seconds.
 const CLOSE_DELAY: f64 = 0.001;
 
 impl Edge {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// What cannot be read ends its connection: nothing after it can be told apart.
+    /// Answers and closes the connection: after an unreadable message, message boundaries are unknown.
     fn unreadable(&mut self, now: f64, connection: ConnectionId, status: u16) {
         self.counters.unreadable += 1;
         self.outputs.push_back(Output::Write { connection, bytes: sip::unreadable(status) });
@@ -53,7 +53,7 @@
 
     fn message(&mut self, now: f64, arrived: f64, connection: ConnectionId, message: &Message) {
         if let Some(client) = self.clients.all.get_mut(&connection) {
-            // What is whole was no part of what is not.
+            // The message is complete, so no part of one is waiting.
             client.partial_since = None;
         }
         match message.start {
@@ -82,7 +82,7 @@
         self.outputs.push_back(Output::Write { connection, bytes });
     }
 
-    /// Of bad form: answered, and the connection closed when that goes on.
+    /// Answers a malformed message, and closes the connection if there were too many of them.
     fn bad(&mut self, now: f64, connection: ConnectionId, message: &Message, status: u16) {
         self.counters.bad_form += 1;
         self.respond(connection, status, message);
@@ -103,7 +103,8 @@
             let (ue, same_connection, is_pending) =
                 (call.ue, call.client == connection, matches!(call.state, CallState::Pending(_)));
             if same_connection && is_pending {
-                // Two set-ups that one answer would belong to: the one answer is that neither is served.
+                // A repeated set-up with the same id on the same connection: a single answer would be
+                // ambiguous, so both are rejected.
                 self.caller_left(now, ue);
             }
             return self.bad(now, connection, message, 482);
@@ -134,7 +135,7 @@
             head: ResponseHead::of(message, ""),
             gives_up_at,
             tries: 0,
-            out: None,
+            current_try: None,
         };
         let ue = self.calls.add(id, connection, CallState::Pending(Box::new(pending)));
         self.counters.attaches += 1;
@@ -146,7 +147,7 @@
         let new = NewAttach {
             ue,
             procedure: request.procedure,
-            // One that no pool has where none is named.
+            // A number that no pool has, where the caller names no first choice.
             first_choice: request.first_choice.unwrap_or(u16::MAX),
             called_number: sip::number(request.number),
             gives_up_at,
@@ -178,14 +179,15 @@
         let ue = call.ue;
         match &call.state {
             CallState::Pending(pending) => {
-                // No answer is owed, but RFC 3261 section 9.2 gives the set-up one.
+                // A caller that has left is owed no answer, but RFC 3261 section 9.2 requires one to the
+                // set-up.
                 let (client, bytes) = (call.client, sip::refusal(487, &pending.head, None));
                 self.clients.used(now, connection, Usage::Requests);
                 self.respond(connection, 200, message);
                 self.outputs.push_back(Output::Write { connection: client, bytes });
                 self.caller_left(now, ue);
             }
-            // It crossed the answer: its caller no longer waits for a call.
+            // The CANCEL crossed the answer: the caller no longer wants the call.
             CallState::Established(EstablishedCall { confirmed: false, .. }) => {
                 let client = call.client;
                 self.respond(connection, 200, message);
@@ -212,18 +214,19 @@
         }
     }
 
-    /// The caller stopped waiting: no answer is owed, and its setup try is given up.
+    /// Removes a pending attach whose caller stopped waiting: no answer is owed, and its setup try is
+    /// released.
     pub(crate) fn caller_left(&mut self, now: f64, ue: UeId) {
         self.counters.left += 1;
         self.control.client_left(now, ue);
         let Some((id, client, _)) = self.calls.pending(ue) else { return };
         self.log_debug("caller left", call_subject(id), format!("connection {client}"));
-        if let Some(out) = self.take_try(now, ue) {
-            if let Some(connection) = out.link {
+        if let Some(setup_try) = self.take_try(now, ue) {
+            if let Some(connection) = setup_try.link {
                 self.release_try(now, connection, id);
             }
             self.count_try_end(EndReason::Cancelled);
-            self.control.try_ended(now, ue, out.pool, EndReason::Cancelled, true, Report::default());
+            self.control.try_ended(now, ue, setup_try.pool, EndReason::Cancelled, true, Report::default());
         }
         self.detach_from_client(now, client, ue);
         self.calls.remove(ue);
@@ -238,7 +241,7 @@
         self.call_left_server(established.pool);
     }
 
-    /// A call that stood is over by its server's word or end: its caller is told.
+    /// Ends an established call on behalf of its server or of the front and sends the release to the caller.
     pub(crate) fn end_established_call(
         &mut self,
         now: f64,
@@ -261,7 +264,7 @@
         self.send_releases(now);
     }
 
-    /// Sends what is owed and not heard, as far as there are connections that can take it.
+    /// Sends the releases that are not confirmed yet, as far as there are suitable connections.
     pub(crate) fn send_releases(&mut self, now: f64) {
         for Release { connection, id, cause, is_repeat } in self.releases.take_due(now, &self.clients) {
             self.counters.byes += 1;
@@ -295,7 +298,7 @@
         for ue in client.open {
             self.caller_left(now, ue);
         }
-        // Whether the answer was read is not known: neither side is left with half a call.
+        // It is unknown whether the caller read the answer, so the call is released on both sides.
         for ue in client.unconfirmed {
             let Some(id) = self.calls.by_ue(ue).map(|c| c.id) else { continue };
             self.released_by_caller(now, ue, TEMPORARY_FAILURE);
@@ -315,7 +318,8 @@
         self.send_releases(now);
     }
 
-    /// Finds the connections that have had their time, and those that an ending front keeps for nothing.
+    /// Marks overdue connections, and during shutdown idle ones, to be closed after the pending input is
+    /// read.
     fn mark_for_close(&mut self, now: f64) {
         self.closing = self.clients.overdue(now).into_iter().chain(self.idle_at_shutdown(now)).collect();
         if !self.closing.is_empty() {
@@ -323,8 +327,7 @@
         }
     }
 
-    /// Closes the connections that were marked, unless something has come on them that keeps them open: all that came
-    /// has been read since.
+    /// Closes the marked connections unless input read in the meantime keeps them open.
     pub(crate) fn close_marked(&mut self, now: f64) {
         let marked = std::mem::take(&mut self.closing);
         for connection in self.idle_at_shutdown(now).into_iter().filter(|c| marked.contains(c)) {
--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of a front: attaches in hand and calls that stand, in one slab, found by id and by ue.
+//! The calls of a front: pending attaches and established calls in one slab, indexed by call id and by ue.
 
 use crate::edge::ConnectionId;
 use shalespindle_control::interface::{PoolId, UeId};
@@ -6,15 +6,15 @@
 use slab::Slab;
 use std::collections::{BTreeSet, HashMap};
 
-/// A setup try that is out, or that waits for a link.
+/// A setup try that has been sent or waits for a link.
 pub struct Try {
     pub pool: PoolId,
-    /// The link it went out on; none while it waits for one.
+    /// The link it was sent on; none while it waits for one.
     pub link: Option<ConnectionId>,
     pub sent_at: f64,
 }
 
-/// An attach that is owed its final answer.
+/// An attach whose final answer has not been sent.
 pub struct PendingCall {
     pub procedure: usize,
     pub number: Box<str>,
@@ -22,15 +22,15 @@
     pub head: ResponseHead,
     pub gives_up_at: f64,
     pub tries: u32,
-    pub out: Option<Try>,
+    pub current_try: Option<Try>,
 }
 
-/// A call that stands.
+/// A call that was answered and has not been released.
 pub struct EstablishedCall {
     pub pool: PoolId,
-    /// The link of its set-up: its server says its end there. None for a call that was handed over.
+    /// The link of its set-up, on which the server sends the release. None for a call that was handed over.
     pub link: Option<ConnectionId>,
-    /// Its caller has confirmed the answer.
+    /// The caller has confirmed the answer with an ACK.
     pub confirmed: bool,
 }
 
@@ -42,7 +42,7 @@
 pub struct Call {
     pub id: u64,
     pub ue: UeId,
-    /// The connection its set-up came on.
+    /// The client connection on which the set-up arrived.
     pub client: ConnectionId,
     pub state: CallState,
 }
@@ -54,12 +54,12 @@
     by_ue: HashMap<UeId, usize>,
     next_ue: UeId,
     pending_count: usize,
-    /// Bytes of the descriptions held.
+    /// Total size of the descriptions of pending attaches, in bytes.
     bytes: usize,
 }
 
 impl Calls {
-    /// Takes a call in; its ue is new.
+    /// Adds a call and returns its new ue.
     pub fn add(&mut self, id: u64, client: ConnectionId, state: CallState) -> UeId {
         self.next_ue = self.next_ue.wrapping_add(1);
         let ue = self.next_ue;
@@ -84,7 +84,7 @@
         Some(call)
     }
 
-    /// The attach's call stands from now on.
+    /// Turns a pending attach into an established call.
     pub fn establish(&mut self, ue: UeId, pool: PoolId, link: ConnectionId) {
         let Some(&key) = self.by_ue.get(&ue) else { return };
         if let CallState::Pending(pending) = &self.slab[key].state {
@@ -103,7 +103,7 @@
         self.by_ue.get(&ue).map(|&key| &mut self.slab[key])
     }
 
-    /// The attach in hand of that name.
+    /// Returns the call id, client connection and state of a pending attach.
     pub fn pending(&mut self, ue: UeId) -> Option<(u64, ConnectionId, &mut PendingCall)> {
         let call = self.by_ue(ue)?;
         match &mut call.state {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Those in hand, in the order of their places.
+    /// Returns all pending attaches, in the order of the slab.
     pub fn all_pending(&self) -> Vec<UeId> {
         self.slab
             .iter()
@@ -121,33 +121,35 @@
             .collect()
     }
 
-    /// In hand, and no setup try of it has been written, or none is out any more.
+    /// Whether the attach is pending and no setup try of it is out on a link.
     pub fn is_unsent(&self, ue: UeId) -> bool {
         let call = self.by_ue.get(&ue).map(|&key| &self.slab[key].state);
-        matches!(call, Some(CallState::Pending(h)) if h.out.as_ref().is_none_or(|t| t.link.is_none()))
+        matches!(call, Some(CallState::Pending(h)) if h.current_try.as_ref().is_none_or(|t| t.link.is_none()))
     }
 
-    /// The link that its setup try went out on.
+    /// Returns the link on which the attach's current setup try was sent.
     pub fn link_of_try(&self, ue: UeId) -> Option<ConnectionId> {
         match &self.slab[*self.by_ue.get(&ue)?].state {
-            CallState::Pending(pending) => pending.out.as_ref()?.link,
+            CallState::Pending(pending) => pending.current_try.as_ref()?.link,
             CallState::Established(_) => None,
         }
     }
 
-    /// Those that stand at a pool, in the order of their places.
-    pub fn standing_at(&self, pool: PoolId) -> Vec<UeId> {
-        let there = |c: &Call| matches!(&c.state, CallState::Established(s) if s.pool == pool);
-        self.slab.iter().filter(|(_, c)| there(c)).map(|(_, c)| c.ue).collect()
+    /// Returns the calls established at a pool, in the order of the slab.
+    pub fn established_at(&self, pool: PoolId) -> Vec<UeId> {
+        let is_at_pool = |c: &Call| matches!(&c.state, CallState::Established(s) if s.pool == pool);
+        self.slab.iter().filter(|(_, c)| is_at_pool(c)).map(|(_, c)| c.ue).collect()
     }
 
-    /// Whether any stands whose set-up came on a connection like that.
-    pub fn any_standing(&self, is_meant: impl Fn(ConnectionId) -> bool) -> bool {
-        self.slab.iter().any(|(_, c)| matches!(c.state, CallState::Established(_)) && is_meant(c.client))
+    /// Whether any established call arrived on a client connection that meets the condition.
+    pub fn any_established(&self, matches_client: impl Fn(ConnectionId) -> bool) -> bool {
+        self.slab
+            .iter()
+            .any(|(_, c)| matches!(c.state, CallState::Established(_)) && matches_client(c.client))
     }
 
-    /// The links of the set-ups of those that stand at a pool.
-    pub fn links_of_standing_at(&self, pool: PoolId) -> BTreeSet<ConnectionId> {
+    /// Returns the links of the set-ups of the calls established at a pool.
+    pub fn links_of_established_at(&self, pool: PoolId) -> BTreeSet<ConnectionId> {
         let link = |c: &Call| match &c.state {
             CallState::Established(established) if established.pool == pool => established.link,
             _ => None,
--- a/crates/platform/src/causes.rs
+++ b/crates/platform/src/causes.rs
@@ -1,6 +1,6 @@
-//! Causes of releases (Q.850) that the front itself tells apart or sends.
+//! Q.850 causes of releases that the front sends or distinguishes.
 
-/// The call came to its ordinary end.
+/// The call was ended normally.
 pub(crate) const NORMAL_CLEARING: u16 = 16;
-/// The call was cut.
+/// The call was cut off by a failure.
 pub(crate) const TEMPORARY_FAILURE: u16 = 41;
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! The connections that callers hold, and which of them is closed when there are too many.
+//! Client connections, and which of them is closed if there are too many.
 
 use crate::edge::ConnectionId;
 use crate::lines::MAX_LINE;
@@ -6,25 +6,26 @@
 use shalespindle_signalling::Framer;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A caller's connection is owed a refusal, an error or its close within 3 s: one on which nothing of use
-/// has come by then is closed a little earlier.
+/// The platform requires a refusal, an error or a close within 3 s on every client connection: one without a
+/// useful message is closed a little earlier. Seconds.
 const UNUSED_TIMEOUT: f64 = 2.4;
-/// Callers close a connection without a call after 4 s; one that is kept longer is kept for nothing.
+/// Callers close a connection without a call after 4 s; one that stays open longer is not needed. Seconds.
 const IDLE_TIMEOUT: f64 = 6.0;
-/// A caller that connects to ask has asked by then.
+/// Time in which a caller that has connected sends its first request, seconds.
 const FIRST_REQUEST_PERIOD: f64 = 0.25;
-/// Messages of bad form after which a connection is closed.
+/// Number of malformed messages after which a connection is closed.
 pub const MAX_BAD_MESSAGES: u32 = 4;
 
-/// What a connection has been of use for so far; the least of them is closed first.
+/// The most useful message received on a connection so far; the least useful connection is closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Usage {
     None,
-    /// Tests alone. Guards against a crowd that asks for nothing else and would push callers out.
+    /// Only OPTIONS probes. Ranked lowest, so that a crowd of probing clients cannot displace callers.
     Probes,
-    /// An attach asked for, or a word on one: what bad clients can say too.
+    /// A set-up, or a request that belongs to one; bad clients can send these too.
     Requests,
-    /// A word that only the caller of a call that stood has: its answer or its release confirmed, its release.
+    /// A message that only the caller of an established call sends: the confirmation of its answer or
+    /// release, or its own release.
     Caller,
 }
 
@@ -33,13 +34,13 @@
     pub opened_at: f64,
     pub usage: Usage,
     pub last_at: f64,
-    /// Since when part of a message has waited for the rest.
+    /// Since when part of a message has been waiting for the rest.
     pub partial_since: Option<f64>,
-    /// Attaches in hand that came on it.
+    /// Pending attaches that arrived on the connection.
     pub open: Vec<UeId>,
-    /// Calls whose answer went out on it and is not yet confirmed.
+    /// Calls whose answer was written to the connection and is not confirmed yet.
     pub unconfirmed: Vec<UeId>,
-    /// Calls that stand and whose set-up came on it: their ends are told on it.
+    /// Established calls whose set-up arrived on the connection, where their releases are sent.
     pub established: BTreeSet<UeId>,
     pub bad_messages: u32,
 }
@@ -63,7 +64,7 @@
         self.open.is_empty()
     }
 
-    /// Nothing is left on it: neither an attach in hand nor a call that stands.
+    /// Whether the connection has neither a pending attach nor an established call.
     pub fn carries_no_call(&self) -> bool {
         self.is_idle() && self.established.is_empty()
     }
@@ -86,10 +87,10 @@
         }
     }
 
-    /// The one to close first where there are too many: of least use so far, then longest idle. After them the one that
-    /// came last, whose request may still be on its way; then those whose calls stand, and those that wait for their
-    /// caller's word on an answer; one
-    /// on which an answer is owed only where all owe one, and then the newest.
+    /// The connection to close first if there are too many: the least useful, then the longest idle. After
+    /// these come the newest one if its first request may still be on its way, those with established calls,
+    /// and those with an unconfirmed answer; a connection with a pending attach only if all have one, and
+    /// then the newest.
     pub fn eviction_candidate(&self, now: f64) -> Option<ConnectionId> {
         let rank = |connection, c: &ClientConnection| {
             (
@@ -107,13 +108,13 @@
         candidate.map(|c| *c.0)
     }
 
-    /// The one that came last, only just now, and has said nothing yet.
+    /// Whether the connection is the newest, was opened just now and has received no message yet.
     pub fn may_still_request(&self, now: f64, connection: ConnectionId) -> bool {
         let last = self.all.last_key_value().filter(|c| *c.0 == connection);
         last.is_some_and(|(_, c)| c.usage == Usage::None && now - c.opened_at < FIRST_REQUEST_PERIOD)
     }
 
-    /// Those that have had their time.
+    /// Connections that have exceeded one of their time limits.
     pub fn overdue(&self, now: f64) -> Vec<ConnectionId> {
         let is_overdue = |c: &ClientConnection| {
             let useless = c.usage == Usage::None && c.is_idle() && now - c.opened_at > UNUSED_TIMEOUT;
--- a/crates/platform/src/early.rs
+++ b/crates/platform/src/early.rs
@@ -1,24 +1,25 @@
-//! Ends of calls that were read before their begin: a cancel before its set-up, a server's release before the call is
-//! handed over.
+//! Ids of calls whose end was read before their beginning: a CANCEL before its set-up, or a server's release
+//! before the call is handed over.
 //!
-//! The two come on different connections, which are read in no order that their writers agreed on. Without this the
-//! set-up of a caller that has gone would be sent on, and a call that is over be held as standing.
+//! The two messages arrive on different connections, which are not read in the order of writing. Without this
+//! record the set-up of a caller that has left would be sent on, and a call that has ended would be kept as
+//! established.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Ids remembered; past that the oldest is forgotten.
+/// Limit of the ids remembered; beyond it the oldest is discarded.
 const MAX_IDS: usize = 1024;
 
-/// Ids of such calls. An id is never used twice, so one that is not asked for any more is only forgotten.
+/// Remembered ids. An id is never reused, so an unclaimed one only has to expire.
 #[derive(Default)]
 pub struct EarlyIds {
     expires_at: HashMap<u64, f64>,
-    /// The same in the order in which they came.
+    /// The same ids in the order of their arrival.
     order: VecDeque<u64>,
 }
 
 impl EarlyIds {
-    /// Remembers one for that long.
+    /// Remembers an id for `lifetime` seconds.
     pub fn add(&mut self, now: f64, id: u64, lifetime: f64) {
         while let Some(oldest) = self.order.front() {
             let expired = self.expires_at.get(oldest).is_none_or(|expires_at| *expires_at <= now);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Whether the end of that call has been read already; it is asked once.
+    /// Removes the id and returns whether it was remembered, so that an end is reported only once.
     pub fn take(&mut self, now: f64, id: u64) -> bool {
         self.expires_at.remove(&id).is_some_and(|expires_at| now < expires_at)
     }
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -1,5 +1,5 @@
-//! One front: what it is told, what it does about it. Inputs update what is known; [`Edge::poll`] then pulls
-//! the module's decisions and carries them out; [`Edge::next_output`] hands out what the host is to do.
+//! One front. The methods called by the host update the state; [`Edge::poll`] handles expired timers and
+//! executes the decisions of `Control`; [`Edge::next_output`] returns what the host has to do.
 
 use crate::calls::{CallState, Calls, Try};
 use crate::client_connection::{ClientConnection, ClientConnections};
@@ -20,18 +20,19 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Name of a connection. The host gives even ones to those it accepts; the front dials odd ones.
+/// Identifies a connection. The host assigns even numbers to connections it accepts; the front assigns odd
+/// numbers to those it dials.
 pub type ConnectionId = u64;
 
-/// How a connection ended, or never came up.
+/// How a connection ended, or why it was not established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// Refused: proof that nothing ran.
+    /// The peer refused the connection: nothing sent on it was processed.
     Refused,
     Broken,
 }
 
-/// What the host is to do.
+/// An action for the host.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     Dial {
@@ -43,7 +44,7 @@
         connection: ConnectionId,
         bytes: Vec<u8>,
     },
-    /// With `reset` what was not sent must not arrive any more.
+    /// With `reset`, unsent bytes are discarded and must not arrive.
     Close {
         connection: ConnectionId,
         reset: bool,
@@ -51,7 +52,7 @@
     Log(LogRecord),
 }
 
-/// What has been counted since the start.
+/// Counters since the start. Their names are metric names in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     pub attaches: u64,
@@ -59,7 +60,8 @@
     pub refused: u64,
     pub aborted: u64,
     pub left: u64,
-    /// Answered by the front itself: it ended, or had no room.
+    /// Attaches answered by the front itself because it shut down or closed the connection to free a
+    /// descriptor.
     pub given_up: u64,
     pub bad_form: u64,
     pub unreadable: u64,
@@ -74,89 +76,90 @@
     pub links_spoilt: u64,
     pub links_lost: u64,
     pub late_answers: u64,
-    /// Calls that stood on servers which fell silent, and are taken for over.
+    /// Established calls ended because their server fell silent.
     pub calls_at_silent_servers: u64,
-    /// Calls that came to their end at their server before their answer was heard.
+    /// Calls released normally by their server before the answer arrived.
     pub ended_before_answer: u64,
     pub clients_evicted: u64,
     pub clients_overdue: u64,
-    /// Links that were not made for want of a descriptor.
+    /// Links not dialled because no descriptor was available.
     pub no_descriptor: u64,
     pub tests: u64,
-    /// Releases written to callers, those written again elsewhere, confirmed, and never confirmed.
+    /// Releases written to callers, repeated on another connection, confirmed, and never confirmed.
     pub byes: u64,
     pub byes_again: u64,
     pub byes_heard: u64,
     pub byes_unheard: u64,
 }
 
-/// What falls due.
+/// What a timer of the front is for.
 pub(crate) enum TimerEvent {
     Wake,
-    /// A setup try's time is up.
+    /// The time limit of a setup try: its attach and the try's number.
     TryTimeout(UeId, u32),
-    /// So long may a setup try wait for a link.
+    /// The longest time that a setup try waits for a link: its attach and the try's number.
     LinkWaitTimeout(UeId, u32),
-    /// A link must be up by now.
+    /// The time limit for a link to come up.
     LinkTimeout(ConnectionId),
-    /// A link that is made and still silent is asked for a word.
+    /// A connected link on which the server has not sent its state is probed.
     LinkSilent(ConnectionId),
-    /// Another dial to that server.
+    /// The next dial to a server after a pause.
     Redial(PoolId),
-    /// What stands at a server that was removed is over.
+    /// Calls still established at a removed server are ended.
     RemovalGraceOver(PoolId),
-    /// An ending front answers what is still in hand.
+    /// A front that shuts down answers all pending attaches.
     AnswerAllPending,
-    /// Callers' connections that were to be closed have been read to their end.
+    /// Closes the client connections marked for closing; what had arrived on them has been read by then.
     CloseMarked,
     Sweep,
 }
 
-/// Time between two looks at what may be overdue.
+/// Interval between two checks for overdue connections, releases and servers, seconds.
 const SWEEP_INTERVAL: f64 = 0.1;
-/// A platform's time limits are longer by this on sockets; the guard is kept by that much longer too.
+/// On sockets the platform allows this much beyond its time limits, seconds; the release guard is extended by
+/// the same time.
 const SOCKET_SLACK: f64 = 0.05;
-/// Part of the memory limit that descriptions in hand may fill.
+/// Fraction of the memory limit that the descriptions of pending attaches may fill.
 const DESCRIPTION_MEMORY_SHARE: f64 = 0.125;
 
 pub struct Edge {
     pub(crate) control: Control,
     pub(crate) report_layout: ReportLayout,
-    /// Names of the procedures and the longest time that a caller of each may wait.
+    /// Names of the procedures, and the longest time in seconds that a caller of each may wait.
     pub(crate) procedures: Vec<(String, f64)>,
     pub(crate) max_pending: usize,
     pub(crate) max_description_bytes: usize,
     pub(crate) max_sockets: usize,
     pub(crate) dial_timeout: f64,
-    /// Unix time of the clock's zero, seconds.
+    /// Unix time at which the host's clock is zero, seconds.
     pub(crate) clock_epoch: f64,
     pub(crate) calls: Calls,
     pub(crate) clients: ClientConnections,
     pub(crate) releases: Releases,
     pub(crate) early_cancels: EarlyIds,
-    /// Calls that a server released before this front knew of them: their callers may yet hand them over.
+    /// Calls released by a server before this front knew them; their callers may hand them over later.
     pub(crate) early_releases: EarlyIds,
-    /// Callers' connections to close once all that has come on them is read.
+    /// Client connections to close once everything that has arrived on them is read.
     pub(crate) closing: BTreeSet<ConnectionId>,
-    /// When a caller's connection was last there.
+    /// When at least one client connection was last open.
     pub(crate) last_client_seen_at: f64,
     pub(crate) servers: Servers,
     pub(crate) feed: Feed,
     pub(crate) timers: Timers<TimerEvent>,
     pub(crate) outputs: VecDeque<Output>,
     pub(crate) counters: Counters,
-    /// Calls handed over whose server is not known yet.
+    /// Calls handed over to this front whose server is not in the list yet.
     pub(crate) unresolved_handovers: Vec<UnresolvedHandover>,
     pub(crate) shutdown_since: Option<f64>,
-    /// Servers that have a link again: what waits for one goes out in the front's next turn.
+    /// Servers with a link that has just come up; tries that wait for one are sent on the next poll.
     pub(crate) newly_linked: Vec<PoolId>,
     last_connection_id: ConnectionId,
     last_probe_id: u64,
 }
 
 impl Edge {
-    /// A front as its file says; `unix` is the Unix time now, seconds. The list as far as it is known is taken
-    /// at once.
+    /// Creates a front from its start file and applies the known list of servers; `unix` is the current Unix
+    /// time in seconds.
     pub fn new(file: StartFile, now: f64, unix: f64) -> Result<Edge, String> {
         let startup = file.settings.into_startup()?;
         let mut deployment = startup.deployment;
@@ -196,7 +199,7 @@
         Ok(edge)
     }
 
-    /// Events that a file brings along, and the number that the feed goes on from.
+    /// Applies the events of a start file; the feed continues after event `n`.
     fn apply_known_events(&mut self, now: f64, n: u64, events: Vec<Event>) {
         let last_event = self.feed.last_event;
         for event in events.into_iter().filter(|e| e.n > last_event) {
@@ -207,12 +210,12 @@
 
     // ---- what the host tells ----
 
-    /// A caller's connection was accepted.
+    /// The host accepted a connection from a client.
     pub fn accepted(&mut self, now: f64, connection: ConnectionId) {
         self.clients.open(now, connection);
     }
 
-    /// A connection that the front dialled is made.
+    /// A connection dialled by the front was established.
     pub fn connected(&mut self, now: f64, connection: ConnectionId) {
         if self.feed.connection == Some(connection) {
             let bytes = self.feed.connected(now);
@@ -227,7 +230,7 @@
         }
     }
 
-    /// A connection ended, or never came up.
+    /// A connection ended, or could not be established.
     pub fn lost(&mut self, now: f64, connection: ConnectionId, loss: Loss) {
         if self.feed.connection == Some(connection) {
             if self.feed.is_up() {
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Bytes came; `arrived` is the earliest time at which they can have come.
+    /// Bytes arrived on a connection; `arrived` is the earliest time at which they can have arrived.
     pub fn bytes(&mut self, now: f64, arrived: f64, connection: ConnectionId, bytes: &[u8]) {
         if self.clients.all.contains_key(&connection) {
             self.client_bytes(now, arrived, connection, bytes);
@@ -266,10 +269,10 @@
         }
     }
 
-    /// The file was replaced: the feed goes on at the address it names.
+    /// The start file was replaced: the feed continues at the address in the new file.
     pub fn reconfigured(&mut self, now: f64, file: StartFile) {
         self.log_info("configuration taken", file.feed, format!("known to {}", file.known.n));
-        // Only what follows without a gap, or begins anew with the whole list, may be taken from the file.
+        // Events of the file are only applied if they follow the last event without a gap.
         let first = file.known.events.iter().map(|e| e.n).find(|n| *n > self.feed.last_event);
         if first == Some(self.feed.last_event + 1) {
             self.apply_known_events(now, file.known.n, file.known.events);
@@ -279,7 +282,7 @@
 
     // ---- what it does ----
 
-    /// When [`Edge::poll`] is due again at the latest.
+    /// The latest time at which [`Edge::poll`] must be called.
     pub fn wake_at(&self) -> f64 {
         self.timers.next().min(self.feed.wake_at())
     }
@@ -292,7 +295,7 @@
         self.counters
     }
 
-    /// Attaches in hand, calls standing, callers' connections, links.
+    /// Numbers of pending attaches, established calls, client connections and links.
     pub fn gauges(&self) -> [usize; 4] {
         [
             self.calls.pending_count(),
@@ -302,12 +305,12 @@
         ]
     }
 
-    /// Connections on which something may have come that changes what is sent next: those of callers whose attaches
-    /// may be sent on, and the feed; and those of callers that may be closed, since what has come on them is owed an
-    /// answer. None where nothing may be sent or closed.
+    /// Connections whose unread input may change what is sent or closed next, so the host reads them first:
+    /// clients with unsent attaches together with the feed, and clients that may be closed, because requests
+    /// that have arrived on them must still be answered. Empty if nothing may be sent or closed.
     pub fn connections_to_read_first(&self, now: f64) -> Vec<ConnectionId> {
         let all_may_close = self.refuses_new_calls(now) || self.clients.all.len() > self.max_clients();
-        // Part of one that is being written to a server that does not read may still wait here.
+        // Part of a set-up may still be queued here if its server does not read.
         let is_blocked = |link| self.servers.links.get(&link).is_some_and(|l| l.blocked);
         let is_waiting =
             |ue: &UeId| self.calls.is_unsent(*ue) || self.calls.link_of_try(*ue).is_some_and(is_blocked);
@@ -326,12 +329,12 @@
         connections
     }
 
-    /// Whether a connection is one to a server.
+    /// Whether the connection is a link to a server.
     pub fn is_link(&self, connection: ConnectionId) -> bool {
         self.servers.links.contains_key(&connection)
     }
 
-    /// Deals with what is due, then decides and carries out until there is nothing more.
+    /// Handles expired timers, then executes decisions until there are none left.
     pub fn poll(&mut self, now: f64) {
         self.send_waiting_tries(now);
         while let Some(due) = self.timers.pop(now) {
@@ -359,7 +362,9 @@
             TimerEvent::LinkWaitTimeout(ue, number) => {
                 let is_waiting = |t: &Try| t.link.is_none();
                 let pending = self.calls.pending(ue).map(|c| c.2);
-                if pending.is_some_and(|h| h.tries == number && h.out.as_ref().is_some_and(is_waiting)) {
+                if pending
+                    .is_some_and(|h| h.tries == number && h.current_try.as_ref().is_some_and(is_waiting))
+                {
                     self.end_try(now, ue, EndReason::Unreached, Report::default());
                 }
             }
@@ -384,7 +389,11 @@
         match decision {
             Decision::SetUp { ue, pool, timeout } => self.set_up(now, ue, pool, timeout),
             Decision::Cancel { ue, setup_try } => {
-                if self.calls.pending(ue).is_some_and(|c| c.2.out.is_some() && c.2.tries == setup_try + 1) {
+                if self
+                    .calls
+                    .pending(ue)
+                    .is_some_and(|c| c.2.current_try.is_some() && c.2.tries == setup_try + 1)
+                {
                     self.abandon_try(now, ue, EndReason::Cancelled);
                 }
             }
@@ -404,7 +413,7 @@
     fn set_up(&mut self, now: f64, ue: UeId, pool: PoolId, timeout: f64) {
         let Some((_, _, pending)) = self.calls.pending(ue) else { return };
         pending.tries += 1;
-        pending.out = Some(Try { pool, link: None, sent_at: now });
+        pending.current_try = Some(Try { pool, link: None, sent_at: now });
         let (number, until) = (pending.tries, (now + timeout).min(pending.gives_up_at));
         self.counters.tries += 1;
         self.timers.set(until, TimerEvent::TryTimeout(ue, number));
@@ -414,7 +423,7 @@
         match self.servers.best_link(now, pool, self.dial_timeout) {
             Some(connection) => {
                 if !self.servers.links[&connection].open.is_empty() {
-                    // The next set-up finds a link of its own: one that is spoilt takes few with it.
+                    // Gives the next set-up a link of its own, so that a broken link affects few set-ups.
                     self.dial(now, pool);
                 }
                 self.write_set_up(now, ue, connection);
@@ -429,12 +438,12 @@
         }
     }
 
-    /// Puts a setup try on a link. Callers have checked that its server still takes what is new.
+    /// Writes a setup try to a link. The caller has checked that the server still accepts set-ups.
     pub(crate) fn write_set_up(&mut self, now: f64, ue: UeId, connection: ConnectionId) {
         let Some((id, _, pending)) = self.calls.pending(ue) else { return };
-        let Some(out) = pending.out.as_mut() else { return };
-        out.link = Some(connection);
-        let (number, pool) = (pending.tries, out.pool);
+        let Some(setup_try) = pending.current_try.as_mut() else { return };
+        setup_try.link = Some(connection);
+        let (number, pool) = (pending.tries, setup_try.pool);
         let class = &self.procedures[pending.procedure].0;
         let bytes =
             lines::set_up(id, class, &pending.number, pending.gives_up_at - now, &pending.description);
@@ -447,10 +456,11 @@
         self.log_debug("set-up sent", call_subject(id), reason);
     }
 
-    /// Takes the setup try that is out off the books of its link and of its server; returns it.
+    /// Removes the current setup try from its attach, and from its link or from its server's queue, and
+    /// returns it.
     pub(crate) fn take_try(&mut self, now: f64, ue: UeId) -> Option<Try> {
-        let out = self.calls.pending(ue)?.2.out.take()?;
-        match out.link {
+        let setup_try = self.calls.pending(ue)?.2.current_try.take()?;
+        match setup_try.link {
             Some(connection) => {
                 if let Some(link) = self.servers.links.get_mut(&connection) {
                     link.open.retain(|u| *u != ue);
@@ -460,27 +470,27 @@
                 }
             }
             None => {
-                if let Some(server) = self.servers.all.get_mut(&out.pool) {
+                if let Some(server) = self.servers.all.get_mut(&setup_try.pool) {
                     server.waiting.retain(|u| *u != ue);
                 }
             }
         }
-        Some(out)
+        Some(setup_try)
     }
 
-    /// A setup try ended by its server or by its link; the attach is still owed its answer.
+    /// Ends a setup try on behalf of its server or its link; the attach still has to be answered.
     pub(crate) fn end_try(&mut self, now: f64, ue: UeId, ended: EndReason, report: Report) {
-        let Some(out) = self.take_try(now, ue) else { return };
+        let Some(setup_try) = self.take_try(now, ue) else { return };
         self.count_try_end(ended);
-        self.log_try_end(now, ue, &out, ended);
-        self.control.try_ended(now, ue, out.pool, ended, false, report);
+        self.log_try_end(now, ue, &setup_try, ended);
+        self.control.try_ended(now, ue, setup_try.pool, ended, false, report);
     }
 
-    fn log_try_end(&mut self, now: f64, ue: UeId, out: &Try, ended: EndReason) {
+    fn log_try_end(&mut self, now: f64, ue: UeId, setup_try: &Try, ended: EndReason) {
         let Some((id, _, pending)) = self.calls.pending(ue) else { return };
-        let (number, lasted) = (pending.tries, now - out.sent_at);
+        let (number, lasted) = (pending.tries, now - setup_try.sent_at);
         let reason =
-            format!("{ended:?}, try {number} at {}, after {lasted:.3} s", self.server_name(out.pool));
+            format!("{ended:?}, try {number} at {}, after {lasted:.3} s", self.server_name(setup_try.pool));
         self.log_info("try over", call_subject(id), reason);
     }
 
@@ -498,10 +508,10 @@
         *counter += 1;
     }
 
-    /// The front itself ends a setup try: its server is told, so that nothing of it is left there.
+    /// Ends a setup try on behalf of the front and releases it at the server, so that no call is left there.
     fn abandon_try(&mut self, now: f64, ue: UeId, ended: EndReason) {
         let Some((id, _, pending)) = self.calls.pending(ue) else { return };
-        let connection = pending.out.as_ref().and_then(|t| t.link);
+        let connection = pending.current_try.as_ref().and_then(|t| t.link);
         self.end_try(now, ue, ended, Report::default());
         if let Some(connection) = connection {
             self.release_try(now, connection, id);
@@ -510,14 +520,16 @@
 
     fn try_timed_out(&mut self, now: f64, ue: UeId, number: u32) {
         let Some((_, _, pending)) = self.calls.pending(ue) else { return };
-        let Some(out) = pending.out.as_ref().filter(|_| pending.tries == number) else { return };
-        let Some(connection) = out.link else {
-            // Still waiting for a link: nothing of it has left.
+        let Some(setup_try) = pending.current_try.as_ref().filter(|_| pending.tries == number) else {
+            return;
+        };
+        let Some(connection) = setup_try.link else {
+            // The try waits for a link, so nothing has been sent.
             return self.end_try(now, ue, EndReason::Unreached, Report::default());
         };
-        let sent_at = out.sent_at;
+        let sent_at = setup_try.sent_at;
         if let Some(link) = self.servers.links.get_mut(&connection) {
-            // Guards against open links to machines that are gone: nothing has come on it since.
+            // Nothing was received since: the link may lead to a machine that is gone.
             if link.last_received_at < sent_at {
                 link.retired = true;
             }
@@ -525,7 +537,7 @@
         self.abandon_try(now, ue, EndReason::TimedOut);
     }
 
-    /// The attach's one final answer, other than that its call stands.
+    /// Sends the one final answer of an attach whose call was not established.
     pub(crate) fn send_final_answer(
         &mut self,
         now: f64,
@@ -534,8 +546,8 @@
         pause: Option<f64>,
         reason: &'static str,
     ) {
-        // The module answers only when no try is out; should one be, it must not be left behind.
-        if self.calls.pending(ue).is_some_and(|c| c.2.out.is_some()) {
+        // `Control` answers only while no try is out; a try that is out nevertheless must be released.
+        if self.calls.pending(ue).is_some_and(|c| c.2.current_try.is_some()) {
             self.abandon_try(now, ue, EndReason::Cancelled);
         }
         let Some(call) = self.calls.remove(ue) else { return };
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -1,23 +1,25 @@
-//! Following the control feed: numbered events, each taken once and in order, over connections that break,
-//! fall silent and begin again.
+//! Follows the feed of server lists: numbered events, each applied once and in order, across connections that
+//! break, fall silent or start again.
 
 use crate::edge::ConnectionId;
 use crate::sse::EventStream;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A comment comes every second: with nothing heard for this long the stream has stopped.
+/// The feed sends a comment every second; after this time without input the stream counts as stopped,
+/// seconds.
 const SILENCE_TIMEOUT: f64 = 1.7;
-/// An event is written whole: one that has come in part and goes on no more has stopped short. Waiting for the
-/// silence would hold back what it tells, such as that a server with calls is gone.
+/// Time for the rest of a partly received event, seconds. Events are written whole, so a pause means that the
+/// stream has stopped. Waiting for the silence timeout would delay the event's content, such as the removal
+/// of a server with calls.
 const PARTIAL_EVENT_TIMEOUT: f64 = 0.3;
-/// A connection that has not come up within this is given up.
+/// Time limit for a connection to the feed, seconds.
 pub const DIAL_TIMEOUT: f64 = 0.5;
-/// Pauses before the feed is asked again, doubling.
+/// Pauses before the feed is dialled again, seconds; each is twice the previous one.
 const MIN_PAUSE: f64 = 0.05;
 const MAX_PAUSE: f64 = 0.4;
 
-/// One numbered event of the list.
+/// One numbered event of the feed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
     pub n: u64,
@@ -26,12 +28,12 @@
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Members {
-    /// The whole list, not what has changed.
+    /// Whether this is the whole list rather than the changes to it.
     pub complete: bool,
     pub members: Vec<Member>,
 }
 
-/// One signalling server as the feed writes it; one that is removed may come without the rest.
+/// One signalling server as written by the feed; a removed one may come without the other fields.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
     pub id: String,
@@ -39,15 +41,15 @@
     #[serde(default)]
     pub cell: u16,
     pub phase: String,
-    /// Unix time of a late start, or 0.
+    /// Unix time in milliseconds at which the server started, or 0 if it has run for long.
     #[serde(default)]
     pub up_since_ms: f64,
 }
 
-/// A front's place in the feed.
+/// The state of a front's connection to the feed.
 pub struct Feed {
     pub address: SocketAddr,
-    /// Number of the last event taken.
+    /// Number of the last event applied.
     pub last_event: u64,
     pub connection: Option<ConnectionId>,
     is_connected: bool,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// A new connection is being made.
+    /// A new connection is being dialled.
     pub fn dialled(&mut self, now: f64, connection: ConnectionId) {
         self.connection = Some(connection);
         self.is_connected = false;
@@ -90,15 +92,15 @@
         .into_bytes()
     }
 
-    /// Takes bytes; hands out the events that are new, in order. False: the stream is of no further use.
+    /// Parses bytes and appends the new events in order; false if the stream must be dropped.
     pub fn bytes(&mut self, now: f64, bytes: &[u8], events: &mut Vec<Event>) -> bool {
         self.last_received_at = now;
         let (last_event, pause, mut usable) = (&mut self.last_event, &mut self.pause, true);
         let read = self.stream.push(bytes, |data| {
             match serde_json::from_slice::<Event>(data) {
-                // Written twice, or known from the start.
+                // A repeated event, or one known from the start file.
                 Ok(event) if event.n <= *last_event => {}
-                // After a gap nothing is taken: asking again brings what is missing.
+                // After a gap nothing more is applied: the next connection brings the missing events.
                 Ok(event) if usable && event.n == *last_event + 1 => {
                     *last_event = event.n;
                     *pause = MIN_PAUSE;
@@ -110,14 +112,15 @@
         usable && read.is_ok()
     }
 
-    /// The connection is gone, or is of no further use.
+    /// The connection ended or was dropped.
     pub fn lost(&mut self, now: f64) {
         self.connection = None;
         self.dial_at = now + self.pause;
         self.pause = (2.0 * self.pause).min(MAX_PAUSE);
     }
 
-    /// Another address tells the rest; at once, since the old one tells nothing more.
+    /// The feed continues at another address; it is dialled at once because the old address sends nothing
+    /// more.
     pub fn address_changed(&mut self, now: f64, address: SocketAddr) {
         self.address = address;
         self.pause = MIN_PAUSE;
@@ -131,13 +134,13 @@
         self.dial_at.min(silent)
     }
 
-    /// Whether the feed is to be asked on a new connection now: after a pause or a move, or because it stopped
-    /// while its connection stayed open. That connection is the owner's to close.
+    /// Whether to dial the feed now: after a pause, after a change of address, or because the stream stopped
+    /// on an open connection. The caller closes that connection.
     pub fn should_reconnect(&self, now: f64) -> bool {
         now >= self.wake_at()
     }
 
-    /// Why it is to be asked anew while its connection stands, in words.
+    /// Why the feed is dialled again although its connection is open, for the log.
     pub fn close_reason(&self) -> &'static str {
         match self.stream.is_partial() {
             true => "an event that stopped short",
--- a/crates/platform/src/handover.rs
+++ b/crates/platform/src/handover.rs
@@ -1,7 +1,8 @@
-//! Standing calls that were handed over and name a server that this front does not know, or not yet.
+//! Established calls handed over to this front by their callers while their server is not in the list.
 //!
-//! A server that is gone is in no list; one that is new may be in one that has not come. Which of the two it is shows
-//! when the list has had its time: to tell the caller at once that its call is over would end calls that stand.
+//! A removed server is in no list, but a new one may be missing only because the list has not arrived yet.
+//! The front waits for the list before it ends such a call, because releasing it at once would end calls that
+//! are still established.
 
 use crate::calls::{CallState, EstablishedCall};
 use crate::causes::{NORMAL_CLEARING, TEMPORARY_FAILURE};
@@ -10,35 +11,38 @@
 use crate::log::call_subject;
 use shalespindle_control::interface::PoolId;
 
-/// What the list knows reaches a front that follows it within this.
+/// Time in which a front that is connected to the feed learns of a new server, seconds.
 const FOLLOWED_LIST_TIMEOUT: f64 = 0.5;
-/// And one that does not, when it is asked again; past that the call counts as over with its server.
+/// The same for a front that still has to connect to the feed; afterwards the call counts as ended together
+/// with its server. Seconds.
 const UNFOLLOWED_LIST_TIMEOUT: f64 = 2.0;
 
-/// A call whose server is not known.
+/// A call whose server is not in the list yet.
 pub struct UnresolvedHandover {
     id: u64,
     client: ConnectionId,
     server: String,
     expires_at: f64,
-    /// Its caller has released it meanwhile: its server is told once it is known.
+    /// Cause of the caller's release; it is sent to the server once the server is known.
     released_cause: Option<u16>,
 }
 
 impl Edge {
-    /// A call that stands already, set up by another front or by this one before it started.
+    /// A caller reports a call that is already established, set up by another front or by this one before a
+    /// restart.
     pub(crate) fn call_handed_over(&mut self, now: f64, client: ConnectionId, id: u64, server: &str) {
         if self.calls.by_id(id).is_some() || self.unresolved_handovers.iter().any(|h| h.id == id) {
             return;
         }
-        // Bounded like the attaches in hand; beyond that it is not held and its caller not told.
+        // Limited like the pending attaches; beyond the limit the call is not recorded and the caller gets no
+        // release.
         if self.calls.established_count() + self.unresolved_handovers.len() >= self.max_pending {
             self.counters.no_place += 1;
             return;
         }
         self.clients.used(now, client, Usage::Requests);
         self.log_info("call handed over", call_subject(id), format!("it stands at {server}"));
-        // Its server says an end again on the first connection that a front makes, which may be before this.
+        // A server repeats its releases on the first connection from a front, which may precede the handover.
         if self.early_releases.take(now, id) {
             return self.send_release(now, client, id, NORMAL_CLEARING);
         }
@@ -74,7 +78,7 @@
         self.ensure_link(now, pool);
     }
 
-    /// The list has named a server: calls that wait for it stand there.
+    /// Assigns handed-over calls to servers that are now in the list.
     pub(crate) fn resolve_handovers(&mut self, now: f64) {
         for handed in std::mem::take(&mut self.unresolved_handovers) {
             match (self.servers.named(&handed.server), handed.released_cause) {
@@ -85,7 +89,7 @@
         }
     }
 
-    /// The server of such a call, which the list does not name yet, has released it; false where there is none of that id.
+    /// A server that is not in the list yet has released such a call; false if no such call is recorded.
     pub(crate) fn handover_ended(&mut self, now: f64, id: u64, cause: u16) -> bool {
         let Some(position) = self.unresolved_handovers.iter().position(|h| h.id == id) else { return false };
         let handed = self.unresolved_handovers.swap_remove(position);
@@ -95,13 +99,13 @@
         true
     }
 
-    /// The caller of such a call has released it; false where there is none of that id.
+    /// The caller has released such a call; false if no such call is recorded.
     pub(crate) fn handover_released(&mut self, id: u64, cause: u16) -> bool {
         let handed = self.unresolved_handovers.iter_mut().find(|h| h.id == id);
         handed.map(|h| h.released_cause = Some(cause)).is_some()
     }
 
-    /// Those whose server no list has named in time are over.
+    /// Ends the calls whose server has not appeared in the list in time.
     pub(crate) fn expire_handovers(&mut self, now: f64) {
         let (expired, remaining): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.unresolved_handovers).into_iter().partition(|h| h.expires_at <= now);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,7 @@
-//! A front on the operators' platform, without I/O: SIP over TCP from callers, JSON lines to signalling
-//! servers, server-sent events for the list of them. [`Edge`] is told of bytes and of time and says what to
-//! dial, write and close; every choice about traffic is the decision module's.
+//! The core of a live front on the operators' platform, without I/O: SIP over TCP with callers, JSON lines
+//! with signalling servers, and the feed of server-sent events that lists those servers. The host reports
+//! bytes and time to [`Edge`], which returns what to dial, write, close and log. Routing and admission
+//! decisions are made by `shalespindle_control`.
 
 mod callers;
 mod calls;
--- a/crates/platform/src/lines.rs
+++ b/crates/platform/src/lines.rs
@@ -1,4 +1,4 @@
-//! JSON lines to and from signalling servers.
+//! JSON lines exchanged with signalling servers.
 
 use memchr::memchr;
 use serde::{Deserialize, Serialize};
@@ -7,10 +7,10 @@
 use shalespindle_startup::ReportLayout;
 use std::borrow::Cow;
 
-/// No message is longer; a line beyond it does not end.
+/// Longest line, in bytes, without its line feed; a longer one is an error.
 pub const MAX_LINE: usize = 16 * 1024;
 
-/// Bytes of one connection that are not yet a whole line.
+/// Splits the bytes of one connection into lines.
 #[derive(Default)]
 pub struct LineFramer {
     bytes: Vec<u8>,
@@ -18,7 +18,7 @@
     searched: usize,
 }
 
-/// A line that is too long.
+/// A line exceeds [`MAX_LINE`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct TooLong;
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// What a line of a signalling server is.
+/// The type of a line from a signalling server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Answer,
@@ -53,15 +53,15 @@
     Ping,
     Pong,
     State,
-    /// Progress, a release heard, or what nobody here acts on.
+    /// Progress, the confirmation of a release, or any type that the front ignores.
     Other,
 }
 
-/// A line of a signalling server.
+/// A parsed line from a signalling server.
 #[derive(Debug, PartialEq)]
 pub struct Line<'a> {
     pub kind: Kind,
-    /// Of the call; none where the line belongs to no call.
+    /// Id of the call or probe; none if the line belongs to neither.
     pub id: Option<u64>,
     pub cause: u16,
     pub note: Option<String>,
@@ -95,13 +95,13 @@
     }
 }
 
-/// Sixteen hex digits in their one spelling, so that an id goes on unchanged.
+/// Parses exactly sixteen lower-case hex digits, so that an id is written again as it was read.
 pub fn call_id(text: &str) -> Option<u64> {
     let hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
     (text.len() == 16 && text.bytes().all(hex)).then(|| u64::from_str_radix(text, 16).ok())?
 }
 
-/// Reads a line; none where it cannot be read or lacks what it needs.
+/// Parses a line; none if it is malformed or lacks a required field.
 pub fn read(line: &[u8]) -> Option<Line<'_>> {
     let wire: WireLine = serde_json::from_slice(line).ok()?;
     let kind = match &*wire.kind {
@@ -130,7 +130,7 @@
 }
 
 impl Line<'_> {
-    /// What it says of its sender, as far as the settings name it.
+    /// The sender's reported load, limited to the values named in the settings.
     pub fn report(&self, layout: &ReportLayout) -> Report {
         let mut report = Report::default();
         for (name, value) in self.load.iter().flat_map(|l| l.split(';')).filter_map(|p| p.split_once(':')) {
@@ -189,13 +189,13 @@
 struct NoFields {}
 
 fn line(value: &impl Serialize) -> Vec<u8> {
-    // Strings and numbers only: writing them to memory cannot fail.
+    // Only strings and numbers, so serialising to memory cannot fail.
     let mut bytes = serde_json::to_vec(value).unwrap_or_default();
     bytes.push(b'\n');
     bytes
 }
 
-/// A set-up: id, procedure, number called, time left in seconds, description.
+/// A set-up: call id, procedure, called number, time left in seconds, description.
 pub fn set_up(id: u64, class: &str, number: &str, left: f64, description: &str) -> Vec<u8> {
     let left = format!("{}", (left * 1000.0).floor().max(1.0) as u64);
     let fields = SetUpFields { class, left: &left, key: number };
@@ -210,7 +210,7 @@
     line(&PlainLine { kind: "released", id: &format!("{id:016x}"), fields: NoFields {}, cause: None })
 }
 
-/// A test that asks for a report.
+/// A probe that asks the server for a report.
 pub fn ping(id: u64) -> Vec<u8> {
     line(&PlainLine { kind: "ping", id: &format!("{id:016x}"), fields: NoFields {}, cause: Some(1) })
 }
--- a/crates/platform/src/link.rs
+++ b/crates/platform/src/link.rs
@@ -1,5 +1,5 @@
-//! The signalling servers a front knows and its links to them. Links belong to a server, not to an address:
-//! a new server may take the address of one that went.
+//! The signalling servers known to a front and its links to them. Links belong to a server and not to an
+//! address, because a new server may take the address of a removed one.
 
 use crate::edge::ConnectionId;
 use crate::lines::LineFramer;
@@ -9,9 +9,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Links to one server: it sends its state on so many.
+/// Limit of links to one server; each server sends its state on this many.
 pub const MAX_LINKS: usize = 4;
-/// Tests out on one link that are remembered.
+/// Limit of unanswered probes remembered on one link.
 const MAX_PROBES: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,8 +24,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
     Dialled,
-    /// The connection is made, but its server has not said its state, which it does first of all: a machine
-    /// may take connections for a process that does not.
+    /// The connection is established, but the server has not announced its state, which it sends first. A
+    /// machine may accept connections on behalf of a process that does not respond.
     Made,
     Up,
 }
@@ -34,16 +34,16 @@
     pub pool: PoolId,
     pub state: LinkState,
     pub lines: LineFramer,
-    /// Set-ups out on it.
+    /// Attaches whose current setup try is out on the link.
     pub open: Vec<UeId>,
-    /// Tests out on it, oldest first.
+    /// Unanswered probes, oldest first.
     probes: VecDeque<u64>,
     pub last_received_at: f64,
-    /// Since when something that wants an answer has met silence.
+    /// Since when a request sent on the link has been waiting for any response.
     awaiting_since: Option<f64>,
-    /// Takes nothing new and is closed when nothing is out on it.
+    /// Takes no new set-ups and is closed once no set-up is out on it.
     pub retired: bool,
-    /// Its server does not read: what is written waits in the front's own memory.
+    /// The server does not read, so writes are queued in the front's memory.
     pub blocked: bool,
 }
 
@@ -74,25 +74,26 @@
         self.probes.push_back(id);
     }
 
-    /// A test came back; those before it will not.
+    /// Removes an answered probe and those before it; false if the probe is unknown.
     pub fn take_probe(&mut self, id: u64) -> bool {
         let Some(place) = self.probes.iter().position(|t| *t == id) else { return false };
         self.probes.drain(..=place);
         true
     }
 
-    /// A whole line came and has been dealt with; what is still out counts as asked from now on.
+    /// A whole line has been received and handled; remaining requests count as sent now.
     pub fn line_received(&mut self, now: f64) {
         self.last_received_at = now;
         self.awaiting_since = (!self.open.is_empty() || !self.probes.is_empty()).then_some(now);
     }
 
-    /// Since when something that wants an answer has met silence on it.
+    /// Since when a request sent on the link has been waiting for any response.
     pub fn unanswered_since(&self) -> Option<f64> {
         self.awaiting_since
     }
 
-    /// Silent for longer than a new connection would take: it may be dead without a sign.
+    /// Whether the link has been silent for longer than a new connection would take: it may be broken without
+    /// a notice.
     pub fn is_suspect(&self, now: f64, timeout: f64) -> bool {
         self.awaiting_since.is_some_and(|at| now - at > timeout)
     }
@@ -112,29 +113,30 @@
     pub links: Vec<ConnectionId>,
     /// Setup tries that wait for a link.
     pub waiting: VecDeque<UeId>,
-    /// It has said its state first on a link that was made, unasked.
+    /// The server has announced its state unprompted on a connected link.
     pub announces_state: bool,
-    /// It did not, and never has: its next links are up when they are made.
+    /// The server has not announced its state on any link: its next links count as up once they are
+    /// connected.
     pub never_announced: bool,
-    /// A test waits for a link.
+    /// A probe waits for a link.
     pub probe_pending: bool,
-    /// Releases that wait for a link.
+    /// Releases that wait for a link, as call id and cause.
     pub queued_releases: VecDeque<(u64, u16)>,
-    /// Pause before the next dial, doubling.
+    /// Pause before the next dial, seconds; doubles with each failed dial.
     pub pause: f64,
     pub liveness: Liveness,
     pub established: usize,
-    /// When it was removed.
+    /// When the server was removed from the list.
     pub removed_at: f64,
 }
 
-/// Servers by the name the module knows them by, and links by connection.
+/// Servers by their pool id, and links by connection.
 pub struct Servers {
     pub all: BTreeMap<PoolId, Server>,
     by_id: BTreeMap<String, PoolId>,
     pub links: BTreeMap<ConnectionId, Link>,
     last: PoolId,
-    /// How a silent one is asked for a word.
+    /// How a silent server is probed.
     pub probe_method: ProbeMethod,
 }
 
@@ -180,14 +182,14 @@
         }
     }
 
-    /// The sound link with the fewest set-ups out: one that is spoilt takes few with it.
+    /// Returns the usable link with the fewest set-ups out, so that a broken link affects few of them.
     pub fn best_link(&self, now: f64, pool: PoolId, timeout: f64) -> Option<ConnectionId> {
         let links = self.all.get(&pool)?.links.iter();
         let sound = links.filter(|c| self.links.get(c).is_some_and(|l| l.is_usable(now, timeout)));
         sound.min_by_key(|c| self.links[c].open.len()).copied()
     }
 
-    /// Any link that is up, for what need not be answered.
+    /// Returns a link that is up, for messages that need no response.
     pub fn any_link(&self, now: f64, pool: PoolId, timeout: f64) -> Option<ConnectionId> {
         let up = |c: &&ConnectionId| self.links.get(c).is_some_and(|l| l.state == LinkState::Up);
         self.best_link(now, pool, timeout)
@@ -199,7 +201,8 @@
         server.links.iter().any(|c| self.links.get(c).is_some_and(|l| l.state != LinkState::Up))
     }
 
-    /// A link that may be closed to make room for another: doubtful, with nothing out on it.
+    /// Returns a link that may be closed in favour of another: retired or silent for too long, with no set-up
+    /// out.
     pub fn replaceable_link(&self, now: f64, pool: PoolId, timeout: f64) -> Option<ConnectionId> {
         let links = self.all.get(&pool)?.links.iter();
         let replaceable_link = |l: &Link| l.open.is_empty() && (l.retired || l.is_suspect(now, timeout));
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -1,15 +1,15 @@
-//! Records for the log: every change of what the front believes, and the reason for each close, retry and refusal,
-//! with the id of the call, server or connection that it concerns.
+//! Log records: every change of state, and the reason for each close, retry and refusal, with the id of the
+//! call, server or connection concerned.
 
 use crate::edge::{ConnectionId, Edge, Output};
 use shalespindle_control::interface::PoolId;
 
-/// How much a record matters to an operator.
+/// The importance of a record to an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// A change of state, or something that did not go its ordinary way.
+    /// A change of state, or an event outside the normal course.
     Info,
-    /// A step of a call that goes its ordinary way.
+    /// A step in the normal course of a call.
     Debug,
 }
 
@@ -22,12 +22,12 @@
     pub reason: String,
 }
 
-/// A call as the log names it: by its id on the wire.
+/// How the log names a call: by its id on the wire.
 pub(crate) fn call_subject(id: u64) -> String {
     format!("{id:016x}")
 }
 
-/// A connection as the log names it.
+/// How the log names a connection.
 pub(crate) fn connection_subject(connection: ConnectionId) -> String {
     format!("connection {connection}")
 }
@@ -55,7 +55,7 @@
         self.outputs.push_back(Output::Log(LogRecord { level, event, subject, reason }));
     }
 
-    /// The name of a server that is still listed.
+    /// The name of a listed server.
     pub(crate) fn server_name(&self, pool: PoolId) -> &str {
         self.servers.all.get(&pool).map_or("a server no longer listed", |server| server.id.as_str())
     }
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -1,4 +1,4 @@
-//! The signalling servers' side of a front: the list, links, and what comes on them.
+//! The signalling servers' side of a front: the list of servers, the links, and the lines received on them.
 
 use crate::calls::CallState;
 use crate::causes::{NORMAL_CLEARING, TEMPORARY_FAILURE};
@@ -11,16 +11,16 @@
 use shalespindle_control::interface::{EndReason, PoolEntry, PoolId, Report, UeId};
 use std::collections::HashSet;
 
-/// Pauses between dials to a server that cannot be reached, doubling.
+/// Pauses between dials to a server that cannot be reached, seconds; each is twice the previous one.
 const MIN_PAUSE: f64 = 0.05;
 const MAX_PAUSE: f64 = 1.0;
-/// So long after a server was removed what stood there is over, unless it said so itself.
+/// Time after a server's removal in which it can release its calls itself, seconds; then they are ended.
 const REMOVAL_GRACE: f64 = 0.5;
-/// A call whose end was read before its caller told of it is remembered for so long.
+/// Time for which a release is remembered if the call has not been handed over to this front yet, seconds.
 const EARLY_RELEASE_LIFETIME: f64 = 30.0;
-/// Part of the time for a dial that a server has to say its state unasked.
+/// Fraction of the dial timeout within which a server has to announce its state.
 const UNPROMPTED_STATE_SHARE: f64 = 0.2;
-/// Releases that wait for a link to one server.
+/// Limit of the releases queued until a server has a link.
 pub(crate) const MAX_QUEUED_RELEASES: usize = 4096;
 
 impl Edge {
@@ -43,7 +43,7 @@
                 _ => Phase::Draining,
             };
             let unix = member.up_since_ms / 1000.0;
-            // On the front's clock; what began before it did is long ago.
+            // On the host's clock; a start before its zero counts as long ago.
             let started = if unix > 0.0 { (unix - self.clock_epoch).max(0.0) } else { 0.0 };
             let pool = match (self.servers.named(&member.id), member.host_port) {
                 (Some(pool), address) => {
@@ -81,7 +81,7 @@
         if phase == Phase::Up {
             return self.ensure_link(now, pool);
         }
-        // Guards rule 3: what waits for a link must not go out after the grace.
+        // Platform rule 3: set-ups that wait for a link must not be sent to a server that is out of service.
         for ue in std::mem::take(&mut server.waiting) {
             self.end_try(now, ue, EndReason::Unreached, Report::default());
         }
@@ -96,15 +96,16 @@
         }
     }
 
-    /// Guards the calls of a new server against links that a removed one never had: what comes up at its address now
-    /// is somebody else, who may be listed under another name.
+    /// Drops links of a removed server that have not come up: the process that now accepts connections at
+    /// that address may be a new server, listed under another name.
     fn drop_unfinished_links(&mut self, now: f64, pool: PoolId) {
         let links = self.servers.all.get(&pool).map(|s| s.links.clone()).unwrap_or_default();
         for connection in links {
             if self.servers.links.get(&connection).is_none_or(|l| l.state == LinkState::Up) {
                 continue;
             }
-            // One that the host has not begun is not made at all: who takes it would say there what is said once.
+            // Removes dials that the host has not started: a server sends some messages only once, and one
+            // that accepted this connection would send them there.
             let begins_it =
                 |o: &Output| matches!(o, Output::Dial { connection: dialled, .. } if *dialled == connection);
             self.outputs.retain(|output| !begins_it(output));
@@ -112,13 +113,14 @@
         }
     }
 
-    /// Two entries of the list lead to one address: what is said there comes from one process.
+    /// Whether two entries of the list have the same address, so that lines from either come from one
+    /// process.
     fn have_same_address(&self, one: PoolId, other: PoolId) -> bool {
         let address = |pool| self.servers.all.get(&pool).map(|s| s.address);
         one == other || address(one).is_some() && address(one) == address(other)
     }
 
-    /// Another process under the same name: what was there is over.
+    /// Another process now runs under the same name; calls and links of the previous one are ended.
     fn server_restarted(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         for connection in server.links.clone() {
@@ -127,10 +129,10 @@
         self.process_ended(now, pool, "its server started anew");
     }
 
-    /// A server that was removed has had the time for its last words.
+    /// Removes a server, and ends its calls, once the grace period after its removal has passed.
     pub(crate) fn removal_expired(&mut self, now: f64, pool: PoolId) {
-        // Guards the last words of one that was back in between and is removed again: its first removal's time is no
-        // longer its own.
+        // A server that was listed again and removed once more gets its full grace period: the timer of the
+        // first removal is ignored.
         let is_expired = |s: &&crate::link::Server| {
             s.phase == Phase::Removed && now >= s.removed_at + REMOVAL_GRACE - 1e-6
         };
@@ -142,15 +144,15 @@
         self.servers.forget(pool);
     }
 
-    /// What stands at a server is over.
+    /// Ends all calls established at a server.
     pub(crate) fn end_calls_at(&mut self, now: f64, pool: PoolId, reason: &'static str) {
-        for ue in self.calls.standing_at(pool) {
+        for ue in self.calls.established_at(pool) {
             self.control.try_ended(now, ue, pool, EndReason::Cut, true, Report::default());
             self.end_established_call(now, ue, pool, TEMPORARY_FAILURE, reason);
         }
     }
 
-    /// The process is gone, and with it what stood there: it need not be told of anything.
+    /// The process at a server has ended: its calls are ended, and releases queued for it are discarded.
     pub(crate) fn process_ended(&mut self, now: f64, pool: PoolId, reason: &'static str) {
         self.end_calls_at(now, pool, reason);
         if let Some(server) = self.servers.all.get_mut(&pool) {
@@ -166,7 +168,7 @@
 
     // ---- links ----
 
-    /// Sees to it that a server which is up, or at which calls stand, has a link or is dialled.
+    /// Dials a server that is up or has established calls or queued releases, unless it has a link.
     pub(crate) fn ensure_link(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         let wanted = server.phase == Phase::Up
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Dials one more link, if none is being dialled and there is room.
+    /// Dials one more link unless one is being dialled or there is no descriptor for it.
     pub(crate) fn dial(&mut self, now: f64, pool: PoolId) {
         if self.servers.is_dialling(pool) {
             return;
@@ -224,19 +226,21 @@
         }
     }
 
-    /// Guards against servers that do not say their state first: whether a process is there is asked.
+    /// Probes a connected link on which the server has not announced its state, to learn whether a process is
+    /// there.
     pub(crate) fn new_link_silent(&mut self, now: f64, connection: ConnectionId) {
         let Some(link) = self.servers.links.get(&connection).filter(|l| l.state == LinkState::Made) else {
             return;
         };
         if let Some(server) = self.servers.all.get_mut(&link.pool) {
-            // One that has said its state before hangs, or its word is late: that a connection is made tells nothing.
+            // A server that has announced its state before hangs or is late: an established connection alone
+            // proves nothing.
             server.never_announced = !server.announces_state;
         }
         self.probe_link(now, connection);
     }
 
-    /// A link that is not up by now will not come up.
+    /// Drops a link that has not come up in time.
     pub(crate) fn link_timed_out(&mut self, now: f64, connection: ConnectionId) {
         if self.servers.links.get(&connection).is_some_and(|l| l.state != LinkState::Up) {
             self.outputs.push_back(Output::Close { connection, reset: true });
@@ -244,7 +248,7 @@
         }
     }
 
-    /// The front gives a link up; what has not left it must not arrive.
+    /// Drops a link with a reset, so that unsent bytes do not arrive.
     pub(crate) fn drop_link(&mut self, now: f64, connection: ConnectionId, reason: &'static str) {
         if let Some(link) = self.servers.links.get(&connection) {
             let of = self.servers.all.get(&link.pool).map_or(String::new(), |s| s.id.clone());
@@ -254,15 +258,15 @@
         }
     }
 
-    /// The host can not write on for now, or can again.
+    /// The host can not write to a connection for now, or can again.
     pub fn set_blocked(&mut self, connection: ConnectionId, blocked: bool) {
         if let Some(link) = self.servers.links.get_mut(&connection) {
             link.blocked = blocked;
         }
     }
 
-    /// Tells a server that a setup try is given up. Where its link is blocked the try itself may not have left yet: it
-    /// must not arrive after its end, so the link goes with all that waits there.
+    /// Releases an abandoned setup try at its server. If the link is blocked, the set-up itself may still be
+    /// unsent and must not arrive after its end, so the whole link is dropped.
     pub(crate) fn release_try(&mut self, now: f64, connection: ConnectionId, id: u64) {
         if self.servers.links.get(&connection).is_some_and(|l| l.blocked) {
             self.drop_link(now, connection, "blocked, with a set-up that was given up");
@@ -289,7 +293,8 @@
         }
         let pause = server.pause;
         server.pause = (2.0 * pause).clamp(MIN_PAUSE, MAX_PAUSE);
-        // Refused, nothing that waits can be sent; reset while new, another dial may still bring it there.
+        // After a refusal waiting tries cannot be sent; after a reset during the dial, another dial may still
+        // succeed.
         let waiting = if refused { std::mem::take(&mut server.waiting) } else { Default::default() };
         for ue in waiting {
             self.end_try(now, ue, EndReason::Unreached, Report::default());
@@ -305,7 +310,7 @@
         }
     }
 
-    /// Its first line came: the process behind it is there.
+    /// The first line was received, so a process is at the other end.
     fn link_up(&mut self, now: f64, connection: ConnectionId) {
         let Some(link) = self.servers.links.get_mut(&connection) else { return };
         link.state = LinkState::Up;
@@ -325,8 +330,9 @@
         self.log_info("link up", id, format!("connection {connection}"));
     }
 
-    /// Guards against attaches whose callers have gone: what waited for a link goes out only when all that came beside
-    /// the server's first word has been taken in.
+    /// Sends the tries that waited for a link. This happens one poll after the link came up, when all input
+    /// that arrived with the server's first line has been handled, so that no attach whose caller has left is
+    /// sent.
     pub(crate) fn send_waiting_tries(&mut self, now: f64) {
         for pool in std::mem::take(&mut self.newly_linked) {
             let Some(connection) = self.servers.best_link(now, pool, self.dial_timeout) else { continue };
@@ -398,14 +404,14 @@
         let ue = call.map(|call| (call.ue, call.client, &call.state));
         let (ue, client) = match ue {
             Some((ue, client, CallState::Pending(pending)))
-                if pending.out.as_ref().is_some_and(|t| t.link == Some(connection))
+                if pending.current_try.as_ref().is_some_and(|t| t.link == Some(connection))
                     && now <= pending.gives_up_at =>
             {
                 (ue, client)
             }
-            // A second copy.
+            // A repeated answer.
             Some((_, _, CallState::Established(established))) if established.pool == pool => return,
-            // Late, or for a try that is over: nothing may be left standing of it.
+            // The answer is late or its try has ended: no call may be left established at the server.
             _ => {
                 self.counters.late_answers += 1;
                 self.outputs
@@ -413,12 +419,12 @@
                 return;
             }
         };
-        let Some(out) = self.take_try(now, ue) else { return };
+        let Some(setup_try) = self.take_try(now, ue) else { return };
         let Some((_, _, pending)) = self.calls.pending(ue) else { return };
         let bytes = sip::answer(&pending.head, &line.description);
         self.counters.stood += 1;
         self.log_debug("call stands", call_subject(id), self.server_name(pool).to_string());
-        self.control.attach_established(now, ue, pool, now - out.sent_at);
+        self.control.attach_established(now, ue, pool, now - setup_try.sent_at);
         self.calls.establish(ue, pool, connection);
         if let Some(server) = self.servers.all.get_mut(&pool) {
             server.established += 1;
@@ -448,7 +454,7 @@
         let call = self.calls.by_id(id).map(|call| (call.ue, &call.state));
         match call {
             Some((ue, CallState::Pending(pending)))
-                if pending.out.as_ref().is_some_and(|t| t.link == Some(connection)) =>
+                if pending.current_try.as_ref().is_some_and(|t| t.link == Some(connection)) =>
             {
                 if line.cause == NORMAL_CLEARING {
                     self.ended_before_answer(now, ue, report);
@@ -473,8 +479,9 @@
         }
     }
 
-    /// The call came to its ordinary end while its answer is still on the way, or lost. It ran, so it is not set up
-    /// again: its caller would hold a call standing that is over by its first server's word.
+    /// The server released the call normally while its answer was still on the way, or lost. The call ran, so
+    /// it is not set up again: a repeated set-up would leave the caller with an established call although the
+    /// first server has ended it.
     fn ended_before_answer(&mut self, now: f64, ue: UeId, report: Report) {
         self.counters.ended_before_answer += 1;
         self.end_try(now, ue, EndReason::Released, report);
@@ -494,7 +501,7 @@
         }
     }
 
-    /// The module's probe.
+    /// Probes a server on request of `Control`.
     pub(crate) fn probe(&mut self, now: f64, pool: PoolId) {
         match self.servers.best_link(now, pool, self.dial_timeout) {
             Some(connection) => self.probe_link(now, connection),
--- a/crates/platform/src/silent_servers.rs
+++ b/crates/platform/src/silent_servers.rs
@@ -1,4 +1,5 @@
-//! Silent servers: the calls that stand on them are not left to the list of servers, which may be away.
+//! Detection of silent servers. Their calls are ended without waiting for the list of servers, because the
+//! feed may be unavailable.
 
 use crate::causes::TEMPORARY_FAILURE;
 use crate::edge::{ConnectionId, Edge, Output};
@@ -9,8 +10,8 @@
 use shalespindle_control::liveness::{LivenessStatus, ProbeMethod};
 
 impl Edge {
-    /// Looks after every server on which calls stand: asks those that are silent, and ends the calls of those that do
-    /// not answer any more.
+    /// Checks every server with established calls: probes the silent ones, and ends the calls of those that
+    /// no longer respond.
     pub(crate) fn check_servers(&mut self, now: f64) {
         let evaluate = |(pool, server): (&PoolId, &mut Server)| {
             let status = server.liveness.evaluate(now, server.established > 0);
@@ -27,14 +28,15 @@
         }
     }
 
-    /// A server speaks on some connection; one with calls that is silent beside it leads nowhere any more.
+    /// Checks the links of a server that sends on at least one of them; a link with calls that stays silent
+    /// meanwhile is broken.
     fn check_links(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         let status_of = |connection: &ConnectionId| {
             let link = self.servers.links.get(connection).filter(|l| l.state == LinkState::Up)?;
             let status =
                 server.liveness.evaluate_connection(now, link.last_received_at, link.unanswered_since());
-            // What is out on it has a time of its own.
+            // Set-ups on the link have time limits of their own.
             let is_kept = status == LivenessStatus::Dead && !link.open.is_empty();
             Some((*connection, status)).filter(|_| status != LivenessStatus::Alive && !is_kept)
         };
@@ -43,7 +45,7 @@
         if statuses.is_empty() {
             return;
         }
-        let with_calls = self.calls.links_of_standing_at(pool);
+        let with_calls = self.calls.links_of_established_at(pool);
         statuses.retain(|(connection, _)| with_calls.contains(connection));
         for (connection, status) in statuses {
             match status {
@@ -52,7 +54,8 @@
                 }
                 LivenessStatus::Dead => {
                     self.drop_link(now, connection, "silent, while its server speaks on another");
-                    // What the server could not say there it says on the next one that is made.
+                    // Releases that the server could not send on the broken link it sends on the next one
+                    // that is made.
                     self.dial(now, pool);
                 }
                 LivenessStatus::ProbeDue | LivenessStatus::Alive => {}
@@ -60,8 +63,7 @@
         }
     }
 
-    /// Asks a silent server for a word: on the connection that has been silent longest, and on a new one where none is
-    /// sound any more.
+    /// Probes a silent server on the link that has been silent longest, and on a new link if none is usable.
     fn probe_server(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
         server.liveness.probe_sent(now);
@@ -80,10 +82,10 @@
         }
     }
 
-    /// Nothing has been heard of a server for so long that its calls are over, whatever became of it. It may only be cut
-    /// off: should it be heard again, it is told of their ends.
+    /// Ends the calls of a server that has been silent for too long. The server may only be unreachable, so
+    /// the releases are queued for it in case it returns.
     fn end_calls_of_silent_server(&mut self, now: f64, pool: PoolId) {
-        let established = self.calls.standing_at(pool);
+        let established = self.calls.established_at(pool);
         let ids: Vec<u64> = established.iter().filter_map(|ue| self.calls.by_ue(*ue).map(|c| c.id)).collect();
         let name = self.server_name(pool).to_string();
         self.log_info("server silent", name, format!("{} calls stand there", ids.len()));
@@ -95,8 +97,8 @@
         }
     }
 
-    /// A connection came up to another process than the one heard before, at the same address: what stood there is over,
-    /// and older connections lead nowhere.
+    /// A link came up to another process at the same address: the calls of the previous process are ended,
+    /// and links to it are dropped.
     pub(crate) fn process_replaced(&mut self, now: f64, pool: PoolId, newest: ConnectionId) {
         let older = self.servers.all.get(&pool).map(|s| s.links.clone()).unwrap_or_default();
         for connection in older.into_iter().filter(|c| *c != newest) {
@@ -108,8 +110,8 @@
         self.process_ended(now, pool, "another process is at its server's address");
     }
 
-    /// Guards standing calls against a process that ends without a sign on some of its links: it is asked for a word on
-    /// those that are left, and where nobody is there the word is refused.
+    /// Called when a link of a server with established calls is lost. If the process has ended, its other
+    /// links may give no sign of it, so each is probed; without a process the probe is refused.
     pub(crate) fn probe_other_links(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool).filter(|s| s.established > 0) else { return };
         if self.servers.probe_method == ProbeMethod::Dial {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Tells a server on a link that is up which calls are over, where no link could take the word before.
+    /// Sends the releases queued while the server had no usable link.
     pub(crate) fn send_queued_releases(&mut self, pool: PoolId, connection: ConnectionId) {
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
         for (id, cause) in std::mem::take(&mut server.queued_releases) {
--- a/crates/platform/src/sip.rs
+++ b/crates/platform/src/sip.rs
@@ -1,15 +1,15 @@
-//! What callers say in SIP, read strictly, and what is written to them.
+//! Strict parsing of the callers' SIP messages, and the messages written to callers.
 
 use crate::lines::call_id;
 use shalespindle_signalling::message::Called;
 use shalespindle_signalling::write::{ResponseHead, Writer};
 use shalespindle_signalling::{Message, Method};
 
-/// Why a set-up is turned away by its form alone.
+/// The part of a set-up that is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadForm(pub &'static str);
 
-/// A set-up as its caller wrote it.
+/// The contents of a set-up.
 #[derive(Debug, PartialEq)]
 pub struct SetUpRequest<'a> {
     pub number: &'a str,
@@ -20,11 +20,11 @@
     pub description: &'a str,
 }
 
-/// The figures of `X-Route`.
+/// The parameters of `X-Route`.
 #[derive(Debug, Default, PartialEq)]
 pub struct Route<'a> {
     pub first_choice: Option<u16>,
-    /// The call stands at that signalling server already.
+    /// The signalling server at which the call is already established.
     pub at: Option<&'a str>,
 }
 
@@ -56,12 +56,13 @@
     Ok(route)
 }
 
-/// The id of the call a message belongs to.
+/// The id of the call that a message belongs to.
 pub fn id(message: &Message) -> Option<u64> {
     message.call_id().ok().and_then(call_id)
 }
 
-/// Reads a set-up; `procedures` are names and longest times a caller may wait.
+/// Parses a set-up; `procedures` holds the names and the longest time in seconds that a caller of each may
+/// wait.
 pub fn read_set_up<'a>(
     message: &Message<'a>,
     route: &Route,
@@ -73,7 +74,7 @@
     let class = message.header("X-Service").ok_or(BadForm("X-Service"))?;
     let procedure = procedures.iter().position(|p| p.0 == class).ok_or(BadForm("X-Service"))?;
     let ms = message.header("X-Setup-Ms").and_then(|v| v.parse::<f64>().ok()).ok_or(BadForm("X-Setup-Ms"))?;
-    // Past the T-timer no caller waits; a figure beyond it is no figure.
+    // No caller waits longer than the T-timer, so a larger value is malformed.
     if !(ms > 0.0 && ms <= 1000.0 * procedures[procedure].1 + 1.0) {
         return Err(BadForm("X-Setup-Ms"));
     }
@@ -91,7 +92,7 @@
     })
 }
 
-/// The number called as the module is told it: 0 where it is not of the usual form.
+/// The called number as passed to `Control`; 0 if it is not hexadecimal.
 pub fn number(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or(0)
 }
@@ -100,7 +101,7 @@
     Writer::response(200, head).finish_with(description.as_bytes())
 }
 
-/// A final answer other than that the call stands; with when to come back, seconds, where one is named.
+/// A final answer without a call; `pause` is the advised retry pause in seconds.
 pub fn refusal(status: u16, head: &ResponseHead, pause: Option<f64>) -> Vec<u8> {
     let mut writer = Writer::response(status, head);
     if let Some(pause) = pause.filter(|p| *p > 0.0) {
@@ -109,7 +110,7 @@
     writer.finish()
 }
 
-/// For what cannot be read: an answer to nothing in particular.
+/// An error response to a message whose headers could not be read.
 pub fn unreadable(status: u16) -> Vec<u8> {
     Writer::response(status, &ResponseHead::none()).finish()
 }
--- a/crates/platform/src/sse.rs
+++ b/crates/platform/src/sse.rs
@@ -1,12 +1,12 @@
-//! Server-sent events out of an HTTP/1.1 response, its body plain or in chunks.
+//! Server-sent events from an HTTP/1.1 response with a plain or chunked body.
 
 use memchr::memchr;
 
-/// Longest head, line and event; a stream beyond them is given up.
+/// Limits in bytes of the response head and of one event; a stream that exceeds them is dropped.
 const MAX_HEAD: usize = 8 * 1024;
 const MAX_EVENT: usize = 1 << 20;
 
-/// Why a stream is given up.
+/// Why a stream is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
     Head,
@@ -15,14 +15,14 @@
 }
 
 enum Body {
-    /// The head is not whole yet.
+    /// The head is not complete yet.
     Head,
     Plain,
-    /// Bytes left of the present chunk with its line end; 0: a size line comes next.
+    /// Bytes left of the current chunk, including its line end; at 0 a size line follows.
     Chunks(usize),
 }
 
-/// Bytes of one response that are not yet an event. Holds at most one event and one read.
+/// Splits the bytes of one response into events. Holds at most one event and one read.
 pub struct EventStream {
     body: Body,
     raw: Vec<u8>,
@@ -37,8 +37,8 @@
 }
 
 impl EventStream {
-    /// Takes bytes in; `told` gets the data of each whole event. What is left of an event that the stream
-    /// breaks off in is never told.
+    /// Parses bytes and calls `on_event` with the data of each complete event. An event cut off by the end of
+    /// the stream is never passed on.
     pub fn push(&mut self, bytes: &[u8], mut on_event: impl FnMut(&[u8])) -> Result<(), StreamError> {
         self.raw.extend_from_slice(bytes);
         if let Body::Head = self.body {
@@ -65,14 +65,14 @@
             }
         }
         self.text.drain(..from);
-        // Guards memory against an event without end.
+        // Bounds the memory used by an event that never ends.
         if self.text.len() > MAX_EVENT || self.data.len() > MAX_EVENT {
             return Err(StreamError::TooLong);
         }
         Ok(())
     }
 
-    /// Whether part of an event, of a chunk or of the head waits for the rest.
+    /// Whether part of an event, of a chunk or of the head has been received without the rest.
     pub fn is_partial(&self) -> bool {
         let within = matches!(self.body, Body::Chunks(left) if left > 0);
         within || !self.raw.is_empty() || !self.text.is_empty() || !self.data.is_empty()
@@ -106,7 +106,7 @@
         while from < self.raw.len() {
             if *left > 0 {
                 let size = (*left).min(self.raw.len() - from);
-                // The last two bytes of a chunk are its line end, no text.
+                // The last two bytes of a chunk are its line end and not part of the text.
                 let text = size.min(left.saturating_sub(2));
                 self.text.extend_from_slice(&self.raw[from..from + text]);
                 *left -= size;
--- a/crates/platform/src/start_file.rs
+++ b/crates/platform/src/start_file.rs
@@ -1,12 +1,12 @@
-//! The configuration file of one front: where it listens, its limits, the feed, the list as far as it is
-//! known, and the start-up settings.
+//! The configuration file of one front: listen address, limits, feed, the known list of servers, and the
+//! start-up settings.
 
 use crate::feed::Event;
 use serde::Deserialize;
 use shalespindle_startup::StartupSettings;
 use std::net::SocketAddr;
 
-/// The file, read and checked.
+/// The parsed and validated file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StartFile {
     pub name: String,
@@ -25,7 +25,7 @@
     pub sockets: usize,
 }
 
-/// What the feed has told up to now.
+/// The events of the feed up to number `n`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct KnownEvents {
     pub n: u64,
@@ -37,13 +37,13 @@
     u64::from_str_radix(&text, 16).map_err(|_| serde::de::Error::custom("up to 16 hex digits are allowed"))
 }
 
-/// Least limits that a front can serve within.
+/// The smallest limits with which a front can operate.
 const MIN_SOCKETS: usize = 64;
 const MIN_MEMORY_MB: f64 = 8.0;
-/// No machine has more.
+/// More than any machine has; larger values are rejected.
 const MAX_MEMORY_MB: f64 = 1e9;
 
-/// Reads the file's text; a fault names its place and what is allowed there.
+/// Parses and validates the file; an error names the field and the allowed values.
 pub fn read_file(text: &[u8]) -> Result<StartFile, String> {
     let json = &mut serde_json::Deserializer::from_slice(text);
     let file: StartFile = serde_path_to_error::deserialize(json).map_err(|e| e.to_string())?;
@@ -56,7 +56,7 @@
             "limits.memory_mb is {found}; {MIN_MEMORY_MB} or more, up to {MAX_MEMORY_MB} is allowed"
         ));
     }
-    // Checked here so that nothing starts, or is taken over, on settings that cannot be used.
+    // Validated here so that no front starts, or takes over a new file, with unusable settings.
     file.settings.clone().into_startup()?;
     Ok(file)
 }
