--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::{console, kept, lab, live, resolve, run};
 use clap::{Args, Parser, Subcommand};
-use shalespindle_console::Ask;
+use shalespindle_console::Request;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -340,22 +340,22 @@
             Command::Run { config } => run::run(&config),
             Command::Live { config, listen, name } => live::run(&config, listen, name),
             Command::Check { config } => run::check(&config),
-            Command::Status { front, json } => console::ask(&front, &Ask::Status, json),
-            Command::Members { front, json } => console::ask(&front, &Ask::Members, json),
+            Command::Status { front, json } => console::ask(&front, &Request::Status, json),
+            Command::Members { front, json } => console::ask(&front, &Request::Members, json),
             Command::Pin { level, lasts, fleet, front } => {
                 let seconds = lasts.as_secs_f64();
                 let ask = match fleet {
-                    true => Ask::PinFleet { level: Some(level), seconds },
-                    false => Ask::PinLevel { level, seconds },
+                    true => Request::PinFleet { level: Some(level), seconds },
+                    false => Request::PinLevel { level, seconds },
                 };
                 console::ask(&front, &ask, false)
             }
             Command::Unpin { fleet: true, front } => {
-                console::ask(&front, &Ask::PinFleet { level: None, seconds: 0.0 }, false)
+                console::ask(&front, &Request::PinFleet { level: None, seconds: 0.0 }, false)
             }
-            Command::Unpin { fleet: false, front } => console::ask(&front, &Ask::UnpinLevel, false),
+            Command::Unpin { fleet: false, front } => console::ask(&front, &Request::UnpinLevel, false),
             Command::Fleet { command: Fleet::Status { front, json } } => {
-                console::ask(&front, &Ask::Fleet, json)
+                console::ask(&front, &Request::Fleet, json)
             }
             Command::Fleet { command: Fleet::Site { name, order, lasts, front } } => {
                 let order = match order {
@@ -363,7 +363,7 @@
                     SiteOrder::KeepOut => shalespindle_console::Order::KeepOut,
                     SiteOrder::Return => shalespindle_console::Order::Return,
                 };
-                console::ask(&front, &Ask::Site { name, order, seconds: lasts.as_secs_f64() }, false)
+                console::ask(&front, &Request::Site { name, order, seconds: lasts.as_secs_f64() }, false)
             }
             Command::Fleet { command: Fleet::Kept { config, json } } => kept::kept(&config, json),
             Command::Fleet { command: Fleet::Diff { front, json } } => console::diff(&front, json),
--- a/crates/cli/src/console.rs
+++ b/crates/cli/src/console.rs
@@ -3,7 +3,7 @@
 use crate::commands::BAD_INPUT;
 use crate::run::settings;
 use clap::Args;
-use shalespindle_console::{differences, Ask, Reply};
+use shalespindle_console::{differences, Reply, Request};
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -37,7 +37,7 @@
 }
 
 /// Puts a question; the code to end with where the settings name no socket.
-fn put(front: &Which, question: &Ask) -> io::Result<Result<Reply, ExitCode>> {
+fn put(front: &Which, question: &Request) -> io::Result<Result<Reply, ExitCode>> {
     let socket = match front.socket() {
         Ok(socket) => socket,
         Err(code) => return Ok(Err(code)),
@@ -46,7 +46,7 @@
 }
 
 /// Puts a question and prints the answer; a refusal or an unreachable front is a failure.
-pub fn ask(front: &Which, question: &Ask, json: bool) -> io::Result<ExitCode> {
+pub fn ask(front: &Which, question: &Request, json: bool) -> io::Result<ExitCode> {
     let reply = match put(front, question)? {
         Ok(reply) => reply,
         Err(code) => return Ok(code),
@@ -63,7 +63,7 @@
 
 /// Servers of which fronts were told different things; a failure where there are any.
 pub fn diff(front: &Which, json: bool) -> io::Result<ExitCode> {
-    let standing = match put(front, &Ask::Fleet)? {
+    let standing = match put(front, &Request::Fleet)? {
         Ok(Reply::Fleet(standing)) => standing,
         Ok(other) => {
             println!("{other}");
@@ -72,8 +72,8 @@
         Err(code) => return Ok(code),
     };
     match json {
-        true => println!("{}", serde_json::to_string(&standing.differ)?),
+        true => println!("{}", serde_json::to_string(&standing.conflicts)?),
         false => print!("{}", differences(&standing)),
     }
-    Ok(if standing.differ.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if standing.conflicts.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -34,8 +34,8 @@
         assert_eq!(status(&bye_elsewhere(&caller, place.front(2), &ok)), 200);
         if !dies {
             place.until("its own front lets it go", |fleet| {
-                matches!(fleet.ask(0, &shalespindle_console::Ask::Status),
-                    Some(shalespindle_console::Reply::Status(s)) if s.standing == 0)
+                matches!(fleet.ask(0, &shalespindle_console::Request::Status),
+                    Some(shalespindle_console::Reply::Status(s)) if s.established == 0)
             });
         }
         assert_eq!(place.server.count(Method::Bye), 0);
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -5,7 +5,7 @@
 mod process;
 
 use process::{until, until_got, Sockets};
-use shalespindle_console::{Ask, Reply};
+use shalespindle_console::{Reply, Request};
 use shalespindle_rig::{check, look, play, Breach, Faults, Fleet, FleetShape, Row, Seen, State};
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
@@ -33,7 +33,7 @@
 
 fn verdict(fleet: &Fleet, front: usize, n: u16) -> String {
     let members = fleet.members(front).unwrap().members;
-    members.iter().find(|m| m.address == server(n)).map_or("unknown".into(), |m| m.verdict.clone())
+    members.iter().find(|m| m.address == server(n)).map_or("unknown".into(), |m| m.status.clone())
 }
 
 fn until_verdict(fleet: &Fleet, front: usize, n: u16, wanted: &str) {
@@ -102,7 +102,7 @@
     until_verdict(&fleet, 0, 2, "out");
     let seen = until_equal(&fleet);
     // Each meeting of lists that differ is counted on every front and listed.
-    assert!(seen.iter().all(|s| s.standing.met >= 2 && s.standing.differ.len() == 2));
+    assert!(seen.iter().all(|s| s.standing.conflict_count >= 2 && s.standing.conflicts.len() == 2));
     let mut command = Command::new(PROGRAM);
     let output = command.args(["fleet", "diff", "--config"]).arg(fleet.settings(1)).output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
@@ -134,7 +134,7 @@
         plant(&mut seen);
         check(&seen)
     };
-    let found = broken(&|seen| seen[1].standing.peers[0].mark ^= 1);
+    let found = broken(&|seen| seen[1].standing.peers[0].digest ^= 1);
     assert!(matches!(&found[..], [Breach::CopiesDiffer { of, .. }] if of != "f1"), "{found:?}");
     let found = broken(&|seen| seen[1].standing.peers[1].behind = 3);
     assert!(matches!(found[..], [Breach::Behind { by: 3, .. }]), "{found:?}");
@@ -142,7 +142,7 @@
     assert!(matches!(found[..], [Breach::Unheard { .. }]), "{found:?}");
     let say = |seen: &mut Vec<Seen>, n: u16, verdict: &str| {
         let members = &mut seen[2].members.members;
-        members.iter_mut().find(|m| m.address == server(n)).unwrap().verdict = verdict.into();
+        members.iter_mut().find(|m| m.address == server(n)).unwrap().status = verdict.into();
     };
     let found = broken(&|seen| say(seen, 1, "in"));
     assert!(matches!(found[..], [Breach::LetIn { by: 0, .. }]), "{found:?}");
@@ -151,7 +151,7 @@
 }
 
 fn level(fleet: &Fleet, front: usize) -> Option<(usize, bool)> {
-    match fleet.ask(front, &Ask::Status) {
+    match fleet.ask(front, &Request::Status) {
         Some(Reply::Status(s)) => s.level.map(|l| (l.level, l.pinned_for.is_some())),
         other => panic!("{other:?}"),
     }
@@ -253,7 +253,7 @@
 fn a_second_process_under_a_fronts_name_does_not_take_its_place() {
     let fleet = fleet(3);
     until_equal(&fleet);
-    let first = fleet.standing(0).unwrap().life;
+    let first = fleet.standing(0).unwrap().incarnation;
     let good = std::fs::read_to_string(fleet.settings(0)).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let (path, console) = (folder.path().join("twin.toml"), folder.path().join("twin.sock"));
@@ -267,9 +267,9 @@
     let twin = process::Front::run(&path, std::process::Stdio::null());
     // The others hear of its life, which is later, and tell the front: it takes one above.
     until("the front has a later life than its twin", || {
-        let asked = shalespindle_console::ask(&console, &Ask::Fleet, Duration::from_secs(5));
+        let asked = shalespindle_console::ask(&console, &Request::Fleet, Duration::from_secs(5));
         let Ok(Reply::Fleet(of_twin)) = asked else { return false };
-        fleet.standing(0).unwrap().life > of_twin.life.max(first)
+        fleet.standing(0).unwrap().incarnation > of_twin.incarnation.max(first)
     });
     fleet.feeds[0].set(server(1), row(1, State::Draining, 1));
     until_verdict(&fleet, 1, 1, "draining");
@@ -313,8 +313,8 @@
     let mut command = Command::new(PROGRAM);
     command.args(["run", "--config"]).arg(fleet.settings(0)).stderr(std::process::Stdio::null());
     let front = process::Front(command.spawn().unwrap());
-    until("the front answers", || matches!(fleet.ask(0, &Ask::Status), Some(Reply::Status(_))));
-    assert!(matches!(fleet.ask(0, &Ask::Fleet), Some(Reply::Bad { .. })));
+    until("the front answers", || matches!(fleet.ask(0, &Request::Status), Some(Reply::Status(_))));
+    assert!(matches!(fleet.ask(0, &Request::Fleet), Some(Reply::Bad { .. })));
     let datagrams = Sockets::of(&front).rows("udp", 9);
     let mut ports: Vec<&str> = datagrams.iter().map(|row| row[1].as_str()).collect();
     ports.sort();
--- a/crates/cli/tests/kept.rs
+++ b/crates/cli/tests/kept.rs
@@ -8,8 +8,8 @@
 
 use common::{reply, status, until, within, Caller};
 use place::{bye_elsewhere, call_id, Place, PROGRAM};
-use shalespindle_console::{Ask, Reply};
-use shalespindle_peer_service::KeepState;
+use shalespindle_console::{Reply, Request};
+use shalespindle_peer_service::PersistenceState;
 use shalespindle_peer_store::File;
 use shalespindle_peer_wire::front_id;
 use shalespindle_replica::Changes;
@@ -69,7 +69,7 @@
     let mut command = Command::new(PROGRAM);
     command.args(["pin", "2", "--for", "10m", "--fleet", "--config"]).arg(place.fleet.settings(1));
     assert!(command.status().unwrap().success());
-    let level = |fleet: &Fleet, front: usize| match fleet.ask(front, &Ask::Status) {
+    let level = |fleet: &Fleet, front: usize| match fleet.ask(front, &Request::Status) {
         Some(Reply::Status(s)) => s.level.map(|l| (l.level, l.pinned_for.is_some())),
         other => panic!("{other:?}"),
     };
@@ -100,8 +100,9 @@
     }
     // The others know that two are over; its old file says that all three stand.
     place.until("that is known", |fleet| {
-        let own = fleet.standing(0).unwrap().own_mark;
-        let has = |f: usize| fleet.standing(f).unwrap().peers.iter().any(|p| p.name == "f0" && p.mark == own);
+        let own = fleet.standing(0).unwrap().own_digest;
+        let has =
+            |f: usize| fleet.standing(f).unwrap().peers.iter().any(|p| p.name == "f0" && p.digest == own);
         has(1) && has(2)
     });
     place.fleet.put_back(0).unwrap();
@@ -188,15 +189,14 @@
     std::fs::write(place.fleet.kept(1), "of no sense").unwrap();
     place.start(1);
     until_kept(&place, 1);
-    assert_eq!(place.fleet.standing(1).unwrap().kept, KeepState::Good);
+    assert_eq!(place.fleet.standing(1).unwrap().persistence, PersistenceState::Good);
     assert_eq!(std::fs::read(place.fleet.kept(1).with_extension("spoilt")).unwrap(), b"of no sense");
     // Another front's is left alone.
     kill_all(&mut place);
     std::fs::copy(place.fleet.kept(2), place.fleet.kept(1)).unwrap();
     (0..3).for_each(|front| place.start(front));
-    let failing =
-        |state: KeepState, what: &str| matches!(state, KeepState::Failing(why) if why.contains(what));
-    assert!(failing(place.fleet.standing(1).unwrap().kept, "another front"));
+    let failing = |state: PersistenceState, what: &str| matches!(state, PersistenceState::Failing(why) if why.contains(what));
+    assert!(failing(place.fleet.standing(1).unwrap().persistence, "another front"));
     // It has its part in the fleet all the same.
     let caller = Caller::new(place.front(1));
     caller.send(&caller.invite("1", "idukki"));
@@ -222,7 +222,7 @@
     until("the other hears of it", || {
         fleet.standing(1).unwrap().peers.iter().any(|p| p.facts == 1 && p.state == "alive")
     });
-    until("that is told", || matches!(fleet.standing(0).unwrap().kept, KeepState::Failing(_)));
+    until("that is told", || matches!(fleet.standing(0).unwrap().persistence, PersistenceState::Failing(_)));
     fleet.kill(0);
     fleet.start(0).unwrap();
     until("it has caught up", || fleet.standing(0).unwrap().caught_up);
--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use shalespindle_console::{Ask, Order, Reply};
+use shalespindle_console::{Order, Reply, Request};
 use shalespindle_rig::{Faults, Fleet, FleetShape, Row, Servers, State};
 use shalespindle_sites::{SiteState, SiteStatus, Stage};
 use std::process::Command;
@@ -102,7 +102,7 @@
     }
 
     fn order(&self, front: usize, site: &str, order: Order, seconds: f64) -> Reply {
-        self.fleet.ask(front, &Ask::Site { name: site.into(), order, seconds }).unwrap()
+        self.fleet.ask(front, &Request::Site { name: site.into(), order, seconds }).unwrap()
     }
 }
 
--- a/crates/console/src/client.rs
+++ b/crates/console/src/client.rs
@@ -1,6 +1,6 @@
 //! The asking side, for the command line.
 
-use crate::{Ask, Reply};
+use crate::{Reply, Request};
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
 use std::path::Path;
@@ -16,7 +16,7 @@
 }
 
 /// Asks the front behind `socket` one question and waits at most `within` for each step.
-pub fn ask(socket: &Path, question: &Ask, within: Duration) -> Result<Reply, ConsoleError> {
+pub fn ask(socket: &Path, question: &Request, within: Duration) -> Result<Reply, ConsoleError> {
     let line = serde_json::to_string(question)?;
     let exchange = || -> io::Result<String> {
         let mut stream = UnixStream::connect(socket)?;
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -12,15 +12,15 @@
 
 use serde::{Deserialize, Serialize};
 use shalespindle_front::Counters;
-use shalespindle_peer_service::Standing;
+use shalespindle_peer_service::FleetStatus;
 
 /// The longest question taken, bytes.
-pub const LONGEST_LINE: u64 = 4096;
+pub const MAX_LINE_BYTES: u64 = 4096;
 
 /// A question or an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Ask {
+pub enum Request {
     Status,
     /// Each server with what the sources say of it.
     Members,
@@ -50,9 +50,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "reply", rename_all = "snake_case")]
 pub enum Reply {
-    Status(Box<Snapshot>),
+    Status(Box<FrontStatus>),
     Members(Box<Members>),
-    Fleet(Box<Standing>),
+    Fleet(Box<FleetStatus>),
     Done {
         what: String,
     },
@@ -64,15 +64,18 @@
 
 /// A front's state at one moment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Snapshot {
+pub struct FrontStatus {
     /// Its name in Via and Contact.
     pub front: String,
     pub seconds_in_service: f64,
-    pub ending: bool,
+    #[serde(rename = "ending")]
+    pub shutting_down: bool,
     /// None where levels are off.
     pub level: Option<LevelState>,
-    pub in_hand: usize,
-    pub standing: usize,
+    #[serde(rename = "in_hand")]
+    pub pending: usize,
+    #[serde(rename = "standing")]
+    pub established: usize,
     pub attaches_held: usize,
     pub legs_held: usize,
     pub datagrams_dropped: u64,
@@ -86,17 +89,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LevelState {
     pub level: usize,
-    pub deepest: usize,
+    #[serde(rename = "deepest")]
+    pub max_level: usize,
     /// How long it has been this one.
     pub seconds: f64,
     /// The figure that crossed which threshold, in words.
-    pub why: String,
-    pub takes: String,
+    #[serde(rename = "why")]
+    pub reason: String,
+    #[serde(rename = "takes")]
+    pub admits: String,
     /// Share of the protected utility lost just now; none with too little to judge by.
     pub pressure: Option<f64>,
     /// Seconds left of a pin.
     pub pinned_for: Option<f64>,
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub admitted: u64,
     pub refused: u64,
     pub changes: u64,
 }
@@ -105,11 +112,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Members {
     /// Seconds that the pool list's feed has been away; none while it is there.
-    pub feed_away: Option<f64>,
+    #[serde(rename = "feed_away")]
+    pub feed_lost_for: Option<f64>,
     pub names: Vec<NameState>,
     pub members: Vec<MemberState>,
     /// Servers not taken up for want of room.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub over_capacity: u64,
 }
 
 /// A name that is looked up.
@@ -129,7 +138,8 @@
 pub struct MemberState {
     pub address: std::net::SocketAddr,
     pub pool: u16,
-    pub verdict: String,
+    #[serde(rename = "verdict")]
+    pub status: String,
     pub seconds: f64,
     pub list: String,
     /// Seconds since the list last told something new.
@@ -140,6 +150,8 @@
     pub dns_left: Option<f64>,
     /// Priority and weight (RFC 2782).
     pub rank: Option<(u16, u16)>,
-    pub because: String,
-    pub warned: bool,
+    #[serde(rename = "because")]
+    pub reason: String,
+    #[serde(rename = "warned")]
+    pub needs_attention: bool,
 }
--- a/crates/console/src/server.rs
+++ b/crates/console/src/server.rs
@@ -2,7 +2,7 @@
 //! an operator's question waits for its answer with a time limit, and among 25,000 questions in quick succession
 //! such waits of coroutines lost one and ended the process twice.
 
-use crate::{Ask, Reply, LONGEST_LINE};
+use crate::{Reply, Request, MAX_LINE_BYTES};
 use socket2::SockRef;
 use std::fs;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// `AddrInUse` when another process answers there; a socket that nobody answers on is taken over.
-pub fn serve(path: &Path, answer: impl Fn(Ask) -> Reply + Send + Sync + 'static) -> io::Result<Console> {
+pub fn serve(path: &Path, answer: impl Fn(Request) -> Reply + Send + Sync + 'static) -> io::Result<Console> {
     clear_stale(path)?;
     let listener = UnixListener::bind(path)?;
     fs::set_permissions(path, fs::Permissions::from_mode(0o600))?;
@@ -70,7 +70,7 @@
 
 fn serve_one<A>(stream: UnixStream, answer: &Arc<A>, open: &Arc<AtomicUsize>)
 where
-    A: Fn(Ask) -> Reply + Send + Sync + 'static,
+    A: Fn(Request) -> Reply + Send + Sync + 'static,
 {
     if open.fetch_add(1, Ordering::Relaxed) >= MOST {
         // Guards descriptors and threads: dropped, the operator may try again.
@@ -103,7 +103,7 @@
     }
 }
 
-fn one(stream: UnixStream, answer: &impl Fn(Ask) -> Reply) -> io::Result<()> {
+fn one(stream: UnixStream, answer: &impl Fn(Request) -> Reply) -> io::Result<()> {
     stream.set_read_timeout(Some(IDLE))?;
     stream.set_write_timeout(Some(IDLE))?;
     let mut writer = stream.try_clone()?;
@@ -112,7 +112,7 @@
     loop {
         line.clear();
         // Guards memory against a line without end.
-        let size = reader.by_ref().take(LONGEST_LINE).read_line(&mut line)?;
+        let size = reader.by_ref().take(MAX_LINE_BYTES).read_line(&mut line)?;
         if size == 0 {
             return Ok(());
         }
--- a/crates/console/src/words.rs
+++ b/crates/console/src/words.rs
@@ -1,7 +1,7 @@
 //! Answers as operators read them.
 
-use crate::{LevelState, MemberState, Members, Reply, Snapshot};
-use shalespindle_peer_service::{KeepState, Standing};
+use crate::{FrontStatus, LevelState, MemberState, Members, Reply};
+use shalespindle_peer_service::{FleetStatus, PersistenceState};
 use shalespindle_sites::{SitesStatus, Stage};
 use std::fmt;
 
@@ -17,9 +17,9 @@
     }
 }
 
-impl fmt::Display for Snapshot {
+impl fmt::Display for FrontStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let state = if self.ending { "ending" } else { "in service" };
+        let state = if self.shutting_down { "ending" } else { "in service" };
         writeln!(f, "front {}: {state} for {:.0} s", self.front, self.seconds_in_service)?;
         match &self.level {
             Some(level) => level.fmt(f)?,
@@ -28,7 +28,7 @@
         writeln!(
             f,
             "attaches: {} in hand, {} standing; held {} and {} legs",
-            self.in_hand, self.standing, self.attaches_held, self.legs_held
+            self.pending, self.established, self.attaches_held, self.legs_held
         )?;
         writeln!(
             f,
@@ -44,14 +44,18 @@
     }
 }
 
-fn fleet(s: &Standing, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-    let state = match (s.silenced, s.alone, s.caught_up) {
+fn fleet(s: &FleetStatus, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    let state = match (s.silenced, s.isolated, s.caught_up) {
         (true, ..) => "silenced: another process holds this name",
         (_, true, _) => "alone: no other front is heard",
         (.., false) => "catching up",
         (.., true) => "caught up",
     };
-    writeln!(f, "{}: {state}; life {}-{:x}, {} facts told", s.name, s.life.0, s.life.1, s.own_facts)?;
+    writeln!(
+        f,
+        "{}: {state}; life {}-{:x}, {} facts told",
+        s.name, s.incarnation.0, s.incarnation.1, s.own_facts
+    )?;
     for p in &s.peers {
         writeln!(
             f,
@@ -62,12 +66,17 @@
     if let Some(sites) = &s.sites {
         sites_in_words(sites, f)?;
     }
-    match &s.kept {
-        KeepState::Off => writeln!(f, "nothing is kept on disk")?,
-        KeepState::Good => writeln!(f, "what is known here is kept on disk")?,
-        KeepState::Failing(why) => writeln!(f, "nothing is kept on disk now: {why}")?,
+    match &s.persistence {
+        PersistenceState::Off => writeln!(f, "nothing is kept on disk")?,
+        PersistenceState::Good => writeln!(f, "what is known here is kept on disk")?,
+        PersistenceState::Failing(why) => writeln!(f, "nothing is kept on disk now: {why}")?,
     }
-    writeln!(f, "{} servers differ now, copies that differ met {} times", s.differ.len(), s.met)?;
+    writeln!(
+        f,
+        "{} servers differ now, copies that differ met {} times",
+        s.conflicts.len(),
+        s.conflict_count
+    )?;
     for (name, count) in &s.counts {
         writeln!(f, "  {name:26} {count}")?;
     }
@@ -123,15 +132,15 @@
 }
 
 /// Copies that differ, a line each, as `fleet diff` prints them.
-pub fn differences(s: &Standing) -> String {
+pub fn differences(s: &FleetStatus) -> String {
     let mut text = String::new();
-    for d in &s.differ {
-        let words: Vec<String> = d.words.iter().map(|(front, told)| format!("{front} {told}")).collect();
-        let (address, incarnation, settled) = (d.address, d.incarnation, &d.settled);
+    for d in &s.conflicts {
+        let words: Vec<String> = d.reports.iter().map(|(front, told)| format!("{front} {told}")).collect();
+        let (address, incarnation, settled) = (d.address, d.incarnation, &d.resolved);
         text += &format!(
             "{address} start {incarnation}: {}; counts as {settled}, for {:.0} s\n",
             words.join(", "),
-            d.for_s
+            d.duration_s
         );
     }
     text
@@ -139,13 +148,13 @@
 
 impl fmt::Display for LevelState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "level {} of {} for {:.1} s: {}", self.level, self.deepest, self.seconds, self.why)?;
-        writeln!(f, "  takes {}", self.takes)?;
+        writeln!(f, "level {} of {} for {:.1} s: {}", self.level, self.max_level, self.seconds, self.reason)?;
+        writeln!(f, "  takes {}", self.admits)?;
         match self.pressure {
             Some(pressure) => write!(f, "  pressure now {pressure:.3}")?,
             None => write!(f, "  too little to judge by now")?,
         }
-        writeln!(f, "; taken {}, refused {}, changes {}", self.taken, self.refused, self.changes)?;
+        writeln!(f, "; taken {}, refused {}, changes {}", self.admitted, self.refused, self.changes)?;
         if let Some(left) = self.pinned_for {
             writeln!(f, "  pinned for another {left:.0} s")?;
         }
@@ -155,7 +164,7 @@
 
 impl fmt::Display for Members {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.feed_away {
+        match self.feed_lost_for {
             Some(seconds) => writeln!(f, "pool list: away for {seconds:.0} s")?,
             None => writeln!(f, "pool list: there")?,
         }
@@ -173,8 +182,8 @@
         for member in &self.members {
             member.fmt(f)?;
         }
-        if self.turned_away > 0 {
-            writeln!(f, "{} servers not taken up for want of room", self.turned_away)?;
+        if self.over_capacity > 0 {
+            writeln!(f, "{} servers not taken up for want of room", self.over_capacity)?;
         }
         Ok(())
     }
@@ -182,11 +191,11 @@
 
 impl fmt::Display for MemberState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let warned = if self.warned { ", warned" } else { "" };
+        let warned = if self.needs_attention { ", warned" } else { "" };
         write!(
             f,
             "{} pool {}: {} for {:.0} s{warned}; list {}",
-            self.address, self.pool, self.verdict, self.seconds, self.list
+            self.address, self.pool, self.status, self.seconds, self.list
         )?;
         if let Some(age) = self.list_age {
             write!(f, " ({age:.0} s)")?;
@@ -198,6 +207,6 @@
         if let Some((priority, weight)) = self.rank {
             write!(f, " priority {priority} weight {weight}")?;
         }
-        writeln!(f, "; {}", self.because)
+        writeln!(f, "; {}", self.reason)
     }
 }
--- a/crates/console/tests/socket.rs
+++ b/crates/console/tests/socket.rs
@@ -1,6 +1,6 @@
 //! Console and client over a real socket.
 
-use shalespindle_console::{ask, serve, Ask, ConsoleError, Reply, LONGEST_LINE};
+use shalespindle_console::{ask, serve, ConsoleError, Reply, Request, MAX_LINE_BYTES};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixStream;
@@ -9,7 +9,7 @@
 
 const WITHIN: Duration = Duration::from_secs(20);
 
-fn echo(question: Ask) -> Reply {
+fn echo(question: Request) -> Reply {
     Reply::Done { what: format!("{question:?}") }
 }
 
@@ -28,7 +28,7 @@
     let path = folder.path().join("front.sock");
     let console = serve(&path, echo).unwrap();
     assert_eq!(std::fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
-    let question = Ask::PinLevel { level: 2, seconds: 60.0 };
+    let question = Request::PinLevel { level: 2, seconds: 60.0 };
     let expected = Reply::Done { what: format!("{question:?}") };
     assert_eq!(ask(&path, &question, WITHIN).unwrap(), expected);
     for bad in [
@@ -39,11 +39,11 @@
     ] {
         assert!(raw(&path, bad.as_bytes()).contains("\"reply\":\"bad\""), "{bad}");
     }
-    let endless = vec![b'x'; LONGEST_LINE as usize];
+    let endless = vec![b'x'; MAX_LINE_BYTES as usize];
     assert!(raw(&path, &endless).contains("\"reply\":\"bad\""));
     drop(console);
     assert!(!path.exists());
-    assert!(matches!(ask(&path, &Ask::Status, WITHIN), Err(ConsoleError::Unreachable { .. })));
+    assert!(matches!(ask(&path, &Request::Status, WITHIN), Err(ConsoleError::Unreachable { .. })));
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let console = serve(&path, echo).unwrap();
     let second = serve(&path, echo).err().map(|why| why.kind());
     assert_eq!(second, Some(std::io::ErrorKind::AddrInUse));
-    assert!(ask(&path, &Ask::Status, WITHIN).is_ok());
+    assert!(ask(&path, &Request::Status, WITHIN).is_ok());
     drop(console);
     std::fs::write(&path, "kept").unwrap();
     assert!(serve(&path, echo).is_err());
--- a/crates/coordinator/tests/timelines.rs
+++ b/crates/coordinator/tests/timelines.rs
@@ -9,11 +9,11 @@
 #[test]
 fn failure_of_a_coordinator() {
     let mut world = World::with_version_1(3, 6);
-    world.timeline.world(world.now, "c1 fails");
+    world.timeline.add_global(world.now, "c1 fails");
     world.coordinators.remove(&NodeId(1));
     world.advance(3.0);
     let now = world.now;
-    world.timeline.world(now, "version 2 at c0");
+    world.timeline.add_global(now, "version 2 at c0");
     world.coordinator(0).announce(now, 2, 20).unwrap();
     world.wait_until("version 2 everywhere", 7.0, |world| world.all_act_on(2));
     world.advance(3.0);
@@ -23,10 +23,10 @@
 #[test]
 fn restart_of_several_fronts() {
     let mut world = World::with_version_1(3, 6);
-    world.timeline.world(world.now, "f0 to f2 fail");
+    world.timeline.add_global(world.now, "f0 to f2 fail");
     (0..3).for_each(|n| drop(world.clients.remove(&NodeId(FIRST_CLIENT + n))));
     world.advance(6.0);
-    world.timeline.world(world.now, "f0 to f2 restart");
+    world.timeline.add_global(world.now, "f0 to f2 restart");
     (0..3).for_each(|n| world.start_client(n));
     world.wait_until("all act on version 1", 7.0, |world| world.all_act_on(1));
     world.advance(1.0);
@@ -37,15 +37,15 @@
 fn reconnection_of_a_region() {
     let mut world = World::with_version_1(3, 6);
     // Only the coordinator is cut off; the fronts that follow it fail over to the others.
-    world.timeline.world(world.now, "c2 is cut off");
+    world.timeline.add_global(world.now, "c2 is cut off");
     world.cut_off.insert(NodeId(2));
     world.advance(7.0);
     let now = world.now;
-    world.timeline.world(now, "version 2 at c0 and at c2");
+    world.timeline.add_global(now, "version 2 at c0 and at c2");
     world.coordinator(0).announce(now, 2, 20).unwrap();
     world.coordinator(2).announce(now, 2, 22).unwrap();
     world.advance(3.0);
-    world.timeline.world(world.now, "c2 is reconnected");
+    world.timeline.add_global(world.now, "c2 is reconnected");
     world.cut_off.clear();
     world.advance(7.0);
     insta::assert_snapshot!("reconnection_of_a_region", world.timeline.to_string());
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -19,7 +19,7 @@
 use shalespindle_standin::net::{self, Hosted, HostedServer};
 use shalespindle_standin::server::Server;
 use shalespindle_standin::trace::{Entry, Seen, Trace};
-use shalespindle_transport::{Service, Snapshot};
+use shalespindle_transport::{FrontStatus, Service};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     pub report: Report,
     pub trace: Vec<Entry>,
     /// State of each front inside this process, taken before it was ended.
-    pub snapshots: Vec<Snapshot>,
+    pub snapshots: Vec<FrontStatus>,
 }
 
 struct Fleet<'a> {
--- a/crates/lab/src/throughput.rs
+++ b/crates/lab/src/throughput.rs
@@ -14,7 +14,7 @@
 use shalespindle_standin::net::{feed, Hosted, HostedServer};
 use shalespindle_standin::server::Server;
 use shalespindle_standin::trace::Trace;
-use shalespindle_transport::{Service, Snapshot};
+use shalespindle_transport::{FrontStatus, Service};
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 use std::io::{self, Read};
@@ -46,7 +46,7 @@
     /// Relay and front, closed loop, then both at half of the front's rate.
     pub rounds: Vec<[Measured; 4]>,
     /// The front's own state at the end.
-    pub snapshot: Option<Snapshot>,
+    pub snapshot: Option<FrontStatus>,
     /// Bytes of resident memory that each attach in hand adds.
     pub bytes_an_attach: f64,
 }
@@ -228,7 +228,7 @@
         }
     }
     std::thread::sleep(Duration::from_millis(300));
-    let held = service.snapshot().map_or(0, |s| s.in_hand.max(s.attaches_held));
+    let held = service.snapshot().map_or(0, |s| s.pending.max(s.attaches_held));
     let grown = resident_bytes().saturating_sub(before);
     Ok(grown as f64 / (held.max(1) as f64))
 }
--- a/crates/peer-service/src/lib.rs
+++ b/crates/peer-service/src/lib.rs
@@ -2,16 +2,16 @@
 //! core. What becomes known goes to a callback; what this front tells comes over a bounded mailbox, and no
 //! sender of it ever waits. Nothing is decided here.
 
-mod keep;
 mod owner;
+mod persistence;
 mod sites;
 
-pub use keep::{Keep, KeepState};
-pub use owner::{Heard, Saying, Standing};
+pub use owner::{FleetCommand, FleetNotice, FleetStatus};
+pub use persistence::{Persistence, PersistenceState};
 
-use keep::Keeper;
 use may::net::UdpSocket;
 use owner::{Directory, Letter, Owner};
+use persistence::Persister;
 use shalespindle_peer_store::Store;
 use shalespindle_peer_wire::{front_id, Codec};
 use shalespindle_replica::{Fleet, FleetParams};
@@ -31,7 +31,7 @@
 
 /// What a front among others is started with.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct FleetConfig {
     pub name: String,
     pub listen: SocketAddr,
     /// The other fronts: name, and where their datagrams go.
@@ -41,13 +41,13 @@
     /// Draws the order in which others are told, and the nonce of this life.
     pub seed: u64,
     /// None: nothing outlives the process.
-    pub keep: Option<Keep>,
+    pub persistence: Option<Persistence>,
     /// Sites that the fleet judges; none: nothing is told or heeded of any.
     pub sites: Option<(SitesParams, SiteTable)>,
 }
 
 /// A front among others; dropping it leaves in order and leaves nothing running.
-pub struct Fronts {
+pub struct FleetService {
     address: SocketAddr,
     mailbox: Mailbox<Letter>,
     reader: Option<Handle>,
@@ -58,11 +58,11 @@
 
 /// Tells the others; cheap to clone.
 #[derive(Clone)]
-pub struct Teller(Mailbox<Letter>);
+pub struct FleetHandle(Mailbox<Letter>);
 
-impl Teller {
+impl FleetHandle {
     /// Never waits: what is said comes from the front's own list and operators, not from peers.
-    pub fn say(&self, sayings: Vec<Saying>) {
+    pub fn publish(&self, sayings: Vec<FleetCommand>) {
         let _ = self.0.send_urgent(Letter::Say(sayings));
     }
 
@@ -74,45 +74,46 @@
     }
 
     /// The list of the other fronts changed: name, and where their datagrams go.
-    pub fn relist(&self, peers: Vec<(String, SocketAddr)>) {
+    pub fn set_peers(&self, peers: Vec<(String, SocketAddr)>) {
         let _ = self.0.send_urgent(Letter::Relist(peers));
     }
 
     /// How the fronts stand, waited for on the caller's thread; none once the owner has ended.
-    pub fn standing(&self) -> Option<Standing> {
+    pub fn status(&self) -> Option<FleetStatus> {
         let (to, from) = mpsc::channel();
         self.0.send_urgent(Letter::Ask(to)).ok()?;
         from.recv_timeout(ANSWERED_WITHIN).ok()
     }
 }
 
-impl Fronts {
+impl FleetService {
     /// Opens the socket and starts; the port may be 0 for any free one.
     pub fn start(
-        what: Start,
+        what: FleetConfig,
         ground: Ground,
-        heard: impl FnMut(Heard) + Send + 'static,
-    ) -> io::Result<Fronts> {
+        heard: impl FnMut(FleetNotice) + Send + 'static,
+    ) -> io::Result<FleetService> {
         let udp = UdpSocket::bind(what.listen)?;
         let address = udp.local_addr()?;
         let writer = udp.try_clone()?;
         let own = front_id(&what.name);
         let directory = Directory::new(&what.name, what.peers);
         let now = ground.now();
-        let (mut keeper, kept) = Keeper::open(what.keep.as_ref(), own, now);
-        let life = keep::life(kept.as_ref(), own, what.seed);
+        let (mut persister, kept) = Persister::open(what.persistence.as_ref(), own, now);
+        let life = persistence::life(kept.as_ref(), own, what.seed);
         let (most, fanout, bytes) =
             (what.params.peers.max_fronts, what.params.peers.fanout, what.params.max_message_bytes);
         let sites = what.sites.map(|(params, table)| Sites::new(params, table, own, what.seed, now));
         let mut fleet = Fleet::new(what.params, own, life, &directory.listed(), what.seed, now);
-        keeper.restore(now, &mut fleet, kept);
+        persister.restore(now, &mut fleet, kept);
         let codec = Codec::new(what.key, own, most);
         let (sending, mail) = mailbox(ROOM);
         let reader = read(udp, sending.clone())?;
         let (last, store) = mpsc::channel();
         let (udp, heard, traffic) = (writer, Box::new(heard), Default::default());
         let sites = sites.map(|core| SitesOwner { core, fanout, bytes });
-        let owner = Owner { fleet, sites, keeper, codec, udp, directory, ground, mail, heard, traffic, last };
+        let owner =
+            Owner { fleet, sites, persister, codec, udp, directory, ground, mail, heard, traffic, last };
         // A thread of its own: its turns over many facts are long, and would hold up a front's owner that shares a
         // worker of the coroutines with it.
         let owner = match std::thread::Builder::new().name("fleet".into()).spawn(move || owner.run()) {
@@ -122,15 +123,15 @@
                 return Err(why);
             }
         };
-        Ok(Fronts { address, mailbox: sending, reader: Some(reader), owner: Some(owner), store })
+        Ok(FleetService { address, mailbox: sending, reader: Some(reader), owner: Some(owner), store })
     }
 
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    pub fn teller(&self) -> Teller {
-        Teller(self.mailbox.clone())
+    pub fn handle(&self) -> FleetHandle {
+        FleetHandle(self.mailbox.clone())
     }
 }
 
@@ -147,7 +148,7 @@
     })
 }
 
-impl Drop for Fronts {
+impl Drop for FleetService {
     fn drop(&mut self) {
         let _ = self.mailbox.send_urgent(Letter::Leave);
         if let Some(owner) = self.owner.take() {
--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -1,6 +1,6 @@
 //! The thread that owns the core: letters in, turns, frames out.
 
-use crate::keep::{KeepState, Keeper};
+use crate::persistence::{PersistenceState, Persister};
 use crate::sites::SitesOwner;
 use may::net::UdpSocket;
 use serde::{Deserialize, Serialize};
@@ -20,30 +20,30 @@
 
 /// What this front tells the others.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Saying {
+pub enum FleetCommand {
     /// Its pool list told this of a server.
-    Server { address: SocketAddr, word: ServerRecord },
+    Server { address: SocketAddr, record: ServerRecord },
     /// An operator's word on the level for all fronts; none lets it go.
-    Level { level: Option<u8>, lasts: f64 },
+    Level { level: Option<u8>, valid_for: f64 },
     /// A call stands here, or stands no more.
-    Call { call: u64, word: Option<Box<CallRecord>> },
+    Call { call: u64, record: Option<Box<CallRecord>> },
     /// What this front sees of sites, and what is asked of it.
-    Sees(Sample),
-    /// Whose call is it, by the name of its dialog with the caller or with the server; [`Heard::Found`] answers.
-    Whose { ticket: u64, name: u64, by_leg: bool },
+    SitesObserved(Sample),
+    /// Whose call is it, by the name of its dialog with the caller or with the server; [`FleetNotice::CallFound`] answers.
+    FindCall { ticket: u64, name: u64, by_leg: bool },
 }
 
 /// What this front hears of the others.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
-    News(FleetEvent),
+pub enum FleetNotice {
+    Event(FleetEvent),
     /// What the fleet's word on sites leaves this front.
-    Narrowed(Restrictions),
+    SitesRestricted(Restrictions),
     /// Known: one of the fleet's; without the word it has been released already.
-    Found {
+    CallFound {
         ticket: u64,
         known: bool,
-        word: Option<Box<CallRecord>>,
+        record: Option<Box<CallRecord>>,
     },
 }
 
@@ -51,8 +51,8 @@
 pub(crate) enum Letter {
     Datagram(Vec<u8>),
     /// What this front tells, in its order.
-    Say(Vec<Saying>),
-    Ask(mpsc::Sender<Standing>),
+    Say(Vec<FleetCommand>),
+    Ask(mpsc::Sender<FleetStatus>),
     /// An operator's order on a site.
     Order {
         site: String,
@@ -67,35 +67,42 @@
 
 /// How the fronts stand, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct FleetStatus {
     pub name: String,
     /// Number and nonce of this process's life.
-    pub life: (u64, u64),
+    #[serde(rename = "life")]
+    pub incarnation: (u64, u64),
     /// Another process holds this name: this one says nothing of its own.
     pub silenced: bool,
     /// It misses every other front at once.
-    pub alone: bool,
+    #[serde(rename = "alone")]
+    pub isolated: bool,
     /// Whether it has what a peer had.
     pub caught_up: bool,
     /// Facts of its own that it tells.
     pub own_facts: usize,
-    pub own_mark: u64,
-    pub peers: Vec<PeerStanding>,
+    #[serde(rename = "own_mark")]
+    pub own_digest: u64,
+    pub peers: Vec<PeerStatus>,
     /// How often copies that differ have met, and those that differ now.
-    pub met: u64,
-    pub differ: Vec<Differ>,
+    #[serde(rename = "met")]
+    pub conflict_count: u64,
+    #[serde(rename = "differ")]
+    pub conflicts: Vec<ServerConflict>,
     /// Calls that two or more fronts released: name, fronts.
-    pub doubles: Vec<(String, Vec<String>)>,
+    #[serde(rename = "doubles")]
+    pub double_releases: Vec<(String, Vec<String>)>,
     pub counts: BTreeMap<String, u64>,
     /// What outlives the process.
-    pub kept: KeepState,
+    #[serde(rename = "kept")]
+    pub persistence: PersistenceState,
     /// None where the settings name no sites.
     #[serde(default)]
     pub sites: Option<SitesStatus>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PeerStanding {
+pub struct PeerStatus {
     pub name: String,
     pub state: String,
     /// Seconds since its beat last rose.
@@ -104,19 +111,23 @@
     pub facts: usize,
     pub behind: u64,
     /// Equal on fronts whose copies of it are equal.
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub digest: u64,
 }
 
 /// One server of which fronts were told different things.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Differ {
+pub struct ServerConflict {
     pub address: SocketAddr,
     pub incarnation: u64,
     /// Front and what it was told.
-    pub words: Vec<(String, String)>,
-    pub settled: String,
+    #[serde(rename = "words")]
+    pub reports: Vec<(String, String)>,
+    #[serde(rename = "settled")]
+    pub resolved: String,
     /// Seconds since they met.
-    pub for_s: f64,
+    #[serde(rename = "for_s")]
+    pub duration_s: f64,
 }
 
 /// Names and addresses of the fronts.
@@ -162,13 +173,13 @@
 pub(crate) struct Owner {
     pub fleet: Fleet,
     pub sites: Option<SitesOwner>,
-    pub keeper: Keeper,
+    pub persister: Persister,
     pub codec: Codec,
     pub udp: UdpSocket,
     pub directory: Directory,
     pub ground: Ground,
     pub mail: Mail<Letter>,
-    pub heard: Box<dyn FnMut(Heard) + Send>,
+    pub heard: Box<dyn FnMut(FleetNotice) + Send>,
     pub traffic: Traffic,
     /// Takes what is to be waited for on a thread, when this has ended.
     pub last: mpsc::Sender<Store>,
@@ -182,7 +193,7 @@
             let mut taken = 0;
             while let Some(letter) = next {
                 if !self.take(letter) {
-                    if let Some(store) = self.keeper.end(self.ground.now(), &mut self.fleet) {
+                    if let Some(store) = self.persister.end(self.ground.now(), &mut self.fleet) {
                         // Nobody waits for it: then it is dropped here.
                         let _ = self.last.send(store);
                     }
@@ -192,7 +203,7 @@
                 next = if taken < BATCH { self.mail.try_next() } else { None };
             }
             self.fleet.turn(self.ground.now());
-            self.keeper.turn(self.ground.now(), &mut self.fleet);
+            self.persister.turn(self.ground.now(), &mut self.fleet);
             if let Some(sites) = &mut self.sites {
                 sites.turn(self.ground.now(), self.fleet.peers());
             }
@@ -235,23 +246,25 @@
         true
     }
 
-    fn say(&mut self, now: f64, saying: Saying) {
+    fn say(&mut self, now: f64, saying: FleetCommand) {
         match saying {
-            Saying::Server { address, word } => self.fleet.publish_server(now, address, word),
-            Saying::Level { level, lasts } => {
+            FleetCommand::Server { address, record } => self.fleet.publish_server(now, address, record),
+            FleetCommand::Level { level, valid_for } => {
                 let by = self.directory.name(self.fleet.replicas().own());
-                self.fleet.publish_level(now, level, lasts, &by);
+                self.fleet.publish_level(now, level, valid_for, &by);
             }
-            Saying::Call { call, word } => self.fleet.publish_call(now, call, word.map(|w| *w)),
-            Saying::Sees(seen) => {
+            FleetCommand::Call { call, record } => {
+                self.fleet.publish_call(now, call, record.map(|record| *record))
+            }
+            FleetCommand::SitesObserved(seen) => {
                 if let Some(sites) = &mut self.sites {
                     sites.core.record_sample(now, self.fleet.peers(), &seen);
                 }
             }
-            Saying::Whose { ticket, name, by_leg } => {
+            FleetCommand::FindCall { ticket, name, by_leg } => {
                 let found = self.fleet.end_call(now, name, by_leg);
-                let (known, word) = (found.is_some(), found.and_then(|f| f.1).map(Box::new));
-                (self.heard)(Heard::Found { ticket, known, word });
+                let (known, record) = (found.is_some(), found.and_then(|f| f.1).map(Box::new));
+                (self.heard)(FleetNotice::CallFound { ticket, known, record });
             }
         }
     }
@@ -264,7 +277,7 @@
             }
         }
         while let Some(news) = self.fleet.next_event() {
-            (self.heard)(Heard::News(news));
+            (self.heard)(FleetNotice::Event(news));
         }
         while let Some(out) = self.sites.as_mut().and_then(|sites| sites.core.next_output()) {
             match out {
@@ -272,7 +285,9 @@
                     let frame = self.codec.write_sites(to, self.fleet.incarnation(), message);
                     self.send_frame(to, frame);
                 }
-                shalespindle_sites::Output::Restrict(narrowing) => (self.heard)(Heard::Narrowed(narrowing)),
+                shalespindle_sites::Output::Restrict(narrowing) => {
+                    (self.heard)(FleetNotice::SitesRestricted(narrowing))
+                }
                 out => {
                     if let Some(sites) = &self.sites {
                         sites.log(&out);
@@ -336,7 +351,7 @@
         }
     }
 
-    fn standing(&self, now: f64) -> Standing {
+    fn standing(&self, now: f64) -> FleetStatus {
         let status = self.fleet.status(now);
         let dropped = self.codec.dropped();
         let counts = status.counts;
@@ -369,41 +384,41 @@
             ("bytes_sent", self.traffic.sent_bytes),
             ("bytes_taken", self.traffic.taken_bytes),
         ];
-        let peers = status.peers.iter().map(|p| PeerStanding {
+        let peers = status.peers.iter().map(|p| PeerStatus {
             name: self.directory.name(p.front),
             state: p.state.name().into(),
             quiet_for: p.quiet_for,
             facts: p.facts,
             behind: p.behind,
-            mark: p.digest,
+            digest: p.digest,
         });
-        let differ = status.conflicts.iter().map(|m| Differ {
+        let differ = status.conflicts.iter().map(|m| ServerConflict {
             address: m.address,
             incarnation: m.incarnation,
-            words: m.reports.iter().map(|w| (self.directory.name(w.0), told(w.1))).collect(),
-            settled: told(m.resolved),
-            for_s: now - m.since,
+            reports: m.reports.iter().map(|w| (self.directory.name(w.0), told(w.1))).collect(),
+            resolved: told(m.resolved),
+            duration_s: now - m.since,
         });
         let doubles = status.double_releases.iter().map(|(call, fronts)| {
             (format!("{call:016x}"), fronts.iter().map(|f| self.directory.name(*f)).collect::<Vec<String>>())
         });
         let mut counts: BTreeMap<String, u64> =
             counted.into_iter().map(|(name, n)| (name.to_string(), n)).collect();
-        self.keeper.count(now, &mut counts);
-        Standing {
+        self.persister.count(now, &mut counts);
+        FleetStatus {
             name: self.directory.name(self.fleet.replicas().own()),
-            life: (status.incarnation.number, status.incarnation.nonce),
+            incarnation: (status.incarnation.number, status.incarnation.nonce),
             silenced: status.silenced,
-            alone: status.isolated,
+            isolated: status.isolated,
             caught_up: status.caught_up,
             own_facts: status.own_facts,
-            own_mark: status.own_digest,
+            own_digest: status.own_digest,
             peers: peers.collect(),
-            met: status.conflict_count,
-            differ: differ.collect(),
-            doubles: doubles.collect(),
+            conflict_count: status.conflict_count,
+            conflicts: differ.collect(),
+            double_releases: doubles.collect(),
             counts,
-            kept: self.keeper.state(),
+            persistence: self.persister.state(),
             sites: self.sites.as_ref().map(|sites| sites.core.status(now, self.fleet.peers())),
         }
     }
--- a/crates/peer-service/src/keep.rs
+++ b/crates/peer-service/src/persistence.rs
@@ -11,15 +11,15 @@
 
 /// What is kept on disk.
 #[derive(Clone, Debug)]
-pub struct Keep {
+pub struct Persistence {
     pub file: PathBuf,
     /// Between two steps, seconds.
-    pub every: f64,
+    pub interval: f64,
 }
 
-/// How the keeping stands, for operators.
+/// How the schedule stands, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum KeepState {
+pub enum PersistenceState {
     /// No file is set.
     Off,
     /// The last step was written, or none was due yet.
@@ -34,34 +34,34 @@
 }
 
 /// The file and when it is written. Without a file nothing is kept, and the front goes on as one that returns empty.
-pub(crate) struct Keeper {
+pub(crate) struct Persister {
     store: Option<Store>,
-    keeping: SaveSchedule,
-    state: KeepState,
+    schedule: SaveSchedule,
+    state: PersistenceState,
     restored: Restored,
     saves: u64,
     failed: u64,
     facts: u64,
 }
 
-impl Keeper {
+impl Persister {
     /// What an earlier process of this front kept, if there is any.
-    pub fn open(keep: Option<&Keep>, own: FrontId, now: f64) -> (Keeper, Option<Snapshot>) {
-        let every = keep.map_or(1.0, |k| k.every);
+    pub fn open(keep: Option<&Persistence>, own: FrontId, now: f64) -> (Persister, Option<Snapshot>) {
+        let every = keep.map_or(1.0, |k| k.interval);
         let (store, state, kept) = match keep {
-            None => (None, KeepState::Off, None),
+            None => (None, PersistenceState::Off, None),
             Some(keep) => match open(&keep.file, own) {
-                Ok((store, kept)) => (Some(store), KeepState::Good, kept),
+                Ok((store, kept)) => (Some(store), PersistenceState::Good, kept),
                 Err(why) => {
                     let file = keep.file.display();
                     warn!(target: "shalespindle::fleet", %file, why, "nothing is kept on disk");
-                    (None, KeepState::Failing(why), None)
+                    (None, PersistenceState::Failing(why), None)
                 }
             },
         };
-        let keeping = SaveSchedule::new(every, now);
+        let schedule = SaveSchedule::new(every, now);
         let restored = Restored::default();
-        (Keeper { store, keeping, state, restored, saves: 0, failed: 0, facts: 0 }, kept)
+        (Persister { store, schedule, state, restored, saves: 0, failed: 0, facts: 0 }, kept)
     }
 
     /// The fleet takes what was kept, and remembers from now on what changes.
@@ -90,26 +90,26 @@
         while let Some(outcome) = store.outcome() {
             match outcome {
                 Outcome::Saved { facts } => {
-                    if self.state != KeepState::Good {
+                    if self.state != PersistenceState::Good {
                         info!(target: "shalespindle::fleet", "the file is written again");
                     }
                     (self.state, self.saves, self.facts) =
-                        (KeepState::Good, self.saves + 1, self.facts + facts as u64);
-                    self.keeping.saved(now);
+                        (PersistenceState::Good, self.saves + 1, self.facts + facts as u64);
+                    self.schedule.saved(now);
                 }
                 Outcome::Failed(why) => {
-                    let pause = self.keeping.failed(now);
+                    let pause = self.schedule.failed(now);
                     warn!(target: "shalespindle::fleet", why, pause, "what is to be kept was not written; all of it is tried again");
-                    (self.state, self.failed) = (KeepState::Failing(why), self.failed + 1);
+                    (self.state, self.failed) = (PersistenceState::Failing(why), self.failed + 1);
                 }
             }
         }
-        if let Some(whole) = self.keeping.start_write(now) {
+        if let Some(whole) = self.schedule.start_write(now) {
             let changes = fleet.changes(now, wall(), whole);
-            if self.keeping.should_write(now, &changes) && !store.offer(changes) {
+            if self.schedule.should_write(now, &changes) && !store.offer(changes) {
                 // Its thread has ended: what was taken from the fleet is lost, so the next step is a whole one.
-                self.keeping.failed(now);
-                self.state = KeepState::Failing("whoever writes has ended".into());
+                self.schedule.failed(now);
+                self.state = PersistenceState::Failing("whoever writes has ended".into());
             }
         }
     }
@@ -118,16 +118,16 @@
     pub fn end(self, now: f64, fleet: &mut Fleet) -> Option<Store> {
         let store = self.store?;
         // A whole one where the step before failed.
-        store.offer(fleet.changes(now, wall(), self.saves == 0 || self.state != KeepState::Good));
+        store.offer(fleet.changes(now, wall(), self.saves == 0 || self.state != PersistenceState::Good));
         Some(store)
     }
 
-    pub fn state(&self) -> KeepState {
+    pub fn state(&self) -> PersistenceState {
         self.state.clone()
     }
 
     pub fn count(&self, now: f64, counts: &mut BTreeMap<String, u64>) {
-        let since = self.keeping.saved_at().map(|at| ((now - at) * 1000.0) as u64);
+        let since = self.schedule.saved_at().map(|at| ((now - at) * 1000.0) as u64);
         let counted = [
             ("steps_kept", Some(self.saves)),
             ("steps_not_kept", Some(self.failed)),
@@ -143,14 +143,14 @@
 
 fn open(file: &Path, own: FrontId) -> Result<(Store, Option<Snapshot>), String> {
     let opened = Store::open(file, own).map_err(|e| e.to_string())?;
-    if let Some((aside, why)) = opened.aside {
+    if let Some((aside, why)) = opened.set_aside {
         let aside = aside.display();
         warn!(target: "shalespindle::fleet", %aside, why, "what was kept cannot be read: put aside, begun anew");
     }
-    if opened.bad.0 > 0 {
-        warn!(target: "shalespindle::fleet", facts = opened.bad.0, "facts that were kept have wrong checksums");
+    if opened.corrupt.0 > 0 {
+        warn!(target: "shalespindle::fleet", facts = opened.corrupt.0, "facts that were kept have wrong checksums");
     }
-    Ok((opened.store, opened.kept))
+    Ok((opened.store, opened.snapshot))
 }
 
 /// This process's life: above any that is known from before.
--- a/crates/peer-store/src/file.rs
+++ b/crates/peer-store/src/file.rs
@@ -26,23 +26,23 @@
 
 /// Why a file cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum OpenError {
     #[error("another process has it open")]
     InUse,
     #[error("it has version {0}, and {VERSION} is the latest that is known here: a later program wrote it")]
-    Later(u32),
+    NewerVersion(u32),
     #[error("another front wrote it")]
-    Anothers,
+    WrongFront,
     /// What is in it is of no use to anybody.
     #[error("it cannot be read: {0}")]
-    Spoilt(String),
+    Corrupt(String),
     #[error("{0}")]
-    Disk(String),
+    Io(String),
 }
 
 /// Facts of the file whose checksum or form is wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Bad(pub u64);
+pub struct CorruptFacts(pub u64);
 
 /// The open file.
 pub struct File {
@@ -59,17 +59,17 @@
     }
 }
 
-fn spoilt(why: impl ToString) -> Unusable {
-    Unusable::Spoilt(why.to_string())
+fn spoilt(why: impl ToString) -> OpenError {
+    OpenError::Corrupt(why.to_string())
 }
 
-fn opened(why: DatabaseError) -> Unusable {
+fn opened(why: DatabaseError) -> OpenError {
     match why {
-        DatabaseError::DatabaseAlreadyOpen => Unusable::InUse,
+        DatabaseError::DatabaseAlreadyOpen => OpenError::InUse,
         DatabaseError::Storage(redb::StorageError::Io(why))
             if why.kind() != std::io::ErrorKind::InvalidData =>
         {
-            Unusable::Disk(why.to_string())
+            OpenError::Io(why.to_string())
         }
         other => spoilt(other),
     }
@@ -77,7 +77,7 @@
 
 impl File {
     /// Opens the file at `path`, or makes it. What it holds is read in the same step.
-    pub fn open(path: &Path, own: FrontId) -> Result<(File, Option<Snapshot>, Bad), Unusable> {
+    pub fn open(path: &Path, own: FrontId) -> Result<(File, Option<Snapshot>, CorruptFacts), OpenError> {
         // Guards against a panic of the storage over bytes that it never wrote.
         let opening = || File::with(Database::create(path).map_err(opened)?, own);
         catch_unwind(AssertUnwindSafe(opening))
@@ -85,14 +85,17 @@
     }
 
     /// The same over any storage.
-    pub fn over(
+    pub fn with_backend(
         backend: impl StorageBackend,
         own: FrontId,
-    ) -> Result<(File, Option<Snapshot>, Bad), Unusable> {
+    ) -> Result<(File, Option<Snapshot>, CorruptFacts), OpenError> {
         File::with(Database::builder().create_with_backend(backend).map_err(opened)?, own)
     }
 
-    fn with(mut database: Database, own: FrontId) -> Result<(File, Option<Snapshot>, Bad), Unusable> {
+    fn with(
+        mut database: Database,
+        own: FrontId,
+    ) -> Result<(File, Option<Snapshot>, CorruptFacts), OpenError> {
         // All pages against their checksums: what a disk has changed is found here and not while it is used.
         let intact = catch_unwind(AssertUnwindSafe(|| database.check_integrity()));
         let file = File { database: Some(database), own };
@@ -106,35 +109,35 @@
         Ok((file, kept, bad))
     }
 
-    fn database(&self) -> Result<&Database, Unusable> {
+    fn database(&self) -> Result<&Database, OpenError> {
         self.database.as_ref().ok_or_else(|| spoilt("it is closed"))
     }
 
     /// Nothing where nothing was ever written.
-    fn read(&self) -> Result<(Option<Snapshot>, Bad), Unusable> {
+    fn read(&self) -> Result<(Option<Snapshot>, CorruptFacts), OpenError> {
         let reading = self.database()?.begin_read().map_err(spoilt)?;
         let about = match reading.open_table(ABOUT) {
             Ok(about) => about,
-            Err(TableError::TableDoesNotExist(_)) => return Ok((None, Bad::default())),
+            Err(TableError::TableDoesNotExist(_)) => return Ok((None, CorruptFacts::default())),
             Err(why) => return Err(spoilt(why)),
         };
-        let said = |name: &[u8]| -> Result<Option<Vec<u8>>, Unusable> {
+        let said = |name: &[u8]| -> Result<Option<Vec<u8>>, OpenError> {
             Ok(about.get(name).map_err(spoilt)?.map(|v| v.value().to_vec()))
         };
-        let number = |name: &[u8]| -> Result<Vec<u8>, Unusable> {
+        let number = |name: &[u8]| -> Result<Vec<u8>, OpenError> {
             said(name)?
                 .ok_or_else(|| spoilt(format!("it does not say its {}", String::from_utf8_lossy(name))))
         };
         match from_bytes(&number(ABOUT_VERSION)?).map_err(spoilt)? {
             VERSION => {}
-            version => return Err(Unusable::Later(version)),
+            version => return Err(OpenError::NewerVersion(version)),
         }
         if from_bytes::<u64>(&number(ABOUT_FRONT)?).map_err(spoilt)? != self.own.0 {
-            return Err(Unusable::Anothers);
+            return Err(OpenError::WrongFront);
         }
         let saved_at = from_bytes(&number(ABOUT_SAVED)?).map_err(spoilt)?;
         let settled = from_bytes(&number(ABOUT_SETTLED)?).map_err(spoilt)?;
-        let mut bad = Bad::default();
+        let mut bad = CorruptFacts::default();
         let mut facts: BTreeMap<IncarnationKey, Vec<(Key, StoredFact)>> = BTreeMap::new();
         for row in reading.open_table(FACTS).map_err(spoilt)?.iter().map_err(spoilt)? {
             let (name, value) = row.map_err(spoilt)?;
--- a/crates/peer-store/src/lib.rs
+++ b/crates/peer-store/src/lib.rs
@@ -15,5 +15,5 @@
     pub use std::thread;
 }
 
-pub use file::{Bad, File, Unusable, VERSION};
+pub use file::{CorruptFacts, File, OpenError, VERSION};
 pub use thread::{Opened, Outcome, Store};
--- a/crates/peer-store/src/thread.rs
+++ b/crates/peer-store/src/thread.rs
@@ -1,6 +1,6 @@
 //! The thread that writes, so that nobody else waits for a disk.
 
-use crate::file::{Bad, File, Unusable};
+use crate::file::{CorruptFacts, File, OpenError};
 use crate::sys::mpsc::{channel, sync_channel, Receiver, SyncSender, TrySendError};
 use crate::sys::thread::{Builder, JoinHandle};
 use shalespindle_peers::FrontId;
@@ -25,27 +25,27 @@
 pub struct Opened {
     pub store: Store,
     /// What was kept; none in a new file.
-    pub kept: Option<Snapshot>,
+    pub snapshot: Option<Snapshot>,
     /// Facts that could not be read.
-    pub bad: Bad,
+    pub corrupt: CorruptFacts,
     /// Where a file that could not be read was put aside, and why.
-    pub aside: Option<(PathBuf, String)>,
+    pub set_aside: Option<(PathBuf, String)>,
 }
 
 /// What came of opening a file.
 struct Found {
     file: File,
     kept: Option<Snapshot>,
-    bad: Bad,
+    bad: CorruptFacts,
     aside: Option<(PathBuf, String)>,
 }
 
 /// One that cannot be read is put aside and begun anew.
-fn find(path: &Path, own: FrontId) -> Result<Found, Unusable> {
+fn find(path: &Path, own: FrontId) -> Result<Found, OpenError> {
     let (opened, aside) = match File::open(path, own) {
-        Err(Unusable::Spoilt(why)) => {
+        Err(OpenError::Corrupt(why)) => {
             let aside = path.with_extension("spoilt");
-            std::fs::rename(path, &aside).map_err(|e| Unusable::Disk(e.to_string()))?;
+            std::fs::rename(path, &aside).map_err(|e| OpenError::Io(e.to_string()))?;
             (File::open(path, own)?, Some((aside, why)))
         }
         other => (other?, None),
@@ -56,19 +56,19 @@
 
 impl Store {
     /// Opens the file, or makes it; one that cannot be read is put aside and begun anew.
-    pub fn open(path: &Path, own: FrontId) -> Result<Opened, Unusable> {
-        let Found { file, kept, bad, aside } = find(path, own)?;
+    pub fn open(path: &Path, own: FrontId) -> Result<Opened, OpenError> {
+        let Found { file, kept: snapshot, bad: corrupt, aside: set_aside } = find(path, own)?;
         let path = path.to_path_buf();
-        let store = Store::over(file, move || Ok(find(&path, own)?.file))?;
-        Ok(Opened { store, kept, bad, aside })
+        let store = Store::with_file(file, move || Ok(find(&path, own)?.file))?;
+        Ok(Opened { store, snapshot, corrupt, set_aside })
     }
 
     /// Writes to that file, and after a failure to the one that `again` opens: the storage takes nothing more after
     /// it has failed once.
-    pub fn over(
+    pub fn with_file(
         file: File,
-        mut again: impl FnMut() -> Result<File, Unusable> + Send + 'static,
-    ) -> Result<Store, Unusable> {
+        mut again: impl FnMut() -> Result<File, OpenError> + Send + 'static,
+    ) -> Result<Store, OpenError> {
         // One step may wait while one is written.
         let (steps, taken) = sync_channel::<Changes>(1);
         let (tell, outcomes) = channel();
@@ -91,7 +91,7 @@
             }
         };
         let thread = Builder::new().name("fleet-store".into()).spawn(write);
-        let thread = thread.map_err(|e| Unusable::Disk(e.to_string()))?;
+        let thread = thread.map_err(|e| OpenError::Io(e.to_string()))?;
         Ok(Store { steps: Some(steps), outcomes, thread: Some(thread) })
     }
 
--- a/crates/peer-store/tests/file.rs
+++ b/crates/peer-store/tests/file.rs
@@ -1,7 +1,7 @@
 //! The file under a disk that tears writes, loses them, fills up and flips bits.
 
 use redb::StorageBackend;
-use shalespindle_peer_store::{Bad, File, Outcome, Store, Unusable};
+use shalespindle_peer_store::{CorruptFacts, File, OpenError, Outcome, Store};
 use shalespindle_peers::{FrontId, Incarnation};
 use shalespindle_replica::{CallEnd, CallRecord, Changes, Fact, Key, ReplicaParams, Replicas, Snapshot};
 use std::io;
@@ -124,15 +124,15 @@
     calls.for_each(|n| assert!(copies.write(1.0, Key::Call(n), call(n)).unwrap()));
 }
 
-fn read(bytes: Vec<u8>) -> Result<(Option<Snapshot>, Bad), Unusable> {
-    File::over(Disk::holding(bytes), OWN).map(|(_, kept, bad)| (kept, bad))
+fn read(bytes: Vec<u8>) -> Result<(Option<Snapshot>, CorruptFacts), OpenError> {
+    File::with_backend(Disk::holding(bytes), OWN).map(|(_, kept, bad)| (kept, bad))
 }
 
 /// Two steps, and what the disk held before the second.
 fn two_steps() -> (Vec<u8>, Vec<Op>, Snapshot, Snapshot) {
     let disk = Disk::default();
     let mut copies = copies();
-    let (file, kept, _) = File::over(disk.clone(), OWN).unwrap();
+    let (file, kept, _) = File::with_backend(disk.clone(), OWN).unwrap();
     assert_eq!(kept, None);
     stand(&mut copies, 0..40);
     file.write(&copies.changes(1.0, 1001.0, true)).unwrap();
@@ -158,13 +158,13 @@
     assert_eq!(second.inventory().faults, Vec::<String>::new());
     // A life that is not named any more takes its facts with it.
     let disk = Disk::default();
-    let (file, ..) = File::over(disk.clone(), OWN).unwrap();
+    let (file, ..) = File::with_backend(disk.clone(), OWN).unwrap();
     let mut copies = copies();
     stand(&mut copies, 0..40);
     file.write(&copies.changes(1.0, 1001.0, true)).unwrap();
     file.write(&Changes { saved_at: 1002.0, ..Changes::default() }).unwrap();
     let (kept, bad) = read(disk.bytes()).unwrap();
-    assert_eq!((kept.unwrap().incarnations, bad), (Vec::new(), Bad(0)));
+    assert_eq!((kept.unwrap().incarnations, bad), (Vec::new(), CorruptFacts(0)));
 }
 
 /// The last step is cut short after any of its writes, within any of them, and with any of those since the last sync
@@ -176,7 +176,7 @@
     let mut check = |bytes: Vec<u8>, what: &str| {
         let (kept, bad) = read(bytes).unwrap_or_else(|why| panic!("{what}: {why}"));
         let kept = kept.unwrap_or_else(|| panic!("{what}: nothing"));
-        assert_eq!(bad, Bad(0), "{what}");
+        assert_eq!(bad, CorruptFacts(0), "{what}");
         let which = [&first, &second].iter().position(|k| **k == kept);
         seen[which.unwrap_or_else(|| panic!("{what}: a mixture"))] += 1;
     };
@@ -211,7 +211,7 @@
 #[test]
 fn bits_that_flip_are_found_or_put_aside_and_never_a_panic() {
     let disk = Disk::default();
-    let (file, ..) = File::over(disk.clone(), OWN).unwrap();
+    let (file, ..) = File::with_backend(disk.clone(), OWN).unwrap();
     let mut copies = copies();
     stand(&mut copies, 0..40);
     file.write(&copies.changes(1.0, 1001.0, true)).unwrap();
@@ -255,9 +255,9 @@
 #[test]
 fn a_full_disk_is_told_keeps_what_was_there_and_is_written_to_again_when_it_has_room() {
     let disk = Disk::default();
-    let (file, ..) = File::over(disk.clone(), OWN).unwrap();
+    let (file, ..) = File::with_backend(disk.clone(), OWN).unwrap();
     let again = disk.clone();
-    let store = Store::over(file, move || Ok(File::over(again.clone(), OWN)?.0)).unwrap();
+    let store = Store::with_file(file, move || Ok(File::with_backend(again.clone(), OWN)?.0)).unwrap();
     let mut copies = copies();
     stand(&mut copies, 0..40);
     assert!(store.offer(copies.changes(1.0, 1001.0, true)));
@@ -284,15 +284,15 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("fleet.redb");
     let opened = Store::open(&path, OWN).unwrap();
-    assert!(opened.kept.is_none() && opened.aside.is_none());
-    assert!(matches!(Store::open(&path, OWN), Err(Unusable::InUse)));
+    assert!(opened.snapshot.is_none() && opened.set_aside.is_none());
+    assert!(matches!(Store::open(&path, OWN), Err(OpenError::InUse)));
     let mut copies = copies();
     stand(&mut copies, 0..3);
     assert!(opened.store.offer(copies.changes(1.0, 1001.0, true)));
     assert_eq!(outcome(&opened.store), Outcome::Saved { facts: 3 });
     drop(opened);
-    assert!(matches!(Store::open(&path, FrontId(8)), Err(Unusable::Anothers)));
-    assert_eq!(Store::open(&path, OWN).unwrap().kept.unwrap().saved_at, 1001.0);
+    assert!(matches!(Store::open(&path, FrontId(8)), Err(OpenError::WrongFront)));
+    assert_eq!(Store::open(&path, OWN).unwrap().snapshot.unwrap().saved_at, 1001.0);
     {
         let database = redb::Database::create(&path).unwrap();
         let writing = database.begin_write().unwrap();
@@ -300,11 +300,11 @@
         writing.open_table(table).unwrap().insert(&b"version"[..], &[9u8][..]).unwrap();
         writing.commit().unwrap();
     }
-    assert!(matches!(Store::open(&path, OWN), Err(Unusable::Later(9))));
+    assert!(matches!(Store::open(&path, OWN), Err(OpenError::NewerVersion(9))));
     std::fs::write(&path, b"of no sense at all").unwrap();
     let opened = Store::open(&path, OWN).unwrap();
-    let (aside, _) = opened.aside.unwrap();
-    assert!(opened.kept.is_none());
+    let (aside, _) = opened.set_aside.unwrap();
+    assert!(opened.snapshot.is_none());
     assert_eq!(std::fs::read(aside).unwrap(), b"of no sense at all");
-    assert!(matches!(Store::open(&folder.path().join("none/fleet.redb"), OWN), Err(Unusable::Disk(_))));
+    assert!(matches!(Store::open(&folder.path().join("none/fleet.redb"), OWN), Err(OpenError::Io(_))));
 }
--- a/crates/peer-store/tests/interleavings.rs
+++ b/crates/peer-store/tests/interleavings.rs
@@ -20,14 +20,14 @@
     use std::path::Path;
     use std::sync::{Arc, Mutex};
 
-    pub struct Bad;
+    pub struct CorruptFacts;
 
     #[derive(Debug, thiserror::Error)]
-    pub enum Unusable {
+    pub enum OpenError {
         #[error("{0}")]
-        Spoilt(String),
+        Corrupt(String),
         #[error("{0}")]
-        Disk(String),
+        Io(String),
     }
 
     /// Steps that were written, by when they were right, and whether they were whole.
@@ -39,8 +39,8 @@
     }
 
     impl File {
-        pub fn open(_: &Path, _: FrontId) -> Result<(File, Option<Snapshot>, Bad), Unusable> {
-            Err(Unusable::Disk("not here".into()))
+        pub fn open(_: &Path, _: FrontId) -> Result<(File, Option<Snapshot>, CorruptFacts), OpenError> {
+            Err(OpenError::Io("not here".into()))
         }
 
         pub fn write(&self, changes: &Changes) -> Result<(), String> {
@@ -63,7 +63,7 @@
     let written = Written::default();
     let file = |written: &Written| File { written: written.clone(), fails };
     let again = written.clone();
-    let store = Store::over(file(&written), move || Ok(File { written: again.clone(), fails })).unwrap();
+    let store = Store::with_file(file(&written), move || Ok(File { written: again.clone(), fails })).unwrap();
     let (mut keeping, mut offered, mut failed) = (SaveSchedule::new(1.0, 0.0), Vec::new(), 0);
     for turn in 0..turns {
         // Long enough for every pause to be over.
--- a/crates/peer-wire/src/lib.rs
+++ b/crates/peer-wire/src/lib.rs
@@ -17,12 +17,12 @@
 pub const SITES_VERSION: u8 = 3;
 /// The version of frames between coordinators and their clients. Whoever knows of none drops them and counts them.
 pub const COORDINATOR_VERSION: u8 = 4;
-const MARK: [u8; 2] = *b"sf";
+const MAGIC: [u8; 2] = *b"sf";
 /// Bytes of the hash that a frame carries.
 const HASH: usize = 16;
-const HEAD: usize = MARK.len() + 1 + HASH;
+const HEAD: usize = MAGIC.len() + 1 + HASH;
 /// The largest frame: a UDP datagram over IPv4.
-pub const LARGEST: usize = 65_507;
+pub const MAX_FRAME_BYTES: usize = 65_507;
 
 /// The name by which fronts know a front of that name in the settings.
 pub fn front_id(name: &str) -> FrontId {
@@ -34,17 +34,17 @@
 
 /// Why a frame was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Dropped {
-    #[error("larger than {LARGEST} bytes")]
-    Large,
+pub enum FrameError {
+    #[error("larger than {MAX_FRAME_BYTES} bytes")]
+    TooLarge,
     #[error("not a frame of this kind")]
-    Foreign,
+    NotAFrame,
     #[error("of version {0}; {VERSION}, {SITES_VERSION} and {COORDINATOR_VERSION} are read")]
     Version(u8),
     #[error("its hash is wrong")]
     Forged,
     #[error("its hash is right and its form is not")]
-    Form,
+    Malformed,
     #[error("for another front, or from this one")]
     NotForUs,
     #[error("seen before, or of an earlier life of its sender")]
@@ -169,47 +169,47 @@
         let envelope = Envelope { from: self.own.0, to: to.0, life, number: self.number, message };
         let body = postcard::to_stdvec(&envelope).ok()?;
         let mut frame = Vec::with_capacity(HEAD + body.len());
-        frame.extend_from_slice(&MARK);
+        frame.extend_from_slice(&MAGIC);
         frame.push(version);
         frame.extend_from_slice(&self.hash(version, &body));
         frame.extend_from_slice(&body);
-        (frame.len() <= LARGEST).then_some(frame)
+        (frame.len() <= MAX_FRAME_BYTES).then_some(frame)
     }
 
     /// The sender and what it says.
-    pub fn read(&mut self, frame: &[u8]) -> Result<(FrontId, Body), Dropped> {
+    pub fn read(&mut self, frame: &[u8]) -> Result<(FrontId, Body), FrameError> {
         let read = self.open(frame);
         if let Err(why) = read {
             let dropped = &mut self.dropped;
             *match why {
-                Dropped::Large => &mut dropped.large,
-                Dropped::Foreign => &mut dropped.foreign,
-                Dropped::Version(_) => &mut dropped.version,
-                Dropped::Forged => &mut dropped.forged,
-                Dropped::Form => &mut dropped.form,
-                Dropped::NotForUs => &mut dropped.not_for_us,
-                Dropped::Replayed => &mut dropped.replayed,
+                FrameError::TooLarge => &mut dropped.large,
+                FrameError::NotAFrame => &mut dropped.foreign,
+                FrameError::Version(_) => &mut dropped.version,
+                FrameError::Forged => &mut dropped.forged,
+                FrameError::Malformed => &mut dropped.form,
+                FrameError::NotForUs => &mut dropped.not_for_us,
+                FrameError::Replayed => &mut dropped.replayed,
             } += 1;
         }
         read
     }
 
-    fn open(&mut self, frame: &[u8]) -> Result<(FrontId, Body), Dropped> {
-        if frame.len() > LARGEST {
-            return Err(Dropped::Large);
+    fn open(&mut self, frame: &[u8]) -> Result<(FrontId, Body), FrameError> {
+        if frame.len() > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLarge);
         }
-        let Some((head, body)) = frame.split_at_checked(HEAD) else { return Err(Dropped::Foreign) };
-        let (mark, rest) = head.split_at(MARK.len());
-        if mark != MARK {
-            return Err(Dropped::Foreign);
+        let Some((head, body)) = frame.split_at_checked(HEAD) else { return Err(FrameError::NotAFrame) };
+        let (mark, rest) = head.split_at(MAGIC.len());
+        if mark != MAGIC {
+            return Err(FrameError::NotAFrame);
         }
         if !matches!(rest[0], VERSION | SITES_VERSION | COORDINATOR_VERSION) {
-            return Err(Dropped::Version(rest[0]));
+            return Err(FrameError::Version(rest[0]));
         }
         // In constant time: a forger must not learn how much of a hash was right.
         let right = blake3::Hash::from_bytes(whole(&self.hash(rest[0], body)));
         if right != blake3::Hash::from_bytes(whole(&rest[1..])) {
-            return Err(Dropped::Forged);
+            return Err(FrameError::Forged);
         }
         match rest[0] {
             VERSION => self.take(body, Body::Fleet),
@@ -222,21 +222,21 @@
         &mut self,
         body: &[u8],
         wrap: impl FnOnce(M) -> Body,
-    ) -> Result<(FrontId, Body), Dropped> {
+    ) -> Result<(FrontId, Body), FrameError> {
         let (envelope, left): (Envelope<M>, &[u8]) =
-            postcard::take_from_bytes(body).map_err(|_| Dropped::Form)?;
+            postcard::take_from_bytes(body).map_err(|_| FrameError::Malformed)?;
         if !left.is_empty() {
-            return Err(Dropped::Form);
+            return Err(FrameError::Malformed);
         }
         let from = FrontId(envelope.from);
         if envelope.to != self.own.0 || from == self.own {
-            return Err(Dropped::NotForUs);
+            return Err(FrameError::NotForUs);
         }
         if !self.windows.contains_key(&from) && self.windows.len() >= self.most {
-            return Err(Dropped::NotForUs);
+            return Err(FrameError::NotForUs);
         }
         if !self.windows.entry(from).or_default().is_new(envelope.life, envelope.number) {
-            return Err(Dropped::Replayed);
+            return Err(FrameError::Replayed);
         }
         Ok((from, wrap(envelope.message)))
     }
--- a/crates/peer-wire/tests/frames.rs
+++ b/crates/peer-wire/tests/frames.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_peer_wire::{
-    front_id, Body, Codec, Dropped, COORDINATOR_VERSION, LARGEST, SITES_VERSION, VERSION,
+    front_id, Body, Codec, FrameError, COORDINATOR_VERSION, MAX_FRAME_BYTES, SITES_VERSION, VERSION,
 };
 use shalespindle_peers::{FrontId, Incarnation};
 use shalespindle_replica::{
@@ -71,7 +71,7 @@
     for message in [digest(1), parts()] {
         let frame = a.write(to, LIFE, message.clone()).unwrap();
         assert_eq!(b.read(&frame), Ok((front_id("a"), Body::Fleet(message))));
-        assert_eq!(b.read(&frame), Err(Dropped::Replayed));
+        assert_eq!(b.read(&frame), Err(FrameError::Replayed));
     }
     // Out of order within the window is new; further back counts as seen.
     let frames: Vec<Vec<u8>> = (0..100).map(|n| a.write(to, LIFE, digest(n)).unwrap()).collect();
@@ -84,7 +84,7 @@
     let earlier = Incarnation { number: LIFE.number - 1, ..LIFE };
     let later = Incarnation { number: LIFE.number + 1, ..LIFE };
     assert!(b.read(&a.write(to, later, digest(0)).unwrap()).is_ok());
-    assert_eq!(b.read(&a.write(to, earlier, digest(0)).unwrap()), Err(Dropped::Replayed));
+    assert_eq!(b.read(&a.write(to, earlier, digest(0)).unwrap()), Err(FrameError::Replayed));
 }
 
 #[test]
@@ -94,15 +94,15 @@
     let other = Codec::new([8; 32], front_id("a"), 8).write(to, LIFE, parts()).unwrap();
     let version = [&good[..2], &[COORDINATOR_VERSION + 1], &good[3..]].concat();
     let cases = [
-        (vec![0; LARGEST + 1], Dropped::Large),
-        (b"sf".to_vec(), Dropped::Foreign),
-        ([b"sip ", &good[4..]].concat(), Dropped::Foreign),
-        (version, Dropped::Version(COORDINATOR_VERSION + 1)),
-        (other, Dropped::Forged),
-        (good[..good.len() - 1].to_vec(), Dropped::Forged),
-        ([&good[..], b"x"].concat(), Dropped::Forged),
-        (a.write(front_id("c"), LIFE, parts()).unwrap(), Dropped::NotForUs),
-        (Codec::new(KEY, front_id("b"), 8).write(to, LIFE, parts()).unwrap(), Dropped::NotForUs),
+        (vec![0; MAX_FRAME_BYTES + 1], FrameError::TooLarge),
+        (b"sf".to_vec(), FrameError::NotAFrame),
+        ([b"sip ", &good[4..]].concat(), FrameError::NotAFrame),
+        (version, FrameError::Version(COORDINATOR_VERSION + 1)),
+        (other, FrameError::Forged),
+        (good[..good.len() - 1].to_vec(), FrameError::Forged),
+        ([&good[..], b"x"].concat(), FrameError::Forged),
+        (a.write(front_id("c"), LIFE, parts()).unwrap(), FrameError::NotForUs),
+        (Codec::new(KEY, front_id("b"), 8).write(to, LIFE, parts()).unwrap(), FrameError::NotForUs),
     ];
     for (frame, why) in &cases {
         assert_eq!(b.read(frame), Err(*why));
@@ -145,7 +145,10 @@
         hasher.update(&[VERSION]).update(&body);
         let hash = hasher.finalize();
         let sealed = [b"sf", &[VERSION][..], &hash.as_bytes()[..16], &body].concat();
-        assert!(!matches!(b.read(&sealed), Err(Dropped::Forged | Dropped::Foreign | Dropped::Version(_))));
+        assert!(!matches!(
+            b.read(&sealed),
+            Err(FrameError::Forged | FrameError::NotAFrame | FrameError::Version(_))
+        ));
     }
     assert!(b.dropped().form > 1000);
 }
@@ -163,11 +166,11 @@
     let frame = a.write_sites(to, LIFE, message.clone()).unwrap();
     assert_eq!(frame[2], SITES_VERSION);
     assert_eq!(b.read(&frame), Ok((front_id("a"), Body::Sites(message))));
-    assert_eq!(b.read(&frame), Err(Dropped::Replayed));
+    assert_eq!(b.read(&frame), Err(FrameError::Replayed));
     // All else goes as it did: a front of before, which reads VERSION alone, loses nothing.
     assert_eq!(a.write(to, LIFE, parts()).unwrap()[2], VERSION);
     // A frame of one version under the other's mark has a wrong hash.
     let mut turned = a.write(to, LIFE, parts()).unwrap();
     turned[2] = SITES_VERSION;
-    assert_eq!(b.read(&turned), Err(Dropped::Forged));
+    assert_eq!(b.read(&turned), Err(FrameError::Forged));
 }
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -3,7 +3,7 @@
 use crate::feed::Row;
 use crate::State;
 use shalespindle_console::Members;
-use shalespindle_peer_service::Standing;
+use shalespindle_peer_service::FleetStatus;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 pub struct Seen {
     /// What its own list says.
     pub rows: BTreeMap<SocketAddr, Row>,
-    pub standing: Standing,
+    pub standing: FleetStatus,
     pub members: Members,
 }
 
@@ -53,11 +53,11 @@
 fn copies(fronts: &[Seen], breaches: &mut Vec<Breach>) {
     for own in fronts.iter().map(|s| &s.standing) {
         let held = |s: &Seen| match s.standing.peers.iter().find(|p| p.name == own.name) {
-            Some(peer) => (s.standing.name.clone(), peer.mark),
-            None => (own.name.clone(), own.own_mark),
+            Some(peer) => (s.standing.name.clone(), peer.digest),
+            None => (own.name.clone(), own.own_digest),
         };
         let marks: Vec<(String, u64)> = fronts.iter().map(held).collect();
-        if marks.iter().any(|m| m.1 != own.own_mark) {
+        if marks.iter().any(|m| m.1 != own.own_digest) {
             breaches.push(Breach::CopiesDiffer { of: own.name.clone(), fronts: marks });
         }
     }
@@ -73,14 +73,14 @@
             rows.filter(|(_, r)| r.incarnation == latest && r.state != State::Ready).map(|(n, _)| n).next();
         let (front, server) = (seen.standing.name.clone(), member.address);
         match out {
-            Some(by) if member.verdict == "in" => breaches.push(Breach::LetIn { front, server, by }),
+            Some(by) if member.status == "in" => breaches.push(Breach::LetIn { front, server, by }),
             // Only what its own list calls ready is let in; and a return may be held back for a while.
             None if own.state == State::Ready
                 && own.incarnation == latest
-                && member.verdict != "in"
-                && !member.because.contains("came and went") =>
+                && member.status != "in"
+                && !member.reason.contains("came and went") =>
             {
-                breaches.push(Breach::KeptOut { front, server, verdict: member.verdict.clone() });
+                breaches.push(Breach::KeptOut { front, server, verdict: member.status.clone() });
             }
             _ => {}
         }
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -4,8 +4,8 @@
 use crate::relay::Relays;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use shalespindle_console::{ask, Ask, Members, Reply};
-use shalespindle_peer_service::Standing;
+use shalespindle_console::{ask, Members, Reply, Request};
+use shalespindle_peer_service::FleetStatus;
 use shalespindle_standin::loopback::{free_address, networks};
 use std::fs::File;
 use std::io;
@@ -240,13 +240,13 @@
         self.fronts[place].process.is_some() && !self.fronts[place].stopped
     }
 
-    pub fn ask(&self, place: usize, question: &Ask) -> Option<Reply> {
+    pub fn ask(&self, place: usize, question: &Request) -> Option<Reply> {
         ask(&self.fronts[place].console, question, ANSWERED_WITHIN).ok()
     }
 
     /// The other fronts, as this one knows them.
-    pub fn standing(&self, place: usize) -> Option<Standing> {
-        match self.ask(place, &Ask::Fleet)? {
+    pub fn standing(&self, place: usize) -> Option<FleetStatus> {
+        match self.ask(place, &Request::Fleet)? {
             Reply::Fleet(standing) => Some(*standing),
             _ => None,
         }
@@ -254,7 +254,7 @@
 
     /// The servers, as a front judges them.
     pub fn members(&self, place: usize) -> Option<Members> {
-        match self.ask(place, &Ask::Members)? {
+        match self.ask(place, &Request::Members)? {
             Reply::Members(members) => Some(*members),
             _ => None,
         }
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -96,7 +96,7 @@
         steps,
         starts: fleet.starts,
         equal_after_beats,
-        meetings: seen.iter().map(|s| s.standing.met).sum(),
+        meetings: seen.iter().map(|s| s.standing.conflict_count).sum(),
         frames_passed,
         frames_lost,
         frames_dropped: seen.iter().map(dropped).sum(),
--- a/crates/sites/tests/loss_and_return.rs
+++ b/crates/sites/tests/loss_and_return.rs
@@ -30,11 +30,11 @@
     for front in sim.fronts_of(0) {
         sim.kill(front);
     }
-    sim.timeline.world(sim.now, "north fails");
+    sim.timeline.add_global(sim.now, "north fails");
     sim.run_until("the loss", LOSS_DEADLINE, |sim| sim.all_have(0, Stage::Lost));
     sim.run_for(HEARTBEAT_INTERVAL);
     assert!(sim.fronts.iter().flatten().all(|f| f.restrictions.excluded == [(0, false)]));
-    sim.timeline.world(sim.now, "north is back");
+    sim.timeline.add_global(sim.now, "north is back");
     sim.servers_up[0] = true;
     for front in sim.fronts_of(0) {
         sim.start(front);
@@ -91,7 +91,7 @@
 fn a_site_that_is_cut_off_declares_no_loss_and_is_lost_for_the_others_until_the_cut_heals() {
     let mut sim = three_sites(5);
     sim.cut_off(&[0]);
-    sim.timeline.world(sim.now, "north is cut off");
+    sim.timeline.add_global(sim.now, "north is cut off");
     sim.run_until("the loss", LOSS_DEADLINE, |sim| (2..6).all(|f| sim.stage(f, 0) == Some(Stage::Lost)));
     sim.run_for(LOSS_DEADLINE);
     for front in 0..2 {
@@ -100,7 +100,7 @@
         assert!(sim.fronts[front].as_ref().unwrap().restrictions.excluded.is_empty());
     }
     sim.heal();
-    sim.timeline.world(sim.now, "the cut heals");
+    sim.timeline.add_global(sim.now, "the cut heals");
     sim.run_until("the return", 120.0, |sim| sim.all_have(0, Stage::Up));
     insta::assert_snapshot!("cut_off_site_returns", sim.timeline.to_string());
 }
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -34,7 +34,7 @@
     }
 
     /// Something happened to the world: a cut, a kill.
-    pub fn world(&mut self, at: f64, what: impl Into<String>) {
+    pub fn add_global(&mut self, at: f64, what: impl Into<String>) {
         self.events.push(Event { at, node: None, what: what.into() });
     }
 
@@ -97,7 +97,7 @@
     fn one_column_a_node_and_what_several_do_alike_in_one_row() {
         let mut timeline = Timeline::new(["a", "b"].map(String::from), 1.0);
         timeline.add(2.2, 1, "north lost");
-        timeline.world(0.4, "north dies");
+        timeline.add_global(0.4, "north dies");
         timeline.add(2.1, 0, "north lost");
         timeline.add(5.0, 0, "north returns");
         timeline.add(5.6, 0, "north up");
--- a/crates/transport/src/answers.rs
+++ b/crates/transport/src/answers.rs
@@ -1,7 +1,7 @@
 //! What a front and its host answer to operators' questions.
 
 use hdrhistogram::Histogram;
-use shalespindle_console::{Ask, LevelState, MemberState, Members, NameState, Reply, Snapshot};
+use shalespindle_console::{FrontStatus, LevelState, MemberState, Members, NameState, Reply, Request};
 use shalespindle_front::Front;
 use shalespindle_membership::table::row;
 use shalespindle_membership::{Member, StatusReason};
@@ -16,11 +16,11 @@
     pub datagrams_dropped: u64,
 }
 
-pub(crate) fn answer(front: &mut Front, now: f64, ask: &Ask, host: &Host) -> Reply {
+pub(crate) fn answer(front: &mut Front, now: f64, ask: &Request, host: &Host) -> Reply {
     match *ask {
-        Ask::Status => Reply::Status(Box::new(snapshot(front, now, host))),
-        Ask::Members => Reply::Members(Box::new(members(front, now))),
-        Ask::PinLevel { level, seconds } => {
+        Request::Status => Reply::Status(Box::new(snapshot(front, now, host))),
+        Request::Members => Reply::Members(Box::new(members(front, now))),
+        Request::PinLevel { level, seconds } => {
             if !(seconds > 0.0 && seconds <= LONGEST_PIN) {
                 return Reply::Bad { why: format!("a pin lasts more than 0 and at most {LONGEST_PIN} s") };
             }
@@ -30,10 +30,10 @@
             }
         }
         // Answered where the fleet is known.
-        Ask::Fleet | Ask::PinFleet { .. } | Ask::Site { .. } => {
+        Request::Fleet | Request::PinFleet { .. } | Request::Site { .. } => {
             Reply::Bad { why: "not a question to a front alone".into() }
         }
-        Ask::UnpinLevel => match front.pin_level(now, None) {
+        Request::UnpinLevel => match front.pin_level(now, None) {
             true => Reply::Done { what: "the pin has ended".into() },
             false => Reply::Bad { why: "no level is pinned".into() },
         },
@@ -47,29 +47,29 @@
     }
 }
 
-fn snapshot(front: &mut Front, now: f64, host: &Host) -> Snapshot {
+fn snapshot(front: &mut Front, now: f64, host: &Host) -> FrontStatus {
     let quantile = |q| host.lag.value_at_quantile(q) as f64 / 1000.0;
     let (attaches_held, legs_held) = front.record_counts();
     let deepest = front.deepest_level();
     let level = front.level(now).map(|(status, takes)| LevelState {
         level: status.level,
-        deepest,
+        max_level: deepest,
         seconds: now - status.since,
-        why: status.reason.to_string(),
-        takes,
+        reason: status.reason.to_string(),
+        admits: takes,
         pressure: status.pressure,
         pinned_for: status.pin.map(|pin| pin.until - now),
-        taken: status.admitted,
+        admitted: status.admitted,
         refused: status.refused,
         changes: status.changes,
     });
-    Snapshot {
+    FrontStatus {
         front: front.host().to_string(),
         seconds_in_service: now - front.started(),
-        ending: front.is_shutting_down(),
+        shutting_down: front.is_shutting_down(),
         level,
-        in_hand: front.pending(),
-        standing: front.established(),
+        pending: front.pending(),
+        established: front.established(),
         attaches_held,
         legs_held,
         datagrams_dropped: host.datagrams_dropped,
@@ -87,10 +87,10 @@
         next_in: Some(n.next_in).filter(|s| s.is_finite()),
     };
     Members {
-        feed_away: front.feed_lost_for(now),
+        feed_lost_for: front.feed_lost_for(now),
         names: front.names(now).into_iter().map(name).collect(),
         members: front.members().map(|m| member(m, now)).collect(),
-        turned_away: front.servers_over_capacity(),
+        over_capacity: front.servers_over_capacity(),
     }
 }
 
@@ -106,7 +106,7 @@
     MemberState {
         address: member.address(),
         pool: member.pool(),
-        verdict: format!("{:?}", member.status()).to_lowercase(),
+        status: format!("{:?}", member.status()).to_lowercase(),
         seconds: now - member.since(),
         list: list.to_string(),
         list_age: member.list_report().map(|l| now - l.1),
@@ -114,7 +114,7 @@
         dns_age: named.map(|n| now - n.1),
         dns_left: named.map(|n| n.2 - now),
         rank: member.rank(),
-        because: because.into(),
-        warned: member.needs_attention(),
+        reason: because.into(),
+        needs_attention: member.needs_attention(),
     }
 }
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::owner::Letter;
 use shalespindle_membership::ListEntry;
-use shalespindle_peer_service::{Fronts, Keep, Saying, Start};
+use shalespindle_peer_service::{FleetCommand, FleetConfig, FleetService, Persistence};
 use shalespindle_replica::ServerRecord;
 use shalespindle_settings::{read_key, FleetSettings};
 use shalespindle_sites::{SiteTable, SitesParams};
@@ -16,26 +16,29 @@
     seed: u64,
     ground: Ground,
     to: Mailbox<Letter>,
-) -> io::Result<Fronts> {
-    let keep = |file: &std::path::PathBuf| Keep { file: file.clone(), every: settings.keep_every.seconds() };
-    let start = Start {
+) -> io::Result<FleetService> {
+    let keep = |file: &std::path::PathBuf| Persistence {
+        file: file.clone(),
+        interval: settings.keep_every.seconds(),
+    };
+    let config = FleetConfig {
         name: settings.name.clone(),
         listen: settings.listen,
         peers: settings.others(),
         key: read_key(&settings.key_file).map_err(io::Error::other)?,
         params: settings.params(),
         seed,
-        keep: settings.keep_file.as_ref().map(keep),
+        persistence: settings.keep_file.as_ref().map(keep),
         sites,
     };
     // An owner that has ended has no use for news.
-    Fronts::start(start, ground, move |heard| drop(to.send_urgent(Letter::Fleet(heard))))
+    FleetService::start(config, ground, move |heard| drop(to.send_urgent(Letter::Fleet(heard))))
 }
 
 /// What this front's list told, for others.
-pub(crate) fn saying(now: f64, listed: &ListEntry) -> Saying {
+pub(crate) fn saying(now: f64, listed: &ListEntry) -> FleetCommand {
     // 0 means long ago.
     let age = (listed.started > 0.0).then(|| (now - listed.started).max(0.0));
     let ListEntry { address, pool, state: told, incarnation, .. } = *listed;
-    Saying::Server { address, word: ServerRecord { pool, incarnation, reported: told, age } }
+    FleetCommand::Server { address, record: ServerRecord { pool, incarnation, reported: told, age } }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -13,4 +13,4 @@
 pub use log::log_event;
 pub use names::as_in;
 pub use service::Service;
-pub use shalespindle_console::Snapshot;
+pub use shalespindle_console::FrontStatus;
--- a/crates/transport/src/owner.rs
+++ b/crates/transport/src/owner.rs
@@ -7,9 +7,9 @@
 use crate::readers;
 use hdrhistogram::Histogram;
 use may::net::UdpSocket;
-use shalespindle_console::{Ask, Reply};
+use shalespindle_console::{Reply, Request};
 use shalespindle_front::{Event, Front, Input, LinkId, Output};
-use shalespindle_peer_service::{Heard, Saying, Teller};
+use shalespindle_peer_service::{FleetCommand, FleetHandle, FleetNotice};
 use shalespindle_replica::FleetEvent;
 use shalespindle_sockets::{Ground, Mail, Mailbox, Outgoing, Questions, Report, Sent};
 use std::collections::HashMap;
@@ -71,9 +71,9 @@
     /// What became of a question to a name server.
     Name(Report),
     /// What other fronts made known.
-    Fleet(Heard),
+    Fleet(FleetNotice),
     /// An operator's question.
-    Console(Ask, mpsc::Sender<Reply>),
+    Console(Request, mpsc::Sender<Reply>),
     End,
     Stop,
 }
@@ -99,9 +99,9 @@
     pub connections: Arc<AtomicUsize>,
     pub memory: Option<Memory>,
     /// Tells other fronts, where there are any.
-    pub teller: Option<Teller>,
+    pub teller: Option<FleetHandle>,
     /// What it is to be told at the end of this turn.
-    sayings: Vec<Saying>,
+    sayings: Vec<FleetCommand>,
     /// The members changed since they were last offered.
     unkept: bool,
     questions: Questions,
@@ -126,7 +126,7 @@
         connect_within: Duration,
         connections: Arc<AtomicUsize>,
         memory: Option<Memory>,
-        teller: Option<Teller>,
+        teller: Option<FleetHandle>,
     ) -> Option<Owner> {
         // 1 us to 100 s, two figures: enough to tell a millisecond from two.
         let lag = Histogram::new_with_bounds(1, 100_000_000, 2).ok()?;
@@ -246,22 +246,22 @@
             Letter::FeedBytes { bytes } => front.take(now, now, Input::FeedBytes { bytes: &bytes }),
             Letter::FeedLost => front.take(now, now, Input::FeedLost),
             Letter::Name(report) => front.take(now, now, Input::Dns(as_in(&report))),
-            Letter::Fleet(Heard::Found { ticket, known, word }) => {
-                front.take(now, now, Input::FindCallResult { ticket, known, call: word });
+            Letter::Fleet(FleetNotice::CallFound { ticket, known, record }) => {
+                front.take(now, now, Input::FindCallResult { ticket, known, call: record });
             }
-            Letter::Fleet(Heard::Narrowed(narrowing)) => {
+            Letter::Fleet(FleetNotice::SitesRestricted(narrowing)) => {
                 front.take(now, now, Input::SiteRestriction(narrowing));
             }
-            Letter::Fleet(Heard::News(FleetEvent::Server(warning))) => {
+            Letter::Fleet(FleetNotice::Event(FleetEvent::Server(warning))) => {
                 front.take(now, now, Input::ServerWarning(warning));
             }
-            Letter::Fleet(Heard::News(FleetEvent::CallEnded { call })) => {
+            Letter::Fleet(FleetNotice::Event(FleetEvent::CallEnded { call })) => {
                 front.take(now, now, Input::CallReleased { call });
             }
-            Letter::Fleet(Heard::News(FleetEvent::Release { record, .. })) => {
+            Letter::Fleet(FleetNotice::Event(FleetEvent::Release { record, .. })) => {
                 front.take(now, now, Input::ReleaseCall(record));
             }
-            Letter::Fleet(Heard::News(FleetEvent::Level { level, until, .. })) => {
+            Letter::Fleet(FleetNotice::Event(FleetEvent::Level { level, until, .. })) => {
                 // False where this front has no such level: its own settings stand.
                 front.pin_level(now, level.map(|level| (usize::from(level), until - now)));
             }
@@ -324,12 +324,12 @@
                 }
                 Output::DnsClose { ticket } => self.questions.close(ticket),
                 Output::ServerListed(listed) => self.sayings.push(saying(now, &listed)),
-                Output::SitesObserved(seen) => self.sayings.push(Saying::Sees(seen)),
+                Output::SitesObserved(seen) => self.sayings.push(FleetCommand::SitesObserved(seen)),
                 Output::CallChanged { call, record } => {
-                    self.sayings.push(Saying::Call { call, word: record })
+                    self.sayings.push(FleetCommand::Call { call, record })
                 }
                 Output::FindCall { ticket, name, by_leg } => {
-                    self.sayings.push(Saying::Whose { ticket, name, by_leg })
+                    self.sayings.push(FleetCommand::FindCall { ticket, name, by_leg })
                 }
                 Output::Event(event) => {
                     self.unkept |= matches!(event, Event::ServerChanged { .. });
@@ -344,7 +344,7 @@
     fn say(&mut self) {
         let sayings = std::mem::take(&mut self.sayings);
         if let Some(teller) = self.teller.as_ref().filter(|_| !sayings.is_empty()) {
-            teller.say(sayings);
+            teller.publish(sayings);
         }
     }
 
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -7,9 +7,9 @@
 use crate::readers;
 use may::net::{TcpListener, UdpSocket};
 use miette::Diagnostic;
-use shalespindle_console::{serve, Ask, Console, Reply, Snapshot};
+use shalespindle_console::{serve, Console, FrontStatus, Reply, Request};
 use shalespindle_front::{Event, Front};
-use shalespindle_peer_service::{Fronts, Saying, Standing, Teller};
+use shalespindle_peer_service::{FleetCommand, FleetHandle, FleetService, FleetStatus};
 use shalespindle_settings::{FleetSettings, Settings};
 use shalespindle_sites::SitesError;
 use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mailbox, LARGE_STACK};
@@ -37,7 +37,7 @@
     owner: Option<Handle>,
     feed: Option<Handle>,
     console: Option<Console>,
-    fronts: Option<Fronts>,
+    fronts: Option<FleetService>,
 }
 
 impl Service {
@@ -89,7 +89,7 @@
             }
             None => None,
         };
-        let teller = fronts.as_ref().map(Fronts::teller);
+        let teller = fronts.as_ref().map(FleetService::handle);
         let hook: Hook = Box::new(move |event| {
             log_event(&name, event);
             hook(event);
@@ -122,14 +122,14 @@
             let answer = move |question| {
                 let reply = match (question, &teller) {
                     // Of other fronts the front itself knows nothing: its owner is not kept from its work.
-                    (Ask::Fleet, Some(teller)) => teller.standing().map(|s| Reply::Fleet(Box::new(s))),
-                    (Ask::PinFleet { level, seconds }, Some(teller)) => {
+                    (Request::Fleet, Some(teller)) => teller.status().map(|s| Reply::Fleet(Box::new(s))),
+                    (Request::PinFleet { level, seconds }, Some(teller)) => {
                         pin_fleet(&outgoing, teller, level, seconds)
                     }
-                    (Ask::Site { name, order, seconds }, Some(teller)) => {
+                    (Request::Site { name, order, seconds }, Some(teller)) => {
                         teller.order(name.clone(), order, seconds).map(|done| ordered(&name, done))
                     }
-                    (Ask::Fleet | Ask::PinFleet { .. } | Ask::Site { .. }, None) => {
+                    (Request::Fleet | Request::PinFleet { .. } | Request::Site { .. }, None) => {
                         Some(Reply::Bad { why: "this front knows no others: [fleet] is not set".into() })
                     }
                     (question, _) => ask(&outgoing, question),
@@ -147,22 +147,22 @@
     }
 
     /// Its state now; none once it has ended.
-    pub fn snapshot(&self) -> Option<Snapshot> {
-        match ask(&self.mailbox, Ask::Status)? {
+    pub fn snapshot(&self) -> Option<FrontStatus> {
+        match ask(&self.mailbox, Request::Status)? {
             Reply::Status(snapshot) => Some(*snapshot),
             _ => None,
         }
     }
 
     /// How the other fronts stand; none where this front was started without any.
-    pub fn fleet(&self) -> Option<Standing> {
-        self.fronts.as_ref()?.teller().standing()
+    pub fn fleet(&self) -> Option<FleetStatus> {
+        self.fronts.as_ref()?.handle().status()
     }
 
     /// The list of other fronts changed; false where this front was started without any.
     pub fn relist(&self, fleet: &FleetSettings) -> bool {
         if let Some(fronts) = &self.fronts {
-            fronts.teller().relist(fleet.others());
+            fronts.handle().set_peers(fleet.others());
         }
         self.fronts.is_some()
     }
@@ -195,10 +195,15 @@
 }
 
 /// Pins this front's level, or lets it go, and where that is done tells the others.
-fn pin_fleet(own: &Mailbox<Letter>, teller: &Teller, level: Option<usize>, seconds: f64) -> Option<Reply> {
+fn pin_fleet(
+    own: &Mailbox<Letter>,
+    teller: &FleetHandle,
+    level: Option<usize>,
+    seconds: f64,
+) -> Option<Reply> {
     let here = match level {
-        Some(level) => Ask::PinLevel { level, seconds },
-        None => Ask::UnpinLevel,
+        Some(level) => Request::PinLevel { level, seconds },
+        None => Request::UnpinLevel,
     };
     let reply = ask(own, here)?;
     // To let go on all fronts must be possible from one that holds nothing.
@@ -206,7 +211,10 @@
         return Some(reply);
     }
     let told = level.and_then(|l| u8::try_from(l).ok());
-    teller.say(vec![Saying::Level { level: told, lasts: if told.is_some() { seconds } else { 0.0 } }]);
+    teller.publish(vec![FleetCommand::Level {
+        level: told,
+        valid_for: if told.is_some() { seconds } else { 0.0 },
+    }]);
     Some(Reply::Done { what: "told to all fronts".into() })
 }
 
@@ -222,7 +230,7 @@
 }
 
 /// Puts a question to the owner and waits, on a thread of its own; none once the owner has ended.
-fn ask(mailbox: &Mailbox<Letter>, question: Ask) -> Option<Reply> {
+fn ask(mailbox: &Mailbox<Letter>, question: Request) -> Option<Reply> {
     let (to, from) = mpsc::channel();
     mailbox.send_urgent(Letter::Console(question, to)).ok()?;
     from.recv_timeout(ANSWERED_WITHIN).ok()
