--- a/crates/cli/src/resolve.rs
+++ b/crates/cli/src/resolve.rs
@@ -1,9 +1,9 @@
 //! One look-up, step by step.
 
 use crate::commands::BAD_INPUT;
-use shalespindle_sockets::Questions;
+use shalespindle_sockets::QuerySockets;
 use shalespindle_srv::{Name, Out, Outcome, Resolver, ResolverParams, Step};
-use shalespindle_transport::as_in;
+use shalespindle_transport::resolver_input;
 use std::io;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -33,7 +33,7 @@
     let begin = Instant::now();
     let now = || begin.elapsed().as_secs_f64();
     let mut resolver = Resolver::new(params, rand::random(), 0.0);
-    let mut questions = Questions::default();
+    let mut questions = QuerySockets::default();
     let (to, from) = mpsc::channel();
     resolver.look_up_now(now(), 0);
     loop {
@@ -44,7 +44,7 @@
             match out {
                 Out::Ask { ticket, to: server, tcp, bytes } => {
                     let to = to.clone();
-                    questions.ask(ticket, server, tcp, bytes, within, move |report| to.send(report).is_ok());
+                    questions.send(ticket, server, tcp, bytes, within, move |report| to.send(report).is_ok());
                 }
                 Out::Close { ticket } => questions.close(ticket),
                 Out::Done { outcome, .. } => return Ok(told(&outcome)),
@@ -53,7 +53,7 @@
         let wait = Duration::from_secs_f64((resolver.due() - now()).clamp(0.0, 60.0));
         // Nothing came: what is due is done below.
         if let Ok(report) = from.recv_timeout(wait) {
-            resolver.take(now(), as_in(&report));
+            resolver.take(now(), resolver_input(&report));
         }
         resolver.tick(now());
     }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -3,7 +3,7 @@
 use crate::commands::BAD_INPUT;
 use crate::signals::Signals;
 use shalespindle_settings::{read, LogForm, LogSettings, Settings};
-use shalespindle_sockets::Ground;
+use shalespindle_sockets::MonotonicClock;
 use shalespindle_transport::Service;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io;
@@ -60,10 +60,10 @@
     start_log(&settings.log);
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let seed = settings.front.seed.unwrap_or_else(rand::random);
-    let service = Service::start(&settings, seed, Ground::new())?;
+    let service = Service::start(&settings, seed, MonotonicClock::new())?;
     info!(target: "shalespindle::front", address = %service.address(), seed, "in service");
     let mut asked = 0;
-    while !service.is_over() {
+    while !service.has_ended() {
         for signal in signals.pending() {
             match signal {
                 SIGHUP => reload(config, &mut settings, &service),
@@ -96,7 +96,7 @@
         }
     };
     if let (Some(now), Some(then)) = (&mut current.fleet, &mut new.fleet) {
-        if now.others() != then.others() && service.relist(then) {
+        if now.others() != then.others() && service.set_peers(then) {
             now.peers.clone_from(&then.peers);
         }
     }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use shalespindle_signalling::message::{Message, Method};
 use shalespindle_signalling::write::{ResponseHead, Writer};
 use shalespindle_signalling::{Framer, Start};
-use shalespindle_sockets::Ground;
+use shalespindle_sockets::MonotonicClock;
 use shalespindle_transport::Service;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -31,13 +31,13 @@
 impl Router for Library {
     fn start(text: &str, _: SocketAddr) -> Library {
         let settings = parse("test", text).unwrap();
-        Library(Service::start(&settings, 1, Ground::new()).unwrap())
+        Library(Service::start(&settings, 1, MonotonicClock::new()).unwrap())
     }
     fn end(&mut self) {
         self.0.end();
     }
     fn ended(&mut self) -> bool {
-        self.0.is_over()
+        self.0.has_ended()
     }
 }
 
@@ -304,7 +304,7 @@
 
 /// An answer to a request with more lines.
 pub fn reply(request: &str, status: u16, more: &str) -> String {
-    let head = ResponseHead::of(&Message::parse(request.as_bytes()).unwrap(), "s");
+    let head = ResponseHead::for_request(&Message::parse(request.as_bytes()).unwrap(), "s");
     String::from_utf8(Writer::response(status, &head).with_lines(more).finish()).unwrap()
 }
 
--- a/crates/front/src/callers.rs
+++ b/crates/front/src/callers.rs
@@ -8,7 +8,9 @@
 use shalespindle_control::interface::NewAttach;
 use shalespindle_levels::{Admission, AttachRequest, RefusedBy};
 use shalespindle_signalling::message::{address, host, tag, Message, Method, ParseError};
-use shalespindle_signalling::transaction::{oldest_copy, Client, InviteServer, Todo, LONG, T4};
+use shalespindle_signalling::transaction::{
+    max_first_copy_age, InviteServer, NonInviteClient, TransactionAction, T4, TRANSACTION_TIMEOUT,
+};
 use shalespindle_signalling::write::{ResponseHead, Writer};
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -22,7 +24,7 @@
 /// Delay after which a caller without a final answer gets a 100, seconds.
 const TRYING_DELAY: f64 = 0.2;
 /// Maximum time in which an incomplete message must become complete, seconds.
-const MAX_PARTIAL_AGE: f64 = LONG / 4.0;
+const MAX_PARTIAL_AGE: f64 = TRANSACTION_TIMEOUT / 4.0;
 
 impl Front {
     pub(crate) fn caller_bytes(&mut self, now: f64, arrived: f64, stream: u64, bytes: &[u8]) {
@@ -44,7 +46,7 @@
                 }
             }
         }
-        if caller.framer.held() > 0 {
+        if caller.framer.buffered() > 0 {
             // Otherwise a caller could hold a connection forever by sending one byte a second.
             if now - *caller.partial_since.get_or_insert(now) > MAX_PARTIAL_AGE {
                 self.bad_message("caller's stream", "part of a message for too long".into());
@@ -117,7 +119,7 @@
                 self.answer_stateless(source, &message, if self.is_shutting_down() { 503 } else { 200 })
             }
             Method::Other => {
-                let head = ResponseHead::of(&message, &self.tag);
+                let head = ResponseHead::for_request(&message, &self.tag);
                 let allow = "INVITE, ACK, BYE, CANCEL, OPTIONS";
                 self.send_to_caller(source, Writer::response(405, &head).with("Allow", allow).finish());
             }
@@ -130,7 +132,7 @@
             let attach = &self.attaches[key];
             if attach.last_answer.is_empty() {
                 self.answer(key, 100, |w| w);
-            } else if attach.invite_server.repeated() == Todo::Again {
+            } else if attach.invite_server.retransmission_received() == TransactionAction::Retransmit {
                 let bytes = attach.last_answer.clone();
                 self.send_to_caller(source, bytes);
             }
@@ -144,7 +146,7 @@
         if max_forwards == 0 {
             return self.answer_stateless(source, message, 483);
         }
-        let Some(called) = message.called() else {
+        let Some(called) = message.called_party() else {
             return self.answer_stateless(source, message, 404);
         };
         if self.attaches.len() >= ATTACHES_PER_PENDING * self.params.max_pending {
@@ -160,7 +162,9 @@
         // Rule 1 in a front that has just started: the first INVITE that it receives may be a retransmission
         // of one that the caller has been sending for a while to a front that died.
         let already_waited = match source {
-            Source::Datagram(_) => oldest_copy(arrived - self.started, patience + self.params.answer_margin),
+            Source::Datagram(_) => {
+                max_first_copy_age(arrived - self.started, patience + self.params.answer_margin)
+            }
             Source::Stream(_) => 0.0,
         };
         let gives_up_at = arrived - already_waited + patience - self.params.answer_margin;
@@ -170,7 +174,7 @@
         let ue = self.next_ue;
         let remote: Box<str> = message.from().unwrap_or_default().into();
         let own_tag = format!("{}-{:x}-{serial:x}", self.tag, self.attaches.vacant_key());
-        let session = match message.session() {
+        let session = match message.session_id() {
             Some(session) => session.into(),
             None => format!("{:032x}", self.rng.random::<u128>()).into_boxed_str(),
         };
@@ -179,7 +183,7 @@
             ue,
             stage: AttachStage::Pending,
             source,
-            response_head: ResponseHead::of(message, &own_tag),
+            response_head: ResponseHead::for_request(message, &own_tag),
             call_id: message.call_id().unwrap_or_default().into(),
             remote,
             local: format!("{};tag={own_tag}", message.to().unwrap_or_default()).into_boxed_str(),
@@ -282,8 +286,8 @@
             self.attach_by_transaction.get(transaction).copied().or_else(|| self.find_dialog(message));
         let Some(key) = known else { return };
         let attach = &mut self.attaches[key];
-        attach.invite_server.acknowledged(now);
-        let (due, serial) = (attach.invite_server.due(), attach.serial);
+        attach.invite_server.ack_received(now);
+        let (due, serial) = (attach.invite_server.next_timeout(), attach.serial);
         self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
     }
 
@@ -378,8 +382,8 @@
     /// Starts the INVITE transaction's timers after a final answer.
     pub(crate) fn final_answer_sent(&mut self, now: f64, key: usize, success: bool) {
         let attach = &mut self.attaches[key];
-        attach.invite_server.answered(now, success);
-        let (due, serial) = (attach.invite_server.due(), attach.serial);
+        attach.invite_server.final_response_sent(now, success);
+        let (due, serial) = (attach.invite_server.next_timeout(), attach.serial);
         self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
     }
 
@@ -399,25 +403,25 @@
         {
             return self.answer(key, 100, |w| w);
         }
-        match attach.invite_server.tick(now) {
-            Todo::Again => {
+        match attach.invite_server.handle_timeout(now) {
+            TransactionAction::Retransmit => {
                 let (source, bytes) = (attach.source, attach.last_answer.clone());
-                let due = attach.invite_server.due();
+                let due = attach.invite_server.next_timeout();
                 self.send_to_caller(source, bytes);
                 self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
             }
-            Todo::GaveUp if attach.stage == AttachStage::Established => {
+            TransactionAction::TimedOut if attach.stage == AttachStage::Established => {
                 // RFC 3261 section 13.3.1.4: a 200 that gets no ACK ends the call.
                 self.release(now, key, true, true, true);
             }
-            Todo::Over if attach.stage == AttachStage::Established => {}
-            Todo::GaveUp | Todo::Over => {
+            TransactionAction::Terminated if attach.stage == AttachStage::Established => {}
+            TransactionAction::TimedOut | TransactionAction::Terminated => {
                 if attach.bye.is_none() {
                     self.remove_attach(key);
                 }
             }
-            Todo::Nothing => {
-                let due = attach.invite_server.due().min(attach.remove_at);
+            TransactionAction::None => {
+                let due = attach.invite_server.next_timeout().min(attach.remove_at);
                 if due > now && attach.stage != AttachStage::Established {
                     self.timers.set(due, TimerEvent::CallerTransaction { key, serial });
                 }
@@ -464,9 +468,9 @@
         let dialog = [uri, &attach.local, &attach.remote, &attach.call_id];
         let bytes = self.caller_bye(transport, name, dialog).with("Session-ID", &attach.session).finish();
         let attach = &mut self.attaches[key];
-        let client = Client::new(now, reliable);
-        let (due, serial, source) = (client.due(), attach.serial, attach.source);
-        attach.remove_at = now + LONG;
+        let client = NonInviteClient::new(now, reliable);
+        let (due, serial, source) = (client.next_timeout(), attach.serial, attach.source);
+        attach.remove_at = now + TRANSACTION_TIMEOUT;
         attach.bye = Some((client, bytes.clone()));
         self.timers.set(due, TimerEvent::CallerBye { key, serial });
         self.send_to_caller(source, bytes);
@@ -488,15 +492,15 @@
     pub(crate) fn on_bye_timer(&mut self, now: f64, key: usize, serial: u32) {
         let Some(attach) = self.attaches.get_mut(key).filter(|a| a.serial == serial) else { return };
         let Some((client, bytes)) = &mut attach.bye else { return };
-        match client.tick(now) {
-            Todo::Again => {
-                let (bytes, due, source) = (bytes.clone(), client.due(), attach.source);
+        match client.handle_timeout(now) {
+            TransactionAction::Retransmit => {
+                let (bytes, due, source) = (bytes.clone(), client.next_timeout(), attach.source);
                 self.timers.set(due, TimerEvent::CallerBye { key, serial });
                 self.send_to_caller(source, bytes);
             }
-            Todo::GaveUp | Todo::Over => self.remove_attach(key),
-            Todo::Nothing => {
-                let due = client.due();
+            TransactionAction::TimedOut | TransactionAction::Terminated => self.remove_attach(key),
+            TransactionAction::None => {
+                let due = client.next_timeout();
                 self.timers.set(due, TimerEvent::CallerBye { key, serial });
             }
         }
@@ -510,7 +514,7 @@
 
     /// Sends an answer without creating a transaction.
     fn answer_stateless(&mut self, source: Source, message: &Message, status: u16) {
-        let head = ResponseHead::of(message, &self.tag);
+        let head = ResponseHead::for_request(message, &self.tag);
         self.send_to_caller(source, Writer::response(status, &head).finish());
     }
 
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -13,7 +13,7 @@
 use shalespindle_control::interface::*;
 use shalespindle_levels::{Levels, LevelsStatus, Ticket};
 use shalespindle_signalling::timers::Timers;
-use shalespindle_signalling::transaction::{Client, InviteServer};
+use shalespindle_signalling::transaction::{InviteServer, NonInviteClient};
 use shalespindle_signalling::write::ResponseHead;
 use shalespindle_signalling::Framer;
 use slab::Slab;
@@ -99,7 +99,7 @@
     /// The last answer, for retransmissions.
     pub last_answer: Vec<u8>,
     /// This front's BYE to the caller.
-    pub bye: Option<(Client, Vec<u8>)>,
+    pub bye: Option<(NonInviteClient, Vec<u8>)>,
     pub remove_at: f64,
     /// Identifies the attach to the levels, which evaluate how it ended.
     pub level_ticket: Option<Ticket>,
--- a/crates/front/src/servers.rs
+++ b/crates/front/src/servers.rs
@@ -10,7 +10,7 @@
 use shalespindle_control::interface::{EndReason, Report};
 use shalespindle_membership::Change;
 use shalespindle_signalling::message::{address, Message, Method};
-use shalespindle_signalling::transaction::LONG;
+use shalespindle_signalling::transaction::TRANSACTION_TIMEOUT;
 use shalespindle_signalling::write::{ResponseHead, Writer};
 
 impl Front {
@@ -261,8 +261,9 @@
                 let leg = &mut self.legs[at.key];
                 leg.stage = LegStage::Cancelled;
                 leg.attach = None;
-                leg.expires_at = now + LONG;
-                self.timers.set(now + LONG, TimerEvent::Leg { key: at.key, serial: at.serial });
+                leg.expires_at = now + TRANSACTION_TIMEOUT;
+                self.timers
+                    .set(now + TRANSACTION_TIMEOUT, TimerEvent::Leg { key: at.key, serial: at.serial });
                 if blocked {
                     // The INVITE may be half written to a full socket; the rest must never be sent.
                     self.reset_link(now, link_index);
@@ -306,8 +307,8 @@
         let Some(leg) = self.legs.get_mut(at.key).filter(|l| l.serial == at.serial) else { return };
         leg.stage = LegStage::Releasing;
         leg.attach = None;
-        leg.expires_at = now + LONG;
-        self.timers.set(now + LONG, TimerEvent::Leg { key: at.key, serial: at.serial });
+        leg.expires_at = now + TRANSACTION_TIMEOUT;
+        self.timers.set(now + TRANSACTION_TIMEOUT, TimerEvent::Leg { key: at.key, serial: at.serial });
         self.queue_bye(at);
     }
 
@@ -490,7 +491,7 @@
             return;
         }
         let status = if method == Method::Bye && leg.is_none() { 481 } else { status };
-        let head = ResponseHead::of(message, &self.tag);
+        let head = ResponseHead::for_request(message, &self.tag);
         let answer = Writer::response(status, &head).finish();
         self.links[link_index].queue.push_back(Frame::Other(answer));
         let (Method::Bye, Some(at)) = (method, leg) else { return };
--- a/crates/front/src/shared_calls.rs
+++ b/crates/front/src/shared_calls.rs
@@ -8,7 +8,7 @@
 use shalespindle_control::interface::Report;
 use shalespindle_replica::{dialog_hash, CallRecord};
 use shalespindle_signalling::message::{address, tag, Message};
-use shalespindle_signalling::transaction::{Client, Todo, LONG};
+use shalespindle_signalling::transaction::{NonInviteClient, TransactionAction, TRANSACTION_TIMEOUT};
 use shalespindle_signalling::write::{ResponseHead, Writer};
 use slab::Slab;
 use std::collections::{BTreeMap, HashMap};
@@ -28,7 +28,7 @@
 /// A BYE towards the caller of another front's call.
 struct ForeignBye {
     serial: u32,
-    client: Client,
+    client: NonInviteClient,
     to: SocketAddr,
     bytes: Vec<u8>,
 }
@@ -83,7 +83,7 @@
     /// looked up.
     pub(crate) fn find_call_of_caller(&mut self, now: f64, source: Source, message: &Message) -> bool {
         let Some(name) = message.to().ok().and_then(tag).map(dialog_hash) else { return false };
-        let head = ResponseHead::of(message, &self.tag);
+        let head = ResponseHead::for_request(message, &self.tag);
         self.find_call(now, name, false, PendingQuery::Caller { source, head })
     }
 
@@ -91,7 +91,7 @@
     /// looked up.
     pub(crate) fn find_call_of_server(&mut self, now: f64, link: usize, message: &Message) -> bool {
         let Some(name) = message.call_id().ok().map(dialog_hash) else { return false };
-        let (connection, head) = (self.links[link].connection, ResponseHead::of(message, &self.tag));
+        let (connection, head) = (self.links[link].connection, ResponseHead::for_request(message, &self.tag));
         self.find_call(now, name, true, PendingQuery::Server { link, connection, head })
     }
 
@@ -167,7 +167,7 @@
             link,
             setup_try: 0,
             sent_at: now,
-            expires_at: now + LONG,
+            expires_at: now + TRANSACTION_TIMEOUT,
             request_uri: call.leg_target.as_str().into(),
             from: call.leg_from.as_str().into(),
             to: call.leg_to.as_str().into(),
@@ -176,7 +176,7 @@
         };
         let key = self.legs.insert(leg);
         self.links[link].legs += 1;
-        self.timers.set(now + LONG, TimerEvent::Leg { key, serial });
+        self.timers.set(now + TRANSACTION_TIMEOUT, TimerEvent::Leg { key, serial });
         self.queue_bye(LegRef { key, serial });
         // The front may not be connected to a draining server; the BYE waits for the link.
         self.connect_if_allowed(now, link);
@@ -186,8 +186,8 @@
         let (serial, key) = (self.new_serial(), self.shared_calls.foreign_byes.vacant_key());
         let dialog = [&*call.target, &call.local, &call.remote, &call.call_id];
         let bytes = self.caller_bye("UDP", format_args!("{key:x}-{serial:x}-y"), dialog).finish();
-        let client = Client::new(now, false);
-        let due = client.due();
+        let client = NonInviteClient::new(now, false);
+        let due = client.next_timeout();
         self.shared_calls.foreign_byes.insert(ForeignBye { serial, client, to, bytes: bytes.clone() });
         self.timers.set(due, TimerEvent::ForeignBye { key, serial });
         self.outputs.push_back(Output::Datagram { to, bytes });
@@ -197,15 +197,17 @@
         let Some(bye) = self.shared_calls.foreign_byes.get_mut(key).filter(|b| b.serial == serial) else {
             return;
         };
-        match bye.client.tick(now) {
-            Todo::Again => {
+        match bye.client.handle_timeout(now) {
+            TransactionAction::Retransmit => {
                 self.outputs.push_back(Output::Datagram { to: bye.to, bytes: bye.bytes.clone() });
             }
-            Todo::GaveUp | Todo::Over => drop(self.shared_calls.foreign_byes.remove(key)),
-            Todo::Nothing => {}
+            TransactionAction::TimedOut | TransactionAction::Terminated => {
+                drop(self.shared_calls.foreign_byes.remove(key))
+            }
+            TransactionAction::None => {}
         }
         if let Some(bye) = self.shared_calls.foreign_byes.get(key) {
-            let due = bye.client.due();
+            let due = bye.client.next_timeout();
             self.timers.set(due, TimerEvent::ForeignBye { key, serial });
         }
     }
--- a/crates/front/tests/attaches.rs
+++ b/crates/front/tests/attaches.rs
@@ -14,7 +14,7 @@
     let (to, invite_sent) = harness.last_invite_sent();
     assert_eq!(to, server(1), "the trunk group's pool is the first choice");
     let m = Message::parse(invite_sent.as_bytes()).unwrap();
-    assert_eq!(m.session(), Some(format!("{:0>32}", 1).as_str()));
+    assert_eq!(m.session_id(), Some(format!("{:0>32}", 1).as_str()));
     assert_eq!(m.header("Max-Forwards"), Some("69"));
     harness.advance(0.1);
     harness.server_sends(
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -245,7 +245,7 @@
 
 /// Builds an answer to a request from its Via, From, To, Call-ID and CSeq, with additional header lines.
 pub fn reply(request: &str, status: u16, more: &str) -> String {
-    let head = ResponseHead::of(&Message::parse(request.as_bytes()).unwrap(), "s");
+    let head = ResponseHead::for_request(&Message::parse(request.as_bytes()).unwrap(), "s");
     String::from_utf8(Writer::response(status, &head).with_lines(more).finish()).unwrap()
 }
 
--- a/crates/front/tests/fuzz.rs
+++ b/crates/front/tests/fuzz.rs
@@ -74,8 +74,12 @@
         if let Ok(message) = Message::parse(&bytes) {
             read += 1;
             // Every accessor is called, whatever the message is.
-            std::hint::black_box((message.via().is_ok(), message.cseq().is_ok(), message.called()));
-            std::hint::black_box((message.retry_after(), message.q850_cause(), message.session().is_some()));
+            std::hint::black_box((message.via().is_ok(), message.cseq().is_ok(), message.called_party()));
+            std::hint::black_box((
+                message.retry_after(),
+                message.q850_cause(),
+                message.session_id().is_some(),
+            ));
         }
         // The front gets every tenth message, through each kind of input in turn, and time passes now and
         // then.
--- a/crates/lab/src/fleet_cost.rs
+++ b/crates/lab/src/fleet_cost.rs
@@ -4,7 +4,7 @@
 
 use crate::throughput::{drive, scenario, servers, Load, Measured, Pace, SERVERS, WINDOW};
 use shalespindle_settings::{FleetSettings, Settings};
-use shalespindle_sockets::Ground;
+use shalespindle_sockets::MonotonicClock;
 use shalespindle_standin::loopback::{free_address, networks};
 use shalespindle_transport::Service;
 use std::fmt;
@@ -55,7 +55,7 @@
 /// Measures `rounds` rounds of six parts of `seconds` each.
 pub fn measure(seconds: f64, rounds: usize) -> io::Result<FleetCost> {
     let scenario = scenario(SERVERS)?;
-    let ground = Ground::new();
+    let ground = MonotonicClock::new();
     let servers = servers(&scenario, &ground, false)?;
     let folder = tempfile::tempdir()?;
     let plain = scenario.settings(SocketAddr::from(([127, 0, 0, 1], 0)), servers.feed, &[], 0.05);
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_settings::Settings;
-use shalespindle_sockets::Ground;
+use shalespindle_sockets::MonotonicClock;
 use shalespindle_standin::callers::Callers;
 use shalespindle_standin::checker::check;
 use shalespindle_standin::feed::Feed;
@@ -62,7 +62,7 @@
 struct Fleet<'a> {
     scenario: &'a Scenario,
     fronts: &'a Fronts,
-    ground: Ground,
+    ground: MonotonicClock,
     trace: Trace,
     settings: Vec<Settings>,
     running: Vec<Running>,
@@ -85,7 +85,7 @@
     network: u8,
     front: usize,
     place: usize,
-    ground: &Ground,
+    ground: &MonotonicClock,
     trace: &Trace,
 ) -> io::Result<(SocketAddr, HostedNames)> {
     let at = free_address(network, front)?;
@@ -140,7 +140,7 @@
 impl<'a> Fleet<'a> {
     fn new(scenario: &'a Scenario, seed: u64, fronts: &'a Fronts) -> io::Result<Fleet<'a>> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (ground, trace) = (Ground::new(), Trace::default());
+        let (ground, trace) = (MonotonicClock::new(), Trace::default());
         let networks = networks();
         let count = scenario.fleet.fronts;
         let mut names = HashMap::new();
--- a/crates/lab/src/standing.rs
+++ b/crates/lab/src/standing.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::Scenario;
 use may::net::TcpListener;
-use shalespindle_sockets::Ground;
+use shalespindle_sockets::MonotonicClock;
 use shalespindle_standin::feed::Feed;
 use shalespindle_standin::net::{feed, Hosted, HostedServer};
 use shalespindle_standin::server::Server;
@@ -24,7 +24,7 @@
 impl Standing {
     /// The first front's feed is at `at`, those of further fronts on the ports after it; servers follow.
     pub fn start(scenario: &Scenario, at: SocketAddr) -> io::Result<Standing> {
-        let (ground, trace) = (Ground::new(), Trace::default());
+        let (ground, trace) = (MonotonicClock::new(), Trace::default());
         let fronts = scenario.fleet.fronts;
         let port = |offset: usize| {
             let port = usize::from(at.port()) + offset;
--- a/crates/lab/src/throughput.rs
+++ b/crates/lab/src/throughput.rs
@@ -9,7 +9,9 @@
 use shalespindle_signalling::message::{Message, Method};
 use shalespindle_signalling::write::Writer;
 use shalespindle_signalling::{Framer, Start};
-use shalespindle_sockets::{end, start, Ground, Handle, Outgoing, LARGE_STACK, READ, SMALL_STACK};
+use shalespindle_sockets::{
+    end, start, Handle, MonotonicClock, StreamWriter, LARGE_STACK, READ_SIZE, SMALL_STACK,
+};
 use shalespindle_standin::feed::Feed;
 use shalespindle_standin::net::{feed, Hosted, HostedServer};
 use shalespindle_standin::server::Server;
@@ -94,7 +96,7 @@
 }
 
 /// Servers whose work takes next to no time; `never` makes them take set-ups and not answer.
-pub(crate) fn servers(scenario: &Scenario, ground: &Ground, never: bool) -> io::Result<Servers> {
+pub(crate) fn servers(scenario: &Scenario, ground: &MonotonicClock, never: bool) -> io::Result<Servers> {
     let trace = Trace::off();
     let mut list = Feed::new(1, 1, 0.0);
     let (mut hosted, mut addresses) = (Vec::new(), Vec::new());
@@ -129,7 +131,7 @@
 /// Measures `rounds` pairs of `seconds` each.
 pub fn measure(seconds: f64, rounds: usize) -> io::Result<Throughput> {
     let scenario = scenario(SERVERS)?;
-    let ground = Ground::new();
+    let ground = MonotonicClock::new();
     let servers = servers(&scenario, &ground, false)?;
     let relay = Relay::start(&servers.addresses)?;
     let settings = scenario.settings(SocketAddr::from(([127, 0, 0, 1], 0)), servers.feed, &[], 0.05);
@@ -181,7 +183,7 @@
 /// Measures relay and front in turn at that rate, `rounds` times.
 pub fn measure_added(seconds: f64, rounds: usize, rate: f64, in_scope: usize) -> io::Result<Vec<Added>> {
     let scenario = scenario(in_scope)?;
-    let ground = Ground::new();
+    let ground = MonotonicClock::new();
     let servers = servers(&scenario, &ground, false)?;
     let relay = Relay::start(&servers.addresses)?;
     let settings = scenario.settings(SocketAddr::from(([127, 0, 0, 1], 0)), servers.feed, &[], 0.05);
@@ -212,7 +214,7 @@
 /// Resident bytes that an attach in hand adds: thousands are asked of servers that never answer.
 fn memory() -> io::Result<f64> {
     let scenario = scenario(SERVERS)?;
-    let ground = Ground::new();
+    let ground = MonotonicClock::new();
     let servers = servers(&scenario, &ground, true)?;
     let settings = scenario.settings(SocketAddr::from(([127, 0, 0, 1], 0)), servers.feed, &[], 0.05);
     let service = Service::start(&settings, 1, ground)?;
@@ -353,14 +355,14 @@
         let address = udp.local_addr()?;
         let writer = Arc::new(udp.try_clone()?);
         let mut handles = Vec::new();
-        let mut links: Vec<Arc<Mutex<Outgoing>>> = Vec::new();
+        let mut links: Vec<Arc<Mutex<StreamWriter>>> = Vec::new();
         for server in servers {
             let mut stream = TcpStream::connect(server)?;
             stream.set_nodelay(true)?;
-            links.push(Arc::new(Mutex::new(Outgoing::beside(&stream)?)));
+            links.push(Arc::new(Mutex::new(StreamWriter::new(&stream)?)));
             let writer = writer.clone();
             handles.push(start(SMALL_STACK, move || {
-                let mut buffer = vec![0; READ];
+                let mut buffer = vec![0; READ_SIZE];
                 let mut framer = Framer::default();
                 while let Ok(size) = stream.read(&mut buffer) {
                     if size == 0 {
@@ -391,7 +393,7 @@
 }
 
 /// One request on its way: a Via on top, by turns of the call's own number.
-fn there(bytes: &[u8], from: SocketAddr, own: SocketAddr, links: &[Arc<Mutex<Outgoing>>]) {
+fn there(bytes: &[u8], from: SocketAddr, own: SocketAddr, links: &[Arc<Mutex<StreamWriter>>]) {
     let Ok(message) = Message::parse(bytes) else { return };
     let (Ok(via), Ok(id)) = (message.via(), message.call_id()) else { return };
     let number: u64 = id.split('@').next().and_then(|c| c.parse().ok()).unwrap_or(0);
--- a/crates/peer-service/src/lib.rs
+++ b/crates/peer-service/src/lib.rs
@@ -16,7 +16,7 @@
 use shalespindle_peer_wire::{front_id, Codec};
 use shalespindle_replica::{Fleet, FleetParams};
 use shalespindle_sites::{Order, SiteTable, Sites, SitesError, SitesParams};
-use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mailbox, SMALL_STACK};
+use shalespindle_sockets::{end, mailbox, start, Handle, Mailbox, MonotonicClock, SMALL_STACK};
 use sites::SitesOwner;
 use std::io;
 use std::net::SocketAddr;
@@ -63,25 +63,25 @@
 impl Teller {
     /// Never waits: what is said comes from the front's own list and operators, not from peers.
     pub fn say(&self, sayings: Vec<Saying>) {
-        let _ = self.0.send_urgent(Letter::Say(sayings));
+        let _ = self.0.send_unbounded(Letter::Say(sayings));
     }
 
     /// An operator's order on a site, for all fronts, waited for on the caller's thread; none once the owner has ended.
     pub fn order(&self, site: String, order: Order, lasts: f64) -> Option<Result<(), SitesError>> {
         let (to, from) = mpsc::channel();
-        self.0.send_urgent(Letter::Order { site, order, lasts, to }).ok()?;
+        self.0.send_unbounded(Letter::Order { site, order, lasts, to }).ok()?;
         from.recv_timeout(ANSWERED_WITHIN).ok()
     }
 
     /// The list of the other fronts changed: name, and where their datagrams go.
     pub fn relist(&self, peers: Vec<(String, SocketAddr)>) {
-        let _ = self.0.send_urgent(Letter::Relist(peers));
+        let _ = self.0.send_unbounded(Letter::Relist(peers));
     }
 
     /// How the fronts stand, waited for on the caller's thread; none once the owner has ended.
     pub fn standing(&self) -> Option<Standing> {
         let (to, from) = mpsc::channel();
-        self.0.send_urgent(Letter::Ask(to)).ok()?;
+        self.0.send_unbounded(Letter::Ask(to)).ok()?;
         from.recv_timeout(ANSWERED_WITHIN).ok()
     }
 }
@@ -90,7 +90,7 @@
     /// Opens the socket and starts; the port may be 0 for any free one.
     pub fn start(
         what: Start,
-        ground: Ground,
+        ground: MonotonicClock,
         heard: impl FnMut(Heard) + Send + 'static,
     ) -> io::Result<Fronts> {
         let udp = UdpSocket::bind(what.listen)?;
@@ -149,7 +149,7 @@
 
 impl Drop for Fronts {
     fn drop(&mut self) {
-        let _ = self.mailbox.send_urgent(Letter::Leave);
+        let _ = self.mailbox.send_unbounded(Letter::Leave);
         if let Some(owner) = self.owner.take() {
             // A panic in the owner has been reported by its own message.
             let _ = owner.join();
--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -9,7 +9,7 @@
 use shalespindle_peers::{Change, FrontId, State};
 use shalespindle_replica::{CallRecord, Fleet, FleetEvent, Output, ServerRecord};
 use shalespindle_sites::{Order, Restrictions, Sample, SitesError, SitesStatus};
-use shalespindle_sockets::{Ground, Mail};
+use shalespindle_sockets::{MailboxReceiver, MonotonicClock};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -166,8 +166,8 @@
     pub codec: Codec,
     pub udp: UdpSocket,
     pub directory: Directory,
-    pub ground: Ground,
-    pub mail: Mail<Letter>,
+    pub ground: MonotonicClock,
+    pub mail: MailboxReceiver<Letter>,
     pub heard: Box<dyn FnMut(Heard) + Send>,
     pub traffic: Traffic,
     /// Takes what is to be waited for on a thread, when this has ended.
@@ -178,7 +178,8 @@
     pub fn run(mut self) {
         loop {
             let sites = self.sites.as_ref().map_or(f64::INFINITY, |sites| sites.core.next_tick_at());
-            let mut next = self.mail.next_within(self.ground.until(self.fleet.next_wakeup().min(sites)));
+            let mut next =
+                self.mail.recv_timeout(self.ground.duration_until(self.fleet.next_wakeup().min(sites)));
             let mut taken = 0;
             while let Some(letter) = next {
                 if !self.take(letter) {
@@ -189,7 +190,7 @@
                     return;
                 }
                 taken += 1;
-                next = if taken < BATCH { self.mail.try_next() } else { None };
+                next = if taken < BATCH { self.mail.try_recv() } else { None };
             }
             self.fleet.turn(self.ground.now());
             self.keeper.turn(self.ground.now(), &mut self.fleet);
--- a/crates/platform-service/src/owner.rs
+++ b/crates/platform-service/src/owner.rs
@@ -3,7 +3,7 @@
 use crate::places::Places;
 use crate::readers;
 use shalespindle_platform::{ConnectionId, Edge, LogLevel, LogRecord, Loss, Output, StartFile, UNCOUNTED};
-use shalespindle_sockets::{Ground, Mail, Mailbox, Writing};
+use shalespindle_sockets::{Mailbox, MailboxReceiver, MonotonicClock, WriteHalf};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tracing::{debug, info};
@@ -25,8 +25,8 @@
 
 /// What reaches the owner.
 pub(crate) enum OwnerEvent {
-    Accepted { connection: ConnectionId, writing: Writing },
-    Connected { connection: ConnectionId, writing: Writing },
+    Accepted { connection: ConnectionId, writing: WriteHalf },
+    Connected { connection: ConnectionId, writing: WriteHalf },
     Bytes { arrived: f64, connection: ConnectionId, bytes: Vec<u8> },
     Lost { connection: ConnectionId, loss: Loss },
     Reload(Box<StartFile>),
@@ -34,7 +34,7 @@
 }
 
 struct Peer {
-    writing: Writing,
+    writing: WriteHalf,
     /// What did not fit into the socket yet.
     waiting: Vec<u8>,
     /// The core has closed it: it goes once that is written, or then.
@@ -42,16 +42,16 @@
 }
 
 impl Peer {
-    fn new(writing: Writing) -> Peer {
+    fn new(writing: WriteHalf) -> Peer {
         Peer { writing, waiting: Vec::new(), closes_at: None }
     }
 }
 
 pub(crate) struct Owner {
     edge: Edge,
-    ground: Ground,
+    ground: MonotonicClock,
     mailbox: Mailbox<OwnerEvent>,
-    mail: Mail<OwnerEvent>,
+    mail: MailboxReceiver<OwnerEvent>,
     peers: BTreeMap<ConnectionId, Peer>,
     dialled: BTreeSet<ConnectionId>,
     places: Places,
@@ -63,9 +63,9 @@
 impl Owner {
     pub fn new(
         edge: Edge,
-        ground: Ground,
+        ground: MonotonicClock,
         mailbox: Mailbox<OwnerEvent>,
-        mail: Mail<OwnerEvent>,
+        mail: MailboxReceiver<OwnerEvent>,
         places: Places,
     ) -> Owner {
         let (peers, dialled) = Default::default();
@@ -78,8 +78,8 @@
             let blocked = self.peers.values().any(|p| !p.waiting.is_empty());
             let again = if blocked { self.ground.now() + AGAIN } else { f64::INFINITY };
             let due = self.edge.wake_at().min(again);
-            let next = self.mail.next_within(self.ground.until(due));
-            if self.ground.just_went_on() {
+            let next = self.mail.recv_timeout(self.ground.duration_until(due));
+            if self.ground.just_resumed() {
                 // Guards rule 3 and callers' patience: all that came meanwhile is known before it decides.
                 may::coroutine::sleep(SETTLE);
             }
@@ -113,14 +113,14 @@
         loop {
             while let Some(event) = next {
                 self.take(event);
-                next = if self.ground.now() < until { self.mail.try_next() } else { None };
+                next = if self.ground.now() < until { self.mail.try_recv() } else { None };
             }
             // Readers that were woken or wait for room run now; the owner goes on behind them, on their worker.
             may::coroutine::yield_now();
             if self.ground.now() >= until {
                 return;
             }
-            next = self.mail.try_next();
+            next = self.mail.try_recv();
             if next.is_none() {
                 if !self.lies_unread() {
                     return;
--- a/crates/platform-service/src/readers.rs
+++ b/crates/platform-service/src/readers.rs
@@ -4,7 +4,7 @@
 use crate::places::Places;
 use may::net::{TcpListener, TcpStream};
 use shalespindle_platform::{ConnectionId, Loss};
-use shalespindle_sockets::{read_all, share, start, Ground, Handle, Mailbox, SMALL_STACK};
+use shalespindle_sockets::{read_all, split, start, Handle, Mailbox, MonotonicClock, SMALL_STACK};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 pub(crate) fn accept(
     listener: TcpListener,
     mailbox: Mailbox<OwnerEvent>,
-    ground: Ground,
+    ground: MonotonicClock,
     places: Places,
 ) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
@@ -37,7 +37,7 @@
             let _ = stream.set_nodelay(true);
             let connection = last;
             let (mailbox_of, ground) = (mailbox.clone(), ground.clone());
-            let (mut reading, writing) = share(stream);
+            let (mut reading, writing) = split(stream);
             if mailbox.send(OwnerEvent::Accepted { connection, writing }).is_err() {
                 return;
             }
@@ -55,13 +55,13 @@
 }
 
 fn read(
-    reading: &mut shalespindle_sockets::Reading,
+    reading: &mut shalespindle_sockets::ReadHalf,
     connection: ConnectionId,
     mailbox: &Mailbox<OwnerEvent>,
-    ground: &Ground,
+    ground: &MonotonicClock,
 ) {
     read_all(reading, READ, |bytes| {
-        mailbox.send(OwnerEvent::Bytes { arrived: ground.arrival(), connection, bytes }).is_ok()
+        mailbox.send(OwnerEvent::Bytes { arrived: ground.earliest_arrival(), connection, bytes }).is_ok()
     });
 }
 
@@ -71,14 +71,14 @@
     to: SocketAddr,
     within: Duration,
     mailbox: &Mailbox<OwnerEvent>,
-    ground: &Ground,
+    ground: &MonotonicClock,
 ) {
     let (own, ground) = (mailbox.clone(), ground.clone());
     let started = start(SMALL_STACK, move || {
         let loss = match TcpStream::connect_timeout(&to, within) {
             Ok(stream) => {
                 let _ = stream.set_nodelay(true);
-                let (mut reading, writing) = share(stream);
+                let (mut reading, writing) = split(stream);
                 if own.send(OwnerEvent::Connected { connection, writing }).is_err() {
                     return;
                 }
@@ -91,6 +91,6 @@
         let _ = own.send(OwnerEvent::Lost { connection, loss });
     });
     if started.is_err() {
-        let _ = mailbox.send_urgent(OwnerEvent::Lost { connection, loss: Loss::Broken });
+        let _ = mailbox.send_unbounded(OwnerEvent::Lost { connection, loss: Loss::Broken });
     }
 }
--- a/crates/platform-service/src/service.rs
+++ b/crates/platform-service/src/service.rs
@@ -5,7 +5,7 @@
 use crate::readers;
 use may::net::TcpListener;
 use shalespindle_platform::{Edge, StartFile, UNCOUNTED};
-use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mailbox, LARGE_STACK};
+use shalespindle_sockets::{end, mailbox, start, Handle, Mailbox, MonotonicClock, LARGE_STACK};
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime};
@@ -34,7 +34,7 @@
 impl Service {
     /// Takes the list as far as it is known, then listens and starts.
     pub fn start(file: StartFile) -> io::Result<Service> {
-        let ground = Ground::new();
+        let ground = MonotonicClock::new();
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let listen = file.listen;
         let edge = Edge::new(file, ground.now(), unix.as_secs_f64()).map_err(io::Error::other)?;
@@ -54,12 +54,12 @@
 
     /// The file was replaced. An owner that has ended takes nothing more.
     pub fn reload(&self, file: StartFile) {
-        let _ = self.mailbox.send_urgent(OwnerEvent::Reload(Box::new(file)));
+        let _ = self.mailbox.send_unbounded(OwnerEvent::Reload(Box::new(file)));
     }
 
     /// Asks for an orderly end.
     pub fn end(&self) {
-        let _ = self.mailbox.send_urgent(OwnerEvent::End);
+        let _ = self.mailbox.send_unbounded(OwnerEvent::End);
     }
 
     pub fn is_over(&self) -> bool {
--- a/crates/platform/src/callers.rs
+++ b/crates/platform/src/callers.rs
@@ -17,7 +17,7 @@
 impl Edge {
     pub(crate) fn client_bytes(&mut self, now: f64, arrived: f64, connection: ConnectionId, bytes: &[u8]) {
         let Some(client) = self.clients.all.get_mut(&connection) else { return };
-        let empty = Framer::with_longest_body(0);
+        let empty = Framer::with_max_body(0);
         let mut framer = std::mem::replace(&mut client.framer, empty);
         framer.push(bytes);
         loop {
@@ -27,10 +27,10 @@
                     Err(_) => return self.unreadable(now, connection, 400),
                 },
                 Ok(None) => break,
-                Err(shalespindle_signalling::FrameError::Length) => {
+                Err(shalespindle_signalling::FrameError::ContentLength) => {
                     return self.unreadable(now, connection, 413)
                 }
-                Err(shalespindle_signalling::FrameError::Head) => {
+                Err(shalespindle_signalling::FrameError::HeadTooLong) => {
                     return self.unreadable(now, connection, 400)
                 }
             }
@@ -39,7 +39,7 @@
             }
         }
         if let Some(client) = self.clients.all.get_mut(&connection) {
-            client.partial_since = (framer.held() > 0).then(|| client.partial_since.unwrap_or(now));
+            client.partial_since = (framer.buffered() > 0).then(|| client.partial_since.unwrap_or(now));
             client.framer = framer;
         }
     }
@@ -78,7 +78,7 @@
     }
 
     fn respond(&mut self, connection: ConnectionId, status: u16, message: &Message) {
-        let bytes = Writer::response(status, &ResponseHead::of(message, "")).finish();
+        let bytes = Writer::response(status, &ResponseHead::for_request(message, "")).finish();
         self.out.push_back(Output::Write { connection, bytes });
     }
 
@@ -131,7 +131,7 @@
             procedure: asked.procedure,
             number: asked.number.into(),
             description: asked.description.into(),
-            head: ResponseHead::of(message, ""),
+            head: ResponseHead::for_request(message, ""),
             gives_up_at,
             tries: 0,
             out: None,
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -47,7 +47,7 @@
 impl ClientConnection {
     fn new(now: f64) -> ClientConnection {
         ClientConnection {
-            framer: Framer::with_longest_body(LONGEST),
+            framer: Framer::with_max_body(LONGEST),
             opened_at: now,
             use_of: Use::None,
             last_at: now,
--- a/crates/platform/src/sip.rs
+++ b/crates/platform/src/sip.rs
@@ -1,7 +1,7 @@
 //! What callers say in SIP, read strictly, and what is written to them.
 
 use crate::lines::call_id;
-use shalespindle_signalling::message::Called;
+use shalespindle_signalling::message::CalledParty;
 use shalespindle_signalling::write::{ResponseHead, Writer};
 use shalespindle_signalling::{Message, Method};
 
@@ -77,7 +77,7 @@
     if !(ms > 0.0 && ms <= 1000.0 * procedures[procedure].1 + 1.0) {
         return Err(BadForm("X-Setup-Ms"));
     }
-    let Some(Called { number, .. }) = message.called() else { return Err(BadForm("Request-URI")) };
+    let Some(CalledParty { number, .. }) = message.called_party() else { return Err(BadForm("Request-URI")) };
     let description = std::str::from_utf8(message.body).map_err(|_| BadForm("description"))?;
     if description.is_empty() {
         return Err(BadForm("description"));
@@ -105,7 +105,7 @@
 
 /// For what cannot be read: an answer to nothing in particular.
 pub fn unreadable(status: u16) -> Vec<u8> {
-    Writer::response(status, &ResponseHead::none()).finish()
+    Writer::response(status, &ResponseHead::empty()).finish()
 }
 
 pub fn bye(id: u64, cause: u16) -> Vec<u8> {
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -182,7 +182,7 @@
             };
             out.push((what, message.call_id().unwrap_or("").to_string()));
         }
-        assert_eq!(framer.held(), 0);
+        assert_eq!(framer.buffered(), 0);
         out
     }
 
--- a/crates/rig/src/servers.rs
+++ b/crates/rig/src/servers.rs
@@ -1,6 +1,6 @@
 //! Stand-in servers behind relays, one for each front and server, so that any link can be cut by itself.
 
-use shalespindle_sockets::Ground;
+use shalespindle_sockets::MonotonicClock;
 use shalespindle_standin::loopback::{free_address, networks};
 use shalespindle_standin::net::HostedServer;
 use shalespindle_standin::processor::{Cold, Work};
@@ -68,7 +68,7 @@
             // An address of its own: what goes out from the usual one cannot take the port.
             let at = free_address(network, std::process::id() as usize % 250 * 250 + server)?;
             let core = Server::new(server, at.to_string(), spec(), names.clone(), server as u64);
-            hosted.push(HostedServer::start(core, at, Ground::new(), Trace::default())?);
+            hosted.push(HostedServer::start(core, at, MonotonicClock::new(), Trace::default())?);
             behind.push(at);
         }
         let (mut addresses, mut accepting) = (Vec::new(), Vec::new());
--- a/crates/signalling/benches/message.rs
+++ b/crates/signalling/benches/message.rs
@@ -30,11 +30,11 @@
     });
     time("read it with Via, CSeq, number and trunk group", || {
         if let Ok(message) = Message::parse(black_box(bytes)) {
-            black_box((message.via().is_ok(), message.cseq().is_ok(), message.called()));
+            black_box((message.via().is_ok(), message.cseq().is_ok(), message.called_party()));
         }
     });
     let Ok(message) = Message::parse(bytes) else { return };
-    let head = ResponseHead::of(&message, "own");
+    let head = ResponseHead::for_request(&message, "own");
     time("write its 200", || {
         black_box(Writer::response(200, &head).with("Contact", "<sip:front>").finish());
     });
--- a/crates/signalling/src/framer.rs
+++ b/crates/signalling/src/framer.rs
@@ -1,14 +1,14 @@
 //! Cuts a TCP stream into messages by Content-Length (RFC 3261 section 18.3, RFC 5626 keep-alives).
 
-use crate::message::{head_end, LONGEST_BODY, LONGEST_HEAD};
+use crate::message::{head_end, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
 /// Why a stream cannot be followed any more; its connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     #[error("a head without end")]
-    Head,
+    HeadTooLong,
     #[error("no Content-Length, or one that is no number or too large")]
-    Length,
+    ContentLength,
 }
 
 /// Bytes of one connection that are not yet a whole message. Holds at most one message and one read.
@@ -16,19 +16,19 @@
 pub struct Framer {
     bytes: Vec<u8>,
     from: usize,
-    longest_body: usize,
+    max_body: usize,
 }
 
 impl Default for Framer {
     fn default() -> Framer {
-        Framer::with_longest_body(LONGEST_BODY)
+        Framer::with_max_body(MAX_BODY_BYTES)
     }
 }
 
 impl Framer {
     /// For peers that agreed on less: a longer body is refused as soon as its length is read.
-    pub fn with_longest_body(longest_body: usize) -> Framer {
-        Framer { bytes: Vec::new(), from: 0, longest_body: longest_body.min(LONGEST_BODY) }
+    pub fn with_max_body(max_body: usize) -> Framer {
+        Framer { bytes: Vec::new(), from: 0, max_body: max_body.min(MAX_BODY_BYTES) }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -40,7 +40,7 @@
     }
 
     /// Bytes held.
-    pub fn held(&self) -> usize {
+    pub fn buffered(&self) -> usize {
         self.bytes.len() - self.from
     }
 
@@ -52,11 +52,11 @@
         let rest = &self.bytes[self.from..];
         let Some(end) = head_end(rest) else {
             // Guards against a peer that sends a head for ever.
-            return if rest.len() > LONGEST_HEAD { Err(FrameError::Head) } else { Ok(None) };
+            return if rest.len() > MAX_HEAD_BYTES { Err(FrameError::HeadTooLong) } else { Ok(None) };
         };
-        let length = content_length(&rest[..end]).ok_or(FrameError::Length)?;
-        if length > self.longest_body {
-            return Err(FrameError::Length);
+        let length = content_length(&rest[..end]).ok_or(FrameError::ContentLength)?;
+        if length > self.max_body {
+            return Err(FrameError::ContentLength);
         }
         if rest.len() < end + length {
             return Ok(None);
@@ -103,7 +103,7 @@
                     got += 1;
                 }
             }
-            assert_eq!((got, framer.held()), (2, 0), "reads of {step} bytes");
+            assert_eq!((got, framer.buffered()), (2, 0), "reads of {step} bytes");
         }
     }
 
@@ -114,12 +114,12 @@
             framer.push(bytes);
             framer.next_frame().map(|f| f.is_some())
         };
-        assert_eq!(fails(&[b'x'; LONGEST_HEAD + 1]), Err(FrameError::Head));
-        assert_eq!(fails(b"BYE sip:a SIP/2.0\r\nA: b\r\n\r\n"), Err(FrameError::Length));
-        assert_eq!(fails(b"BYE sip:a SIP/2.0\r\nl: 99999999\r\n\r\n"), Err(FrameError::Length));
-        assert_eq!(fails(b"BYE sip:a SIP/2.0\r\nl: -1\r\n\r\n"), Err(FrameError::Length));
-        let mut small = Framer::with_longest_body(2);
+        assert_eq!(fails(&[b'x'; MAX_HEAD_BYTES + 1]), Err(FrameError::HeadTooLong));
+        assert_eq!(fails(b"BYE sip:a SIP/2.0\r\nA: b\r\n\r\n"), Err(FrameError::ContentLength));
+        assert_eq!(fails(b"BYE sip:a SIP/2.0\r\nl: 99999999\r\n\r\n"), Err(FrameError::ContentLength));
+        assert_eq!(fails(b"BYE sip:a SIP/2.0\r\nl: -1\r\n\r\n"), Err(FrameError::ContentLength));
+        let mut small = Framer::with_max_body(2);
         small.push(b"BYE sip:a SIP/2.0\r\nl: 3\r\n\r\n");
-        assert_eq!(small.next_frame(), Err(FrameError::Length));
+        assert_eq!(small.next_frame(), Err(FrameError::ContentLength));
     }
 }
--- a/crates/signalling/src/grammar.rs
+++ b/crates/signalling/src/grammar.rs
@@ -2,7 +2,7 @@
 //! `rsip` 0.4 was weighed: it refuses a user part with parameters, which is where RFC 4904 puts the trunk
 //! group, and copies each header; see docs/design-notes/front.md.
 
-use crate::message::{Called, Header, Method, ParseError, Start, Via, MOST_HEADERS};
+use crate::message::{CalledParty, Header, Method, ParseError, Start, Via, MAX_HEADERS};
 use smallvec::SmallVec;
 use winnow::ascii::{digit1, line_ending, space0, space1};
 use winnow::combinator::{alt, opt, preceded, repeat, terminated};
@@ -31,7 +31,7 @@
 fn request_line<'a>(input: &mut &'a str) -> Out<Start<'a>> {
     let uri = take_till(1.., |c: char| c.is_whitespace() || c.is_control());
     (token, space1, uri, space1, "SIP/2.0")
-        .map(|(method, _, uri, _, _)| Start::Request { method: Method::named(method), uri })
+        .map(|(method, _, uri, _, _)| Start::Request { method: Method::from_name(method), uri })
         .parse_next(input)
 }
 
@@ -65,10 +65,10 @@
         .map_err(|_| ParseError::StartLine)?;
     let mut headers = SmallVec::new();
     while !matches!(*input, "\r\n" | "") {
-        if headers.len() == MOST_HEADERS {
-            return Err(ParseError::TooMany);
+        if headers.len() == MAX_HEADERS {
+            return Err(ParseError::TooManyHeaders);
         }
-        headers.push(header.parse_next(input).map_err(|_| ParseError::Header)?);
+        headers.push(header.parse_next(input).map_err(|_| ParseError::MalformedHeader)?);
     }
     Ok((start, headers))
 }
@@ -102,7 +102,7 @@
 pub(crate) fn cseq(mut text: &str) -> Option<(u32, Method)> {
     let number = digit1::<_, ErrMode<ContextError>>.verify_map(|d: &str| d.parse::<u32>().ok());
     let out = (number, space1, token).parse_next(&mut text).ok()?;
-    Some((out.0, Method::named(out.2)))
+    Some((out.0, Method::from_name(out.2)))
 }
 
 /// The value of a `;name=value` parameter.
@@ -139,13 +139,13 @@
     seconds.ok()?.parse::<u32>().ok().map(f64::from)
 }
 
-pub(crate) fn called(uri: &str) -> Option<Called<'_>> {
+pub(crate) fn called_party(uri: &str) -> Option<CalledParty<'_>> {
     let rest = uri.strip_prefix("sip:").or_else(|| uri.strip_prefix("tel:"))?;
     // RFC 4904: in a sip URI the telephone number's parameters stand in the user part.
     let user = rest.split_once('@').map_or(rest, |(user, _)| user);
     let number = user.split(';').next().filter(|n| !n.is_empty())?;
     let trunk_group = parameter(user.get(number.len()..)?, "tgrp").filter(|t| !t.is_empty());
-    Some(Called { number, trunk_group })
+    Some(CalledParty { number, trunk_group })
 }
 
 #[cfg(test)]
@@ -163,7 +163,10 @@
     #[test]
     fn a_message_is_read() {
         let m = Message::parse(INVITE.as_bytes()).unwrap();
-        assert_eq!(m.called(), Some(Called { number: "+919876543210", trunk_group: Some("idukki") }));
+        assert_eq!(
+            m.called_party(),
+            Some(CalledParty { number: "+919876543210", trunk_group: Some("idukki") })
+        );
         let via = Via { transport: "UDP", sent_by: "127.0.0.1:5070", branch: "z9hG4bKabc" };
         assert_eq!(m.via(), Ok(via));
         assert_eq!(m.cseq(), Ok((7, Method::Invite)));
@@ -177,14 +180,14 @@
     #[test]
     fn broken_messages_are_named() {
         let parse = |s: &str| Message::parse(s.as_bytes()).map(|_| ()).unwrap_err();
-        assert_eq!(parse("INVITE sip:a SIP/2.0\r\n"), ParseError::NoEnd);
+        assert_eq!(parse("INVITE sip:a SIP/2.0\r\n"), ParseError::UnterminatedHead);
         assert_eq!(parse("INVITE sip:a SIP/1.0\r\n\r\n"), ParseError::StartLine);
         assert_eq!(parse("SIP/2.0 99 x\r\n\r\n"), ParseError::StartLine);
-        assert_eq!(parse("BYE sip:a SIP/2.0\r\nno colon\r\n\r\n"), ParseError::Header);
-        assert_eq!(parse("BYE sip:a SIP/2.0\r\nl: 5\r\n\r\nabc"), ParseError::Body);
-        assert_eq!(parse("BYE sip:a SIP/2.0\r\nl: x\r\n\r\n"), ParseError::Needed("Content-Length"));
+        assert_eq!(parse("BYE sip:a SIP/2.0\r\nno colon\r\n\r\n"), ParseError::MalformedHeader);
+        assert_eq!(parse("BYE sip:a SIP/2.0\r\nl: 5\r\n\r\nabc"), ParseError::BodyLength);
+        assert_eq!(parse("BYE sip:a SIP/2.0\r\nl: x\r\n\r\n"), ParseError::RequiredHeader("Content-Length"));
         let many = format!("BYE sip:a SIP/2.0\r\n{}\r\n", "A: b\r\n".repeat(65));
-        assert_eq!(parse(&many), ParseError::TooMany);
-        assert_eq!(Message::parse(b"BYE sip:\xff SIP/2.0\r\n\r\n").unwrap_err(), ParseError::NotText);
+        assert_eq!(parse(&many), ParseError::TooManyHeaders);
+        assert_eq!(Message::parse(b"BYE sip:\xff SIP/2.0\r\n\r\n").unwrap_err(), ParseError::NotUtf8);
     }
 }
--- a/crates/signalling/src/message.rs
+++ b/crates/signalling/src/message.rs
@@ -7,31 +7,31 @@
 use std::sync::LazyLock;
 
 /// Most header lines that a message may have; one with more is refused before it costs memory.
-pub const MOST_HEADERS: usize = 64;
+pub const MAX_HEADERS: usize = 64;
 /// Longest message head, bytes.
-pub const LONGEST_HEAD: usize = 8 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Longest body, bytes.
-pub const LONGEST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Why bytes are no SIP message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
     #[error("the head is not UTF-8 text")]
-    NotText,
-    #[error("the head is longer than {LONGEST_HEAD} bytes")]
-    TooLong,
+    NotUtf8,
+    #[error("the head is longer than {MAX_HEAD_BYTES} bytes")]
+    HeadTooLong,
     #[error("no empty line ends the head")]
-    NoEnd,
+    UnterminatedHead,
     #[error("the first line is neither a request nor a status line")]
     StartLine,
     #[error("a header line is malformed")]
-    Header,
-    #[error("more than {MOST_HEADERS} header lines")]
-    TooMany,
+    MalformedHeader,
+    #[error("more than {MAX_HEADERS} header lines")]
+    TooManyHeaders,
     #[error("the header {0} is missing or malformed")]
-    Needed(&'static str),
+    RequiredHeader(&'static str),
     #[error("the body is shorter than Content-Length says, or longer than allowed")]
-    Body,
+    BodyLength,
 }
 
 /// The methods that the router acts on (RFC 3261 section 7.1); others are answered with 405.
@@ -46,7 +46,7 @@
 }
 
 impl Method {
-    pub fn named(text: &str) -> Method {
+    pub fn from_name(text: &str) -> Method {
         match text {
             "INVITE" => Method::Invite,
             "ACK" => Method::Ack,
@@ -106,7 +106,7 @@
 
 /// What the Request-URI of an INVITE says: number called, trunk group (RFC 4904).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Called<'a> {
+pub struct CalledParty<'a> {
     pub number: &'a str,
     pub trunk_group: Option<&'a str>,
 }
@@ -115,16 +115,16 @@
     /// Reads one whole message: a datagram, or a frame cut out by [`crate::Framer`]. Bytes past
     /// Content-Length are ignored as RFC 3261 section 18.3 says of datagrams.
     pub fn parse(bytes: &'a [u8]) -> Result<Message<'a>, ParseError> {
-        let end = head_end(bytes).ok_or(ParseError::NoEnd)?;
-        if end > LONGEST_HEAD {
-            return Err(ParseError::TooLong);
+        let end = head_end(bytes).ok_or(ParseError::UnterminatedHead)?;
+        if end > MAX_HEAD_BYTES {
+            return Err(ParseError::HeadTooLong);
         }
-        let head = std::str::from_utf8(&bytes[..end]).map_err(|_| ParseError::NotText)?;
+        let head = std::str::from_utf8(&bytes[..end]).map_err(|_| ParseError::NotUtf8)?;
         let (start, headers) = grammar::head(head)?;
         let mut message = Message { start, headers, body: &bytes[end..] };
         if let Some(length) = message.content_length()? {
-            if length > message.body.len() || length > LONGEST_BODY {
-                return Err(ParseError::Body);
+            if length > message.body.len() || length > MAX_BODY_BYTES {
+                return Err(ParseError::BodyLength);
             }
             message.body = &message.body[..length];
         }
@@ -148,28 +148,28 @@
     }
 
     pub fn via(&self) -> Result<Via<'a>, ParseError> {
-        self.header("Via").and_then(grammar::via).ok_or(ParseError::Needed("Via"))
+        self.header("Via").and_then(grammar::via).ok_or(ParseError::RequiredHeader("Via"))
     }
 
     pub fn cseq(&self) -> Result<(u32, Method), ParseError> {
-        self.header("CSeq").and_then(grammar::cseq).ok_or(ParseError::Needed("CSeq"))
+        self.header("CSeq").and_then(grammar::cseq).ok_or(ParseError::RequiredHeader("CSeq"))
     }
 
     pub fn call_id(&self) -> Result<&'a str, ParseError> {
-        self.header("Call-ID").filter(|v| !v.is_empty()).ok_or(ParseError::Needed("Call-ID"))
+        self.header("Call-ID").filter(|v| !v.is_empty()).ok_or(ParseError::RequiredHeader("Call-ID"))
     }
 
     pub fn from(&self) -> Result<&'a str, ParseError> {
-        self.header("From").filter(|v| !v.is_empty()).ok_or(ParseError::Needed("From"))
+        self.header("From").filter(|v| !v.is_empty()).ok_or(ParseError::RequiredHeader("From"))
     }
 
     pub fn to(&self) -> Result<&'a str, ParseError> {
-        self.header("To").filter(|v| !v.is_empty()).ok_or(ParseError::Needed("To"))
+        self.header("To").filter(|v| !v.is_empty()).ok_or(ParseError::RequiredHeader("To"))
     }
 
     fn content_length(&self) -> Result<Option<usize>, ParseError> {
         let Some(text) = self.header("Content-Length") else { return Ok(None) };
-        text.parse().map(Some).map_err(|_| ParseError::Needed("Content-Length"))
+        text.parse().map(Some).map_err(|_| ParseError::RequiredHeader("Content-Length"))
     }
 
     /// Whole seconds of `Expires` (RFC 3261 section 20.19).
@@ -201,16 +201,16 @@
     }
 
     /// The sender's half of Session-ID (RFC 7989 section 5): the name of an attach on every leg.
-    pub fn session(&self) -> Option<&'a str> {
+    pub fn session_id(&self) -> Option<&'a str> {
         let value = self.header("Session-ID")?;
         let uuid = value.split(';').next()?.trim();
         (uuid.len() == 32 && uuid.bytes().all(|b| b.is_ascii_hexdigit())).then_some(uuid)
     }
 
     /// The number called and the trunk group of a request's URI.
-    pub fn called(&self) -> Option<Called<'a>> {
+    pub fn called_party(&self) -> Option<CalledParty<'a>> {
         match self.start {
-            Start::Request { uri, .. } => grammar::called(uri),
+            Start::Request { uri, .. } => grammar::called_party(uri),
             Start::Response { .. } => None,
         }
     }
@@ -219,7 +219,7 @@
 /// Length of the head with its empty line.
 pub(crate) fn head_end(bytes: &[u8]) -> Option<usize> {
     // Looked for only as far as a head may reach: guards against long junk scanned anew each read.
-    let limit = bytes.len().min(LONGEST_HEAD + 4);
+    let limit = bytes.len().min(MAX_HEAD_BYTES + 4);
     static EMPTY_LINE: LazyLock<Finder> = LazyLock::new(|| Finder::new("\r\n\r\n"));
     EMPTY_LINE.find(&bytes[..limit]).map(|at| at + 4)
 }
--- a/crates/signalling/src/transaction.rs
+++ b/crates/signalling/src/transaction.rs
@@ -8,12 +8,12 @@
 /// Longest time that a message stays in the network, T4.
 pub const T4: f64 = 5.0;
 /// Timers B, F, H, J: 64 T1.
-pub const LONG: f64 = 64.0 * T1;
+pub const TRANSACTION_TIMEOUT: f64 = 64.0 * T1;
 
 /// How long ago a caller can have sent the first copy of an INVITE whose first copy to be seen here came
 /// `listened` seconds after this side began to listen, when it waits `patience` in all. Copies go out at
 /// doubling gaps (17.1.1.2), and an earlier one would have been seen unless it came before the listening.
-pub fn oldest_copy(listened: f64, patience: f64) -> f64 {
+pub fn max_first_copy_age(listened: f64, patience: f64) -> f64 {
     let (mut gap, mut sent, mut oldest) = (T1, T1, 0.0);
     while sent < patience {
         if gap >= listened {
@@ -27,14 +27,14 @@
 
 /// What the owner of a transaction is to do now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Todo {
-    Nothing,
+pub enum TransactionAction {
+    None,
     /// Send the last message again.
-    Again,
+    Retransmit,
     /// The peer never confirmed; the transaction is over.
-    GaveUp,
+    TimedOut,
     /// Over in the ordinary way.
-    Over,
+    Terminated,
 }
 
 /// The server side of an INVITE (17.2.1, with the Accepted state of RFC 6026). A final answer other than
@@ -66,41 +66,41 @@
     }
 
     /// The final answer was sent.
-    pub fn answered(&mut self, now: f64, success: bool) {
+    pub fn final_response_sent(&mut self, now: f64, success: bool) {
         let again = if self.reliable && !success { f64::INFINITY } else { now + T1 };
-        self.state = InviteState::Answered { gap: T1, again, until: now + LONG };
+        self.state = InviteState::Answered { gap: T1, again, until: now + TRANSACTION_TIMEOUT };
     }
 
     /// The same INVITE came again (17.2.1): the last answer is repeated, a provisional one too.
-    pub fn repeated(&self) -> Todo {
+    pub fn retransmission_received(&self) -> TransactionAction {
         match self.state {
-            InviteState::Confirmed { .. } => Todo::Nothing,
-            _ => Todo::Again,
+            InviteState::Confirmed { .. } => TransactionAction::None,
+            _ => TransactionAction::Retransmit,
         }
     }
 
-    pub fn acknowledged(&mut self, now: f64) {
+    pub fn ack_received(&mut self, now: f64) {
         if let InviteState::Answered { .. } = self.state {
             let linger = if self.reliable { 0.0 } else { T4 };
             self.state = InviteState::Confirmed { until: now + linger };
         }
     }
 
-    /// What is due now; ask again at [`InviteServer::due`].
-    pub fn tick(&mut self, now: f64) -> Todo {
+    /// What is due now; ask again at [`InviteServer::next_timeout`].
+    pub fn handle_timeout(&mut self, now: f64) -> TransactionAction {
         match &mut self.state {
-            InviteState::Answered { until, .. } if now >= *until => Todo::GaveUp,
+            InviteState::Answered { until, .. } if now >= *until => TransactionAction::TimedOut,
             InviteState::Answered { gap, again, .. } if now >= *again => {
                 *gap = (*gap * 2.0).min(T2);
                 *again = now + *gap;
-                Todo::Again
+                TransactionAction::Retransmit
             }
-            InviteState::Confirmed { until } if now >= *until => Todo::Over,
-            _ => Todo::Nothing,
+            InviteState::Confirmed { until } if now >= *until => TransactionAction::Terminated,
+            _ => TransactionAction::None,
         }
     }
 
-    pub fn due(&self) -> f64 {
+    pub fn next_timeout(&self) -> f64 {
         match self.state {
             InviteState::Proceeding => f64::INFINITY,
             InviteState::Answered { again, until, .. } => again.min(until),
@@ -111,30 +111,34 @@
 
 /// The client side of a request other than INVITE (17.1.2).
 #[derive(Clone, Debug)]
-pub struct Client {
+pub struct NonInviteClient {
     gap: f64,
     again: f64,
     until: f64,
 }
 
-impl Client {
-    pub fn new(now: f64, reliable: bool) -> Client {
-        Client { gap: T1, again: if reliable { f64::INFINITY } else { now + T1 }, until: now + LONG }
+impl NonInviteClient {
+    pub fn new(now: f64, reliable: bool) -> NonInviteClient {
+        NonInviteClient {
+            gap: T1,
+            again: if reliable { f64::INFINITY } else { now + T1 },
+            until: now + TRANSACTION_TIMEOUT,
+        }
     }
 
-    pub fn tick(&mut self, now: f64) -> Todo {
+    pub fn handle_timeout(&mut self, now: f64) -> TransactionAction {
         if now >= self.until {
-            return Todo::GaveUp;
+            return TransactionAction::TimedOut;
         }
         if now >= self.again {
             self.gap = (self.gap * 2.0).min(T2);
             self.again = now + self.gap;
-            return Todo::Again;
+            return TransactionAction::Retransmit;
         }
-        Todo::Nothing
+        TransactionAction::None
     }
 
-    pub fn due(&self) -> f64 {
+    pub fn next_timeout(&self) -> f64 {
         self.again.min(self.until)
     }
 }
@@ -146,15 +150,18 @@
     #[test]
     fn an_unconfirmed_answer_is_repeated_at_doubling_gaps_and_given_up() {
         let mut server = InviteServer::new(false);
-        assert_eq!((server.repeated(), server.due()), (Todo::Again, f64::INFINITY));
-        server.answered(0.0, false);
+        assert_eq!(
+            (server.retransmission_received(), server.next_timeout()),
+            (TransactionAction::Retransmit, f64::INFINITY)
+        );
+        server.final_response_sent(0.0, false);
         let mut sent = Vec::new();
         loop {
-            let now = server.due();
-            match server.tick(now) {
-                Todo::Again => sent.push(now),
+            let now = server.next_timeout();
+            match server.handle_timeout(now) {
+                TransactionAction::Retransmit => sent.push(now),
                 other => {
-                    assert_eq!((other, now), (Todo::GaveUp, LONG));
+                    assert_eq!((other, now), (TransactionAction::TimedOut, TRANSACTION_TIMEOUT));
                     break;
                 }
             }
@@ -164,13 +171,15 @@
 
     #[test]
     fn an_ack_ends_the_repeats() {
-        for (reliable, success, first) in [(false, false, T1), (true, true, T1), (true, false, LONG)] {
+        for (reliable, success, first) in
+            [(false, false, T1), (true, true, T1), (true, false, TRANSACTION_TIMEOUT)]
+        {
             let mut server = InviteServer::new(reliable);
-            server.answered(0.0, success);
-            assert_eq!(server.due(), first);
-            server.acknowledged(0.1);
-            assert_eq!(server.repeated(), Todo::Nothing);
-            assert_eq!(server.tick(server.due()), Todo::Over);
+            server.final_response_sent(0.0, success);
+            assert_eq!(server.next_timeout(), first);
+            server.ack_received(0.1);
+            assert_eq!(server.retransmission_received(), TransactionAction::None);
+            assert_eq!(server.handle_timeout(server.next_timeout()), TransactionAction::Terminated);
         }
     }
 
@@ -185,16 +194,19 @@
             (0.1, 0.4, 0.0),
             (9.0, 9.0, 0.0),
         ] {
-            assert_eq!(oldest_copy(listened, patience), oldest, "{listened} {patience}");
+            assert_eq!(max_first_copy_age(listened, patience), oldest, "{listened} {patience}");
         }
     }
 
     #[test]
     fn requests_are_repeated_over_datagrams_only() {
-        let mut stream = Client::new(0.0, true);
-        assert_eq!((stream.due(), stream.tick(1.0), stream.tick(LONG)), (LONG, Todo::Nothing, Todo::GaveUp));
-        let mut datagrams = Client::new(0.0, false);
-        assert_eq!(datagrams.tick(T1), Todo::Again);
-        assert_eq!(datagrams.due(), 1.5);
+        let mut stream = NonInviteClient::new(0.0, true);
+        assert_eq!(
+            (stream.next_timeout(), stream.handle_timeout(1.0), stream.handle_timeout(TRANSACTION_TIMEOUT)),
+            (TRANSACTION_TIMEOUT, TransactionAction::None, TransactionAction::TimedOut)
+        );
+        let mut datagrams = NonInviteClient::new(0.0, false);
+        assert_eq!(datagrams.handle_timeout(T1), TransactionAction::Retransmit);
+        assert_eq!(datagrams.next_timeout(), 1.5);
     }
 }
--- a/crates/signalling/src/write.rs
+++ b/crates/signalling/src/write.rs
@@ -11,12 +11,12 @@
 
 impl ResponseHead {
     /// For an answer to what could not be read.
-    pub fn none() -> ResponseHead {
+    pub fn empty() -> ResponseHead {
         ResponseHead(Box::default())
     }
 
     /// `own_tag` is added to a To that has none; empty: none is added.
-    pub fn of(request: &Message, own_tag: &str) -> ResponseHead {
+    pub fn for_request(request: &Message, own_tag: &str) -> ResponseHead {
         let mut out = Writer(String::with_capacity(384));
         for header in &request.headers {
             if header.name.eq_ignore_ascii_case("Via") || header.name.eq_ignore_ascii_case("v") {
@@ -50,7 +50,7 @@
 
     pub fn response(status: u16, head: &ResponseHead) -> Writer {
         let mut out = String::with_capacity(head.0.len() + 160);
-        let _ = write!(out, "SIP/2.0 {status} {}\r\n", reason(status));
+        let _ = write!(out, "SIP/2.0 {status} {}\r\n", reason_phrase(status));
         out.push_str(&head.0);
         Writer(out)
     }
@@ -108,7 +108,7 @@
 }
 
 /// The reason phrase of a status (RFC 3261 section 21).
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Trying",
         180 => "Ringing",
@@ -142,7 +142,8 @@
             "OPTIONS sip:a SIP/2.0\r\nVia: SIP/2.0/UDP h;branch=z9hG4bKb\r\nFrom: <sip:a>\r\n X-Evil: 1\r\n\
             To: <sip:b>\r\nCall-ID: c\r\nCSeq: 1 OPTIONS\r\n\r\n";
         let request = Message::parse(text.as_bytes()).unwrap();
-        let bytes = Writer::response(200, &ResponseHead::of(&request, "own")).retry_after(0.3).finish();
+        let bytes =
+            Writer::response(200, &ResponseHead::for_request(&request, "own")).retry_after(0.3).finish();
         let answer = Message::parse(&bytes).unwrap();
         assert_eq!(answer.header("X-Evil"), None);
         assert_eq!(answer.to(), Ok("<sip:b>;tag=own"));
--- a/crates/sockets/src/ground.rs
+++ b/crates/sockets/src/clock.rs
@@ -22,14 +22,14 @@
 }
 
 /// A monotonic clock in seconds with a watch over it. A process that was stopped for a while (by its
-/// machine, or on purpose) finds bytes in its sockets that came long ago; [`Ground::arrival`] says since
+/// machine, or on purpose) finds bytes in its sockets that came long ago; [`MonotonicClock::earliest_arrival`] says since
 /// when at the earliest, so that a caller's patience is never taken for longer than it is.
 #[derive(Clone)]
-pub struct Ground(Arc<Inner>);
+pub struct MonotonicClock(Arc<Inner>);
 
-impl Default for Ground {
-    fn default() -> Ground {
-        Ground::new()
+impl Default for MonotonicClock {
+    fn default() -> MonotonicClock {
+        MonotonicClock::new()
     }
 }
 
@@ -41,11 +41,11 @@
     cell.store(value.to_bits(), Ordering::Release);
 }
 
-impl Ground {
+impl MonotonicClock {
     /// Starts a clock and its watch, a thread that ends with the last handle.
-    pub fn new() -> Ground {
+    pub fn new() -> MonotonicClock {
         let cell = |v: f64| AtomicU64::new(v.to_bits());
-        let ground = Ground(Arc::new(Inner {
+        let ground = MonotonicClock(Arc::new(Inner {
             base: Instant::now(),
             tick: cell(BEGIN),
             from: cell(0.0),
@@ -55,7 +55,7 @@
         std::thread::spawn(move || loop {
             std::thread::sleep(TICK);
             let Some(inner) = watched.upgrade() else { return };
-            Ground(inner).ticked();
+            MonotonicClock(inner).ticked();
         });
         ground
     }
@@ -75,7 +75,7 @@
     }
 
     /// The earliest time at which what is read now can have come.
-    pub fn arrival(&self) -> f64 {
+    pub fn earliest_arrival(&self) -> f64 {
         let (now, tick) = (self.now(), load(&self.0.tick));
         if now - tick > STILL {
             return tick;
@@ -87,12 +87,12 @@
     }
 
     /// It went on only just now: readers have not yet read all that came meanwhile.
-    pub fn just_went_on(&self) -> bool {
-        self.arrival() < self.now() - STILL
+    pub fn just_resumed(&self) -> bool {
+        self.earliest_arrival() < self.now() - STILL
     }
 
     /// How long to wait for a due time; nothing when it is past, at most a second.
-    pub fn until(&self, due: f64) -> Duration {
+    pub fn duration_until(&self, due: f64) -> Duration {
         Duration::from_secs_f64((due - self.now()).clamp(0.0, 1.0))
     }
 }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,24 +1,24 @@
 //! What coroutines share on sockets: a bounded mailbox, streams that never block their writer, and a clock
 //! that knows when its process stood still. Nothing here knows SIP or decides anything.
 
-pub mod ground;
+pub mod clock;
 pub mod mailbox;
-pub mod questions;
-pub mod shared;
+pub mod queries;
+pub mod split;
 pub mod stream;
 
-pub use ground::Ground;
-pub use mailbox::{mailbox, Gone, Mail, Mailbox};
-pub use questions::{Questions, Report};
-pub use shared::{share, Reading, Writing};
-pub use stream::{Outgoing, Sent};
+pub use clock::MonotonicClock;
+pub use mailbox::{mailbox, Mailbox, MailboxClosed, MailboxReceiver};
+pub use queries::{QueryEvent, QuerySockets};
+pub use split::{split, ReadHalf, WriteHalf};
+pub use stream::{StreamWriter, WriteStatus};
 
 /// Stack of a coroutine that only carries bytes, in machine words.
 pub const SMALL_STACK: usize = 8 * 1024;
 /// Stack of a coroutine that owns a core, in machine words.
 pub const LARGE_STACK: usize = 64 * 1024;
 /// Bytes read at once; on the heap.
-pub const READ: usize = 16 * 1024;
+pub const READ_SIZE: usize = 16 * 1024;
 
 /// A handle on a coroutine.
 pub type Handle = may::coroutine::JoinHandle<()>;
--- a/crates/sockets/src/mailbox.rs
+++ b/crates/sockets/src/mailbox.rs
@@ -8,7 +8,7 @@
 
 /// The receiving side has gone.
 #[derive(Debug)]
-pub struct Gone;
+pub struct MailboxClosed;
 
 struct Room {
     free: Semphore,
@@ -28,48 +28,48 @@
 }
 
 /// The receiving side; dropping it lets every waiting sender go.
-pub struct Mail<T> {
+pub struct MailboxReceiver<T> {
     rx: mpsc::Receiver<T>,
     room: Arc<Room>,
 }
 
 /// A mailbox for at most `room` letters.
-pub fn mailbox<T>(room: usize) -> (Mailbox<T>, Mail<T>) {
+pub fn mailbox<T>(room: usize) -> (Mailbox<T>, MailboxReceiver<T>) {
     let (tx, rx) = mpsc::channel();
     let room = Arc::new(Room { free: Semphore::new(room), closed: AtomicBool::new(false) });
-    (Mailbox { tx, room: room.clone() }, Mail { rx, room })
+    (Mailbox { tx, room: room.clone() }, MailboxReceiver { rx, room })
 }
 
 impl<T> Mailbox<T> {
     /// Waits for room, then sends.
-    pub fn send(&self, letter: T) -> Result<(), Gone> {
+    pub fn send(&self, letter: T) -> Result<(), MailboxClosed> {
         self.room.free.wait();
         if self.room.closed.load(Ordering::Acquire) {
             // Passes the place on to the next sender that waits.
             self.room.free.post();
-            return Err(Gone);
+            return Err(MailboxClosed);
         }
-        self.tx.send(letter).map_err(|_| Gone)
+        self.tx.send(letter).map_err(|_| MailboxClosed)
     }
 
     /// Sends past the bound: for the few letters of the owner's own making, never for what peers send.
-    pub fn send_urgent(&self, letter: T) -> Result<(), Gone> {
+    pub fn send_unbounded(&self, letter: T) -> Result<(), MailboxClosed> {
         self.room.free.post();
         self.send(letter)
     }
 }
 
-impl<T> Mail<T> {
-    pub fn try_next(&self) -> Option<T> {
+impl<T> MailboxReceiver<T> {
+    pub fn try_recv(&self) -> Option<T> {
         let letter = self.rx.try_recv().ok()?;
         self.room.free.post();
         Some(letter)
     }
 
     /// The next letter, if one comes in that time.
-    pub fn next_within(&self, time: Duration) -> Option<T> {
+    pub fn recv_timeout(&self, time: Duration) -> Option<T> {
         if time.is_zero() {
-            return self.try_next();
+            return self.try_recv();
         }
         // Guards against waits without end: `may` keeps time-outs in whole milliseconds, cuts the rest off,
         // takes 0 for 'for ever', and begins the whole wait anew when it wakes short of the deadline.
@@ -80,7 +80,7 @@
     }
 }
 
-impl<T> Drop for Mail<T> {
+impl<T> Drop for MailboxReceiver<T> {
     fn drop(&mut self) {
         self.room.closed.store(true, Ordering::Release);
         self.room.free.post();
--- a/crates/sockets/src/mailbox_tests.rs
+++ b/crates/sockets/src/mailbox_tests.rs
@@ -10,7 +10,7 @@
     let waiter = crate::start(crate::SMALL_STACK, move || {
         for nanos in [1, 900, 10_000, 999_999, 1_000_001, 2_500_000] {
             let begin = Instant::now();
-            assert!(mail.next_within(Duration::from_nanos(nanos)).is_none());
+            assert!(mail.recv_timeout(Duration::from_nanos(nanos)).is_none());
             assert!(begin.elapsed() >= Duration::from_nanos(nanos));
         }
     });
--- a/crates/sockets/src/questions.rs
+++ b/crates/sockets/src/queries.rs
@@ -1,22 +1,22 @@
 //! Sockets of single questions, over UDP or TCP: one for each, so that each has a port of its own.
 
-use crate::{end, start, Handle, READ, SMALL_STACK};
+use crate::{end, start, Handle, READ_SIZE, SMALL_STACK};
 use may::net::{TcpStream, UdpSocket};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Questions out at once.
+/// QuerySockets out at once.
 const MOST: usize = 1024;
 
 /// The questions that are out.
 #[derive(Default)]
-pub struct Questions(HashMap<u64, Handle>);
+pub struct QuerySockets(HashMap<u64, Handle>);
 
 /// What became of a question.
 #[derive(Debug)]
-pub enum Report {
+pub enum QueryEvent {
     Datagram {
         ticket: u64,
         from: SocketAddr,
@@ -28,22 +28,22 @@
         bytes: Vec<u8>,
     },
     /// Its socket could not be opened or has ended.
-    Lost {
+    Failed {
         ticket: u64,
     },
 }
 
-impl Questions {
+impl QuerySockets {
     /// Sends a question and reports what comes until it is closed; `report` is called from a coroutine, or
     /// at once, and says whether it wants more.
-    pub fn ask(
+    pub fn send(
         &mut self,
         ticket: u64,
         to: SocketAddr,
         tcp: bool,
         bytes: Vec<u8>,
         within: Duration,
-        report: impl Fn(Report) -> bool + Clone + Send + 'static,
+        report: impl Fn(QueryEvent) -> bool + Clone + Send + 'static,
     ) {
         let own = report.clone();
         let started = if self.0.len() >= MOST {
@@ -57,7 +57,7 @@
                 };
                 // Whatever the error, the resolver asks again or elsewhere.
                 if asked.is_err() {
-                    own(Report::Lost { ticket });
+                    own(QueryEvent::Failed { ticket });
                 }
             })
         };
@@ -66,7 +66,7 @@
                 self.0.insert(ticket, handle);
             }
             Err(_) => {
-                report(Report::Lost { ticket });
+                report(QueryEvent::Failed { ticket });
             }
         }
     }
@@ -78,7 +78,7 @@
     }
 }
 
-impl Drop for Questions {
+impl Drop for QuerySockets {
     fn drop(&mut self) {
         for (_, handle) in self.0.drain() {
             end(handle);
@@ -86,17 +86,22 @@
     }
 }
 
-fn datagram(ticket: u64, to: SocketAddr, bytes: &[u8], report: &impl Fn(Report) -> bool) -> io::Result<()> {
+fn datagram(
+    ticket: u64,
+    to: SocketAddr,
+    bytes: &[u8],
+    report: &impl Fn(QueryEvent) -> bool,
+) -> io::Result<()> {
     let any: SocketAddr = match to {
         SocketAddr::V4(_) => ([0, 0, 0, 0], 0).into(),
         SocketAddr::V6(_) => ([0u16; 8], 0).into(),
     };
     let udp = UdpSocket::bind(any)?;
     udp.send_to(bytes, to)?;
-    let mut buffer = vec![0; READ];
+    let mut buffer = vec![0; READ_SIZE];
     loop {
         let (size, from) = udp.recv_from(&mut buffer)?;
-        if !report(Report::Datagram { ticket, from, bytes: buffer[..size].to_vec() }) {
+        if !report(QueryEvent::Datagram { ticket, from, bytes: buffer[..size].to_vec() }) {
             return Ok(());
         }
     }
@@ -107,17 +112,17 @@
     to: SocketAddr,
     bytes: &[u8],
     within: Duration,
-    report: &impl Fn(Report) -> bool,
+    report: &impl Fn(QueryEvent) -> bool,
 ) -> io::Result<()> {
     let mut tcp = TcpStream::connect_timeout(&to, within)?;
     tcp.write_all(bytes)?;
-    let mut buffer = vec![0; READ];
+    let mut buffer = vec![0; READ_SIZE];
     loop {
         let size = tcp.read(&mut buffer)?;
         if size == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        if !report(Report::Bytes { ticket, bytes: buffer[..size].to_vec() }) {
+        if !report(QueryEvent::Bytes { ticket, bytes: buffer[..size].to_vec() }) {
             return Ok(());
         }
     }
--- a/crates/sockets/src/shared.rs
+++ b/crates/sockets/src/split.rs
@@ -30,34 +30,34 @@
 }
 
 /// The side that reads and owns the descriptor; it belongs to a coroutine.
-pub struct Reading {
+pub struct ReadHalf {
     stream: TcpStream,
     gate: Arc<Gate>,
 }
 
 /// The side that writes without blocking; dropping it ends the connection.
-pub struct Writing(Arc<Gate>);
+pub struct WriteHalf(Arc<Gate>);
 
 /// Splits a stream into its two sides.
-pub fn share(stream: TcpStream) -> (Reading, Writing) {
+pub fn split(stream: TcpStream) -> (ReadHalf, WriteHalf) {
     let gate = Arc::new(Gate(Mutex::new(Some(stream.as_raw_fd()))));
-    (Reading { stream, gate: gate.clone() }, Writing(gate))
+    (ReadHalf { stream, gate: gate.clone() }, WriteHalf(gate))
 }
 
-impl Read for Reading {
+impl Read for ReadHalf {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         self.stream.read(buffer)
     }
 }
 
-impl Drop for Reading {
+impl Drop for ReadHalf {
     fn drop(&mut self) {
         // Before the stream itself is dropped: the writer must not meet another one under the same number.
         *self.gate.lock() = None;
     }
 }
 
-impl Writing {
+impl WriteHalf {
     /// Writes what fits now; an error where the connection is lost.
     pub fn write_some(&self, bytes: &[u8]) -> io::Result<usize> {
         let written = self.0.with(|mut stream| {
@@ -95,7 +95,7 @@
     }
 }
 
-impl Drop for Writing {
+impl Drop for WriteHalf {
     fn drop(&mut self) {
         // Closed already: so much the better.
         let _ = self.0.with(|stream| stream.shutdown(Shutdown::Both));
@@ -103,5 +103,5 @@
 }
 
 #[cfg(test)]
-#[path = "shared_tests.rs"]
+#[path = "split_tests.rs"]
 mod tests;
--- a/crates/sockets/src/shared_tests.rs
+++ b/crates/sockets/src/split_tests.rs
@@ -11,7 +11,7 @@
 #[test]
 fn both_sides_work_over_one_descriptor_and_a_close_ends_the_reader() {
     let (own, mut peer) = pair();
-    let (mut reading, writing) = share(own);
+    let (mut reading, writing) = split(own);
     assert_eq!(writing.write_some(b"over").unwrap(), 4);
     let mut got = [0; 4];
     peer.read_exact(&mut got).unwrap();
@@ -28,7 +28,7 @@
 #[test]
 fn a_writer_whose_reader_is_gone_writes_nowhere() {
     let (own, _peer) = pair();
-    let (reading, writing) = share(own);
+    let (reading, writing) = split(own);
     drop(reading);
     // Likely to get the same number; it must not be written to.
     let (other, mut peer) = pair();
--- a/crates/sockets/src/stream.rs
+++ b/crates/sockets/src/stream.rs
@@ -10,44 +10,44 @@
 
 /// What became of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
-    Whole,
+pub enum WriteStatus {
+    Complete,
     /// The rest is written in the background; the callback tells when.
-    Partly,
+    Pending,
     /// The connection is lost.
     Lost,
 }
 
 /// The writing side of a connection.
-pub struct Outgoing {
+pub struct StreamWriter {
     stream: std::net::TcpStream,
 }
 
-impl Outgoing {
+impl StreamWriter {
     /// A writing side beside the coroutine that reads `stream`.
-    pub fn beside(stream: &TcpStream) -> io::Result<Outgoing> {
-        Ok(Outgoing { stream: stream.inner().try_clone()? })
+    pub fn new(stream: &TcpStream) -> io::Result<StreamWriter> {
+        Ok(StreamWriter { stream: stream.inner().try_clone()? })
     }
 
     /// Writes what fits now. When not all does, `through` is called once the rest is written.
-    pub fn write(&mut self, bytes: &[u8], through: impl FnOnce() + Send + 'static) -> Sent {
+    pub fn write(&mut self, bytes: &[u8], through: impl FnOnce() + Send + 'static) -> WriteStatus {
         let mut from = 0;
         while from < bytes.len() {
             match self.stream.write(&bytes[from..]) {
-                Ok(0) => return Sent::Lost,
+                Ok(0) => return WriteStatus::Lost,
                 Ok(n) => from += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     return self.rest(bytes[from..].to_vec(), through);
                 }
-                Err(_) => return Sent::Lost,
+                Err(_) => return WriteStatus::Lost,
             }
         }
-        Sent::Whole
+        WriteStatus::Complete
     }
 
-    fn rest(&self, rest: Vec<u8>, through: impl FnOnce() + Send + 'static) -> Sent {
-        let Ok(stream) = self.stream.try_clone() else { return Sent::Lost };
+    fn rest(&self, rest: Vec<u8>, through: impl FnOnce() + Send + 'static) -> WriteStatus {
+        let Ok(stream) = self.stream.try_clone() else { return WriteStatus::Lost };
         let started = crate::start(SMALL_STACK, move || {
             // A std stream again, since only its own coroutine may register it.
             let Ok(mut stream) = adopt(stream) else { return };
@@ -56,8 +56,8 @@
             }
         });
         match started {
-            Ok(_) => Sent::Partly,
-            Err(_) => Sent::Lost,
+            Ok(_) => WriteStatus::Pending,
+            Err(_) => WriteStatus::Lost,
         }
     }
 
--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use shalespindle_signalling::message::{address, Message, Method};
 use shalespindle_signalling::timers::Timers;
-use shalespindle_signalling::transaction::{LONG, T1, T2};
+use shalespindle_signalling::transaction::{T1, T2, TRANSACTION_TIMEOUT};
 use shalespindle_signalling::write::{ResponseHead, Writer};
 use shalespindle_signalling::Start;
 use std::collections::{HashMap, VecDeque};
@@ -365,7 +365,7 @@
             self.out.push_back(cancel);
             self.seen.push((now, Seen::Withdrawn { session }));
         }
-        self.timers.set(now + LONG, Due::Forget(key));
+        self.timers.set(now + TRANSACTION_TIMEOUT, Due::Forget(key));
         self.redial(now, key, None);
     }
 
@@ -403,7 +403,7 @@
             dial.resend_at = now + T1;
         }
         self.timers.set(now + T1, Due::Again(key));
-        self.timers.set(now + LONG, Due::Forget(key));
+        self.timers.set(now + TRANSACTION_TIMEOUT, Due::Forget(key));
     }
 
     /// CANCEL, or ACK to a refusal: the INVITE's own branch and CSeq number.
@@ -452,7 +452,9 @@
             Start::Request { method, .. } => {
                 let status = if key.is_some() { 200 } else { 481 };
                 if method != Method::Ack {
-                    self.out.push_back(Writer::response(status, &ResponseHead::of(&message, "c")).finish());
+                    self.out.push_back(
+                        Writer::response(status, &ResponseHead::for_request(&message, "c")).finish(),
+                    );
                 }
                 let dial = key.and_then(|k| self.dials.get_mut(&k));
                 if let (Method::Bye, Some(dial)) = (method, dial) {
@@ -460,7 +462,7 @@
                         dial.state = State::Over;
                         self.wishes[dial.wish].cut = true;
                         let key = key.unwrap_or_default();
-                        self.timers.set(now + LONG, Due::Forget(key));
+                        self.timers.set(now + TRANSACTION_TIMEOUT, Due::Forget(key));
                     }
                 }
             }
@@ -508,7 +510,7 @@
                 503 => self.counts.refused += 1,
                 _ => self.counts.failed += 1,
             }
-            self.timers.set(now + LONG, Due::Forget(key));
+            self.timers.set(now + TRANSACTION_TIMEOUT, Due::Forget(key));
             self.redial(now, key, pause);
         }
     }
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -6,8 +6,10 @@
 use crate::server::{Server, ServerOut};
 use crate::trace::{FrontId, Trace};
 use may::net::{TcpListener, UdpSocket};
-use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mail, Mailbox, Outgoing};
-use shalespindle_sockets::{LARGE_STACK, READ, SMALL_STACK};
+use shalespindle_sockets::{
+    end, mailbox, start, Handle, Mailbox, MailboxReceiver, MonotonicClock, StreamWriter,
+};
+use shalespindle_sockets::{LARGE_STACK, READ_SIZE, SMALL_STACK};
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 use std::net::SocketAddr;
@@ -24,7 +26,7 @@
 
 /// What reaches a core's owner.
 enum Letter<C> {
-    Opened { connection: u64, tag: usize, outgoing: Outgoing },
+    Opened { connection: u64, tag: usize, outgoing: StreamWriter },
     Bytes { connection: u64, bytes: Vec<u8> },
     Closed { connection: u64 },
     Datagram(Vec<u8>),
@@ -66,7 +68,7 @@
     /// Does something with the core, in its own coroutine.
     pub fn act(&self, what: impl FnOnce(&mut C, f64) + Send + 'static) {
         // A core that has ended is acted on no more.
-        let _ = self.mailbox.send_urgent(Letter::Do(Box::new(what)));
+        let _ = self.mailbox.send_unbounded(Letter::Do(Box::new(what)));
     }
 
     /// Asks the core something and waits for the answer.
@@ -81,7 +83,7 @@
     /// Ends its sockets and gives the core back.
     pub fn finish(mut self) -> Option<C> {
         let (to, from) = mpsc::channel();
-        let _ = self.mailbox.send_urgent(Letter::Stop(to));
+        let _ = self.mailbox.send_unbounded(Letter::Stop(to));
         let core = from.recv_timeout(Duration::from_secs(10)).ok();
         self.close();
         core
@@ -103,14 +105,14 @@
 /// Owns a core until it is stopped.
 fn own<C: Core>(
     mut core: C,
-    mail: Mail<Letter<C>>,
-    ground: Ground,
+    mail: MailboxReceiver<Letter<C>>,
+    ground: MonotonicClock,
     trace: Trace,
     udp: Option<(UdpSocket, SocketAddr)>,
 ) {
-    let mut connections: BTreeMap<u64, (usize, Outgoing)> = BTreeMap::new();
+    let mut connections: BTreeMap<u64, (usize, StreamWriter)> = BTreeMap::new();
     loop {
-        let mut next = mail.next_within(ground.until(core.due()));
+        let mut next = mail.recv_timeout(ground.duration_until(core.due()));
         let mut taken = 0;
         while let Some(letter) = next {
             let now = ground.now();
@@ -137,7 +139,7 @@
                 }
             }
             taken += 1;
-            next = if taken < BATCH { mail.try_next() } else { None };
+            next = if taken < BATCH { mail.try_recv() } else { None };
         }
         core.tick(ground.now());
         let mut gone = Vec::new();
@@ -259,7 +261,7 @@
 ) -> io::Result<Handle> {
     start(LARGE_STACK, move || loop {
         let Ok((mut stream, _)) = listener.accept() else { continue };
-        let made = stream.set_nodelay(true).and_then(|()| Outgoing::beside(&stream));
+        let made = stream.set_nodelay(true).and_then(|()| StreamWriter::new(&stream));
         let Ok(outgoing) = made else { continue };
         let connection = {
             let mut next = next.lock().unwrap_or_else(|e| e.into_inner());
@@ -272,7 +274,7 @@
         let mailbox = mailbox.clone();
         let lost = mailbox.clone();
         let reader = start(SMALL_STACK, move || {
-            let mut buffer = vec![0; READ];
+            let mut buffer = vec![0; READ_SIZE];
             loop {
                 match stream.read(&mut buffer) {
                     Ok(n) if n > 0 => {
@@ -306,7 +308,7 @@
     pub fn start(
         core: Server,
         address: SocketAddr,
-        ground: Ground,
+        ground: MonotonicClock,
         trace: Trace,
     ) -> io::Result<HostedServer> {
         let (outgoing, mail) = mailbox(ROOM);
@@ -358,7 +360,7 @@
 pub fn feed(
     core: Feed,
     listeners: Vec<TcpListener>,
-    ground: Ground,
+    ground: MonotonicClock,
     trace: Trace,
 ) -> io::Result<Hosted<Feed>> {
     let (outgoing, mail) = mailbox(ROOM);
@@ -376,7 +378,7 @@
     core: Callers,
     udp: UdpSocket,
     to: SocketAddr,
-    ground: Ground,
+    ground: MonotonicClock,
     trace: Trace,
 ) -> io::Result<Hosted<Callers>> {
     let (outgoing, mail) = mailbox(ROOM);
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -252,7 +252,7 @@
                     return;
                 }
                 let Some(key) = self.by_leg.remove(&leg) else {
-                    let head = ResponseHead::of(message, "");
+                    let head = ResponseHead::for_request(message, "");
                     return self.send(connection, Writer::response(481, &head).finish());
                 };
                 if self.calls.remove(&key).is_some_and(|c| c.stands) {
@@ -272,7 +272,7 @@
 
     fn reply_after(&mut self, now: f64, kind: Kind, connection: u64, message: &Message) {
         let key = self.key();
-        self.replies.insert(key, (connection, ResponseHead::of(message, "s")));
+        self.replies.insert(key, (connection, ResponseHead::for_request(message, "s")));
         self.processor.add(now, Job { kind, token: key });
     }
 
@@ -282,7 +282,7 @@
     }
 
     fn invite(&mut self, now: f64, connection: u64, front: FrontId, leg: Arc<str>, message: &Message) {
-        let session: Arc<str> = message.session().unwrap_or_default().into();
+        let session: Arc<str> = message.session_id().unwrap_or_default().into();
         self.saw(now, Seen::SetUp { server: self.id, front, session, leg: leg.clone() });
         if self.processor.pushed_over(now) {
             self.fallen = true;
@@ -290,7 +290,7 @@
             return self.stop(now);
         }
         let key = self.key();
-        let head = ResponseHead::of(message, &format!("s{}", key.0));
+        let head = ResponseHead::for_request(message, &format!("s{}", key.0));
         let call = Call { leg: leg.clone(), connection, head, answered: false, stands: false, lost: false };
         self.calls.insert(key, call);
         self.by_leg.insert(leg, key);
@@ -332,7 +332,7 @@
             return;
         }
         let known = self.by_leg.get(&leg).copied();
-        let head = ResponseHead::of(message, "s");
+        let head = ResponseHead::for_request(message, "s");
         self.send(connection, Writer::response(if known.is_some() { 200 } else { 481 }, &head).finish());
         let Some(key) = known else { return };
         if self.calls.get(&key).is_some_and(|c| c.answered && !c.lost) {
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -6,7 +6,7 @@
 use shalespindle_replica::ServerRecord;
 use shalespindle_settings::{read_key, FleetSettings};
 use shalespindle_sites::{SiteTable, SitesParams};
-use shalespindle_sockets::{Ground, Mailbox};
+use shalespindle_sockets::{Mailbox, MonotonicClock};
 use std::io;
 
 /// Opens the socket between fronts; what others make known goes to the front's owner.
@@ -14,7 +14,7 @@
     settings: &FleetSettings,
     sites: Option<(SitesParams, SiteTable)>,
     seed: u64,
-    ground: Ground,
+    ground: MonotonicClock,
     to: Mailbox<Letter>,
 ) -> io::Result<Fronts> {
     let keep = |file: &std::path::PathBuf| Keep { file: file.clone(), every: settings.keep_every.seconds() };
@@ -29,7 +29,7 @@
         sites,
     };
     // An owner that has ended has no use for news.
-    Fronts::start(start, ground, move |heard| drop(to.send_urgent(Letter::Fleet(heard))))
+    Fronts::start(start, ground, move |heard| drop(to.send_unbounded(Letter::Fleet(heard))))
 }
 
 /// What this front's list told, for others.
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -11,6 +11,6 @@
 mod service;
 
 pub use log::log_event;
-pub use names::as_in;
+pub use names::resolver_input;
 pub use service::Service;
 pub use shalespindle_console::Snapshot;
--- a/crates/transport/src/owner.rs
+++ b/crates/transport/src/owner.rs
@@ -3,7 +3,7 @@
 use crate::answers::{answer, Host};
 use crate::fleet::saying;
 use crate::memory::Memory;
-use crate::names::as_in;
+use crate::names::resolver_input;
 use crate::readers;
 use hdrhistogram::Histogram;
 use may::net::UdpSocket;
@@ -11,7 +11,9 @@
 use shalespindle_front::{Event, Front, Input, LinkId, Output};
 use shalespindle_peer_service::{Heard, Saying, Teller};
 use shalespindle_replica::FleetEvent;
-use shalespindle_sockets::{Ground, Mail, Mailbox, Outgoing, Questions, Report, Sent};
+use shalespindle_sockets::{
+    Mailbox, MailboxReceiver, MonotonicClock, QueryEvent, QuerySockets, StreamWriter, WriteStatus,
+};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -35,7 +37,7 @@
     },
     Caller {
         stream: u64,
-        outgoing: Outgoing,
+        outgoing: StreamWriter,
     },
     CallerBytes {
         arrived: f64,
@@ -50,7 +52,7 @@
     },
     Connected {
         id: LinkId,
-        outgoing: Outgoing,
+        outgoing: StreamWriter,
     },
     LinkLost {
         id: LinkId,
@@ -69,7 +71,7 @@
     },
     FeedLost,
     /// What became of a question to a name server.
-    Name(Report),
+    Name(QueryEvent),
     /// What other fronts made known.
     Fleet(Heard),
     /// An operator's question.
@@ -79,7 +81,7 @@
 }
 
 struct Caller {
-    outgoing: Outgoing,
+    outgoing: StreamWriter,
     /// Bytes that wait while the rest of an earlier write is under way.
     waiting: Vec<u8>,
     busy: bool,
@@ -90,10 +92,10 @@
 
 pub(crate) struct Owner {
     pub front: Front,
-    pub ground: Ground,
+    pub ground: MonotonicClock,
     pub udp: UdpSocket,
     pub mailbox: Mailbox<Letter>,
-    pub mail: Mail<Letter>,
+    pub mail: MailboxReceiver<Letter>,
     pub hook: Hook,
     pub connect_within: Duration,
     pub connections: Arc<AtomicUsize>,
@@ -104,9 +106,9 @@
     sayings: Vec<Saying>,
     /// The members changed since they were last offered.
     unkept: bool,
-    questions: Questions,
+    questions: QuerySockets,
     callers: HashMap<u64, Caller>,
-    links: HashMap<LinkId, Outgoing>,
+    links: HashMap<LinkId, StreamWriter>,
     /// Asked for and not yet there.
     connecting: HashMap<LinkId, ()>,
     /// How late the owner was, microseconds.
@@ -118,10 +120,10 @@
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         front: Front,
-        ground: Ground,
+        ground: MonotonicClock,
         udp: UdpSocket,
         mailbox: Mailbox<Letter>,
-        mail: Mail<Letter>,
+        mail: MailboxReceiver<Letter>,
         hook: Hook,
         connect_within: Duration,
         connections: Arc<AtomicUsize>,
@@ -143,7 +145,7 @@
             teller,
             sayings: Vec::new(),
             unkept: false,
-            questions: Questions::default(),
+            questions: QuerySockets::default(),
             callers: HashMap::new(),
             links: HashMap::new(),
             connecting: HashMap::new(),
@@ -156,8 +158,8 @@
     pub fn run(mut self) {
         loop {
             let due = self.front.wake_at();
-            let first = self.mail.next_within(self.ground.until(due));
-            if self.ground.just_went_on() {
+            let first = self.mail.recv_timeout(self.ground.duration_until(due));
+            if self.ground.just_resumed() {
                 // Guards rule 3 and callers' patience: all that came meanwhile is known before it decides.
                 may::coroutine::sleep(SETTLE);
             }
@@ -172,7 +174,7 @@
                     return;
                 }
                 taken += 1;
-                next = if taken < BATCH { self.mail.try_next() } else { None };
+                next = if taken < BATCH { self.mail.try_recv() } else { None };
             }
             let now = self.ground.now();
             self.front.turn(now);
@@ -245,7 +247,7 @@
             Letter::FeedConnected => front.take(now, now, Input::FeedConnected),
             Letter::FeedBytes { bytes } => front.take(now, now, Input::FeedBytes { bytes: &bytes }),
             Letter::FeedLost => front.take(now, now, Input::FeedLost),
-            Letter::Name(report) => front.take(now, now, Input::Dns(as_in(&report))),
+            Letter::Name(report) => front.take(now, now, Input::Dns(resolver_input(&report))),
             Letter::Fleet(Heard::Found { ticket, known, word }) => {
                 front.take(now, now, Input::FindCallResult { ticket, known, call: word });
             }
@@ -299,12 +301,14 @@
                     let mailbox = self.mailbox.clone();
                     let Some(outgoing) = self.links.get_mut(&id) else { continue };
                     let through = move || {
-                        let _ = mailbox.send_urgent(Letter::Through { id });
+                        let _ = mailbox.send_unbounded(Letter::Through { id });
                     };
                     match outgoing.write(&bytes, through) {
-                        Sent::Whole => {}
+                        WriteStatus::Complete => {}
                         // Of a loss the reader reports; until then nothing more is tried.
-                        Sent::Partly | Sent::Lost => self.front.take(now, now, Input::Blocked { id }),
+                        WriteStatus::Pending | WriteStatus::Lost => {
+                            self.front.take(now, now, Input::Blocked { id })
+                        }
                     }
                 }
                 Output::CloseLink { id, reset } => {
@@ -317,10 +321,10 @@
                     let mailbox = self.mailbox.clone();
                     // A loss is reported once, by the owner itself at times; what peers send waits for room.
                     let report = move |report| match report {
-                        Report::Lost { .. } => mailbox.send_urgent(Letter::Name(report)).is_ok(),
+                        QueryEvent::Failed { .. } => mailbox.send_unbounded(Letter::Name(report)).is_ok(),
                         _ => mailbox.send(Letter::Name(report)).is_ok(),
                     };
-                    self.questions.ask(ticket, to, tcp, bytes, self.connect_within, report);
+                    self.questions.send(ticket, to, tcp, bytes, self.connect_within, report);
                 }
                 Output::DnsClose { ticket } => self.questions.close(ticket),
                 Output::ServerListed(listed) => self.sayings.push(saying(now, &listed)),
@@ -363,12 +367,12 @@
         }
         let mailbox = self.mailbox.clone();
         let through = move || {
-            let _ = mailbox.send_urgent(Letter::CallerThrough { stream });
+            let _ = mailbox.send_unbounded(Letter::CallerThrough { stream });
         };
         match caller.outgoing.write(&bytes, through) {
-            Sent::Whole => {}
-            Sent::Partly => caller.busy = true,
-            Sent::Lost => caller.outgoing.close(false),
+            WriteStatus::Complete => {}
+            WriteStatus::Pending => caller.busy = true,
+            WriteStatus::Lost => caller.outgoing.close(false),
         }
     }
 }
--- a/crates/transport/src/readers.rs
+++ b/crates/transport/src/readers.rs
@@ -4,7 +4,7 @@
 use may::net::{TcpListener, TcpStream, UdpSocket};
 use shalespindle_front::LinkId;
 use shalespindle_sockets::{
-    read_all, start, Ground, Handle, Mailbox, Outgoing, LARGE_STACK, READ, SMALL_STACK,
+    read_all, start, Handle, Mailbox, MonotonicClock, StreamWriter, LARGE_STACK, READ_SIZE, SMALL_STACK,
 };
 use std::io;
 use std::net::SocketAddr;
@@ -12,12 +12,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub(crate) fn datagrams(udp: UdpSocket, mailbox: Mailbox<Letter>, ground: Ground) -> io::Result<Handle> {
+pub(crate) fn datagrams(
+    udp: UdpSocket,
+    mailbox: Mailbox<Letter>,
+    ground: MonotonicClock,
+) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
         let mut buffer = vec![0; 65_536];
         loop {
             let Ok((size, from)) = udp.recv_from(&mut buffer) else { continue };
-            let letter = Letter::Datagram { arrived: ground.arrival(), from, bytes: buffer[..size].to_vec() };
+            let letter =
+                Letter::Datagram { arrived: ground.earliest_arrival(), from, bytes: buffer[..size].to_vec() };
             if mailbox.send(letter).is_err() {
                 return;
             }
@@ -28,7 +33,7 @@
 pub(crate) fn callers(
     listener: TcpListener,
     mailbox: Mailbox<Letter>,
-    ground: Ground,
+    ground: MonotonicClock,
     most: usize,
     open: Arc<AtomicUsize>,
 ) -> io::Result<Handle> {
@@ -48,7 +53,7 @@
                 drop(stream);
                 continue;
             }
-            let Ok(outgoing) = Outgoing::beside(&stream) else { continue };
+            let Ok(outgoing) = StreamWriter::new(&stream) else { continue };
             next += 1;
             if mailbox.send(Letter::Caller { stream: next, outgoing }).is_err() {
                 return;
@@ -66,15 +71,15 @@
     mut tcp: TcpStream,
     stream: u64,
     mailbox: Mailbox<Letter>,
-    ground: Ground,
+    ground: MonotonicClock,
     open: Arc<AtomicUsize>,
 ) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
         let sent = |bytes| {
-            let letter = Letter::CallerBytes { arrived: ground.arrival(), stream, bytes };
+            let letter = Letter::CallerBytes { arrived: ground.earliest_arrival(), stream, bytes };
             mailbox.send(letter).is_ok()
         };
-        read_all(&mut tcp, READ, sent);
+        read_all(&mut tcp, READ_SIZE, sent);
         open.fetch_sub(1, Ordering::Relaxed);
         let _ = mailbox.send(Letter::CallerClosed { stream });
     })
@@ -86,27 +91,27 @@
     to: SocketAddr,
     within: Duration,
     mailbox: Mailbox<Letter>,
-    ground: Ground,
+    ground: MonotonicClock,
 ) {
     let lost = mailbox.clone();
     let started = start(SMALL_STACK, move || {
         let made = TcpStream::connect_timeout(&to, within).and_then(|stream| {
             stream.set_nodelay(true)?;
-            Ok((Outgoing::beside(&stream)?, stream))
+            Ok((StreamWriter::new(&stream)?, stream))
         });
         if let Ok((outgoing, mut stream)) = made {
             if mailbox.send(Letter::Connected { id, outgoing }).is_err() {
                 return;
             }
-            read_all(&mut stream, READ, |bytes| {
-                let letter = Letter::LinkBytes { arrived: ground.arrival(), id, bytes };
+            read_all(&mut stream, READ_SIZE, |bytes| {
+                let letter = Letter::LinkBytes { arrived: ground.earliest_arrival(), id, bytes };
                 mailbox.send(letter).is_ok()
             });
         }
         let _ = mailbox.send(Letter::LinkLost { id });
     });
     if started.is_err() {
-        let _ = lost.send_urgent(Letter::LinkLost { id });
+        let _ = lost.send_unbounded(Letter::LinkLost { id });
     }
 }
 
@@ -126,7 +131,7 @@
                     return;
                 }
                 pause = first;
-                read_all(&mut stream, READ, |bytes| mailbox.send(Letter::FeedBytes { bytes }).is_ok());
+                read_all(&mut stream, READ_SIZE, |bytes| mailbox.send(Letter::FeedBytes { bytes }).is_ok());
                 if mailbox.send(Letter::FeedLost).is_err() {
                     return;
                 }
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -12,7 +12,7 @@
 use shalespindle_peer_service::{Fronts, Saying, Standing, Teller};
 use shalespindle_settings::{FleetSettings, Settings};
 use shalespindle_sites::SitesError;
-use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mailbox, LARGE_STACK};
+use shalespindle_sockets::{end, mailbox, start, Handle, Mailbox, MonotonicClock, LARGE_STACK};
 use socket2::SockRef;
 use std::io;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
 
 impl Service {
     /// Opens the sockets and starts the coroutines; the port may be 0 for any free one. Events go to the log.
-    pub fn start(settings: &Settings, seed: u64, ground: Ground) -> io::Result<Service> {
+    pub fn start(settings: &Settings, seed: u64, ground: MonotonicClock) -> io::Result<Service> {
         Service::start_with(settings, seed, ground, |_| {})
     }
 
@@ -50,7 +50,7 @@
     pub fn start_with(
         settings: &Settings,
         seed: u64,
-        ground: Ground,
+        ground: MonotonicClock,
         mut hook: impl FnMut(&Event) + Send + 'static,
     ) -> io::Result<Service> {
         let (udp, listener) = bind(settings.front.listen)?;
@@ -160,7 +160,7 @@
     }
 
     /// The list of other fronts changed; false where this front was started without any.
-    pub fn relist(&self, fleet: &FleetSettings) -> bool {
+    pub fn set_peers(&self, fleet: &FleetSettings) -> bool {
         if let Some(fronts) = &self.fronts {
             fronts.teller().relist(fleet.others());
         }
@@ -169,11 +169,11 @@
 
     /// Asks for an orderly end: no new attaches, those in hand answered, standing ones waited for.
     pub fn end(&self) {
-        let _ = self.mailbox.send_urgent(Letter::End);
+        let _ = self.mailbox.send_unbounded(Letter::End);
     }
 
     /// Whether it has ended.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.owner.as_ref().is_none_or(|o| o.is_done())
     }
 }
@@ -183,7 +183,7 @@
         self.console = None;
         // Others are told of the departure before anything else is torn down.
         self.fronts = None;
-        let _ = self.mailbox.send_urgent(Letter::Stop);
+        let _ = self.mailbox.send_unbounded(Letter::Stop);
         if let Some(owner) = self.owner.take() {
             // A panic in the owner has been reported by its own message.
             let _ = owner.join();
@@ -224,7 +224,7 @@
 /// Puts a question to the owner and waits, on a thread of its own; none once the owner has ended.
 fn ask(mailbox: &Mailbox<Letter>, question: Ask) -> Option<Reply> {
     let (to, from) = mpsc::channel();
-    mailbox.send_urgent(Letter::Console(question, to)).ok()?;
+    mailbox.send_unbounded(Letter::Console(question, to)).ok()?;
     from.recv_timeout(ANSWERED_WITHIN).ok()
 }
 
