--- a/crates/platform/src/sip.rs
+++ b/crates/platform/src/sip.rs
@@ -1,7 +1,7 @@
 //! Strict parsing of the callers' SIP messages, and the messages written to callers.
 
 use crate::lines::call_id;
-use shalespindle_signalling::message::Called;
+use shalespindle_signalling::message::CalledParty;
 use shalespindle_signalling::write::{ResponseHead, Writer};
 use shalespindle_signalling::{Message, Method};
 
@@ -78,7 +78,7 @@
     if !(ms > 0.0 && ms <= 1000.0 * procedures[procedure].1 + 1.0) {
         return Err(BadForm("X-Setup-Ms"));
     }
-    let Some(Called { number, .. }) = message.called() else { return Err(BadForm("Request-URI")) };
+    let Some(CalledParty { number, .. }) = message.called_party() else { return Err(BadForm("Request-URI")) };
     let description = std::str::from_utf8(message.body).map_err(|_| BadForm("description"))?;
     if description.is_empty() {
         return Err(BadForm("description"));
@@ -112,7 +112,7 @@
 
 /// An error response to a message whose headers could not be read.
 pub fn unreadable(status: u16) -> Vec<u8> {
-    Writer::response(status, &ResponseHead::none()).finish()
+    Writer::response(status, &ResponseHead::empty()).finish()
 }
 
 pub fn bye(id: u64, cause: u16) -> Vec<u8> {
