--- a/crates/cli/src/resolve.rs
+++ b/crates/cli/src/resolve.rs
@@ -2,7 +2,7 @@
 
 use crate::commands::BAD_INPUT;
 use shalespindle_sockets::Questions;
-use shalespindle_srv::{Name, Out, Outcome, Resolver, ResolverParams, Step};
+use shalespindle_srv::{Name, Outcome, Resolver, ResolverOutput, ResolverParams, Step};
 use shalespindle_transport::as_in;
 use std::io;
 use std::net::SocketAddr;
@@ -20,15 +20,15 @@
     let params = ResolverParams {
         upstreams: servers.to_vec(),
         names: vec![name],
-        try_within: within.as_secs_f64(),
-        tries: 4,
-        lifetime: (0.0, f64::INFINITY),
-        negative_longest: 0.0,
-        early: 0.0,
-        pause: (f64::INFINITY, f64::INFINITY),
+        try_timeout: within.as_secs_f64(),
+        max_tries: 4,
+        lifetime_bounds: (0.0, f64::INFINITY),
+        max_negative_lifetime: 0.0,
+        refresh_fraction: 0.0,
+        retry_pause: (f64::INFINITY, f64::INFINITY),
         start_spread: 0.0,
         udp_size: 1232,
-        most_records: 256,
+        max_records: 256,
     };
     let begin = Instant::now();
     let now = || begin.elapsed().as_secs_f64();
@@ -40,20 +40,20 @@
         while let Some(step) = resolver.next_step() {
             println!("{:9.3} ms  {}", now() * 1000.0, words(&step));
         }
-        while let Some(out) = resolver.next_out() {
+        while let Some(out) = resolver.next_output() {
             match out {
-                Out::Ask { ticket, to: server, tcp, bytes } => {
+                ResolverOutput::SendQuery { ticket, to: server, tcp, bytes } => {
                     let to = to.clone();
                     questions.ask(ticket, server, tcp, bytes, within, move |report| to.send(report).is_ok());
                 }
-                Out::Close { ticket } => questions.close(ticket),
-                Out::Done { outcome, .. } => return Ok(told(&outcome)),
+                ResolverOutput::CloseSocket { ticket } => questions.close(ticket),
+                ResolverOutput::LookupDone { outcome, .. } => return Ok(told(&outcome)),
             }
         }
-        let wait = Duration::from_secs_f64((resolver.due() - now()).clamp(0.0, 60.0));
+        let wait = Duration::from_secs_f64((resolver.next_deadline() - now()).clamp(0.0, 60.0));
         // Nothing came: what is due is done below.
         if let Ok(report) = from.recv_timeout(wait) {
-            resolver.take(now(), as_in(&report));
+            resolver.handle(now(), as_in(&report));
         }
         resolver.tick(now());
     }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -96,7 +96,7 @@
         }
     };
     if let (Some(now), Some(then)) = (&mut current.fleet, &mut new.fleet) {
-        if now.others() != then.others() && service.relist(then) {
+        if now.other_fronts() != then.other_fronts() && service.relist(then) {
             now.peers.clone_from(&then.peers);
         }
     }
--- a/crates/front/src/io.rs
+++ b/crates/front/src/io.rs
@@ -5,7 +5,7 @@
 use shalespindle_membership::{Change, ListEntry, PeerWarning};
 use shalespindle_replica::CallRecord;
 use shalespindle_sites::{Restrictions, Sample};
-use shalespindle_srv::{In, Step, Ticket};
+use shalespindle_srv::{ResolverInput, Step, Ticket};
 use std::net::SocketAddr;
 
 /// Transport address that a caller's message came from and that its answers go to.
@@ -64,7 +64,7 @@
     },
     FeedLost,
     /// An answer to a DNS query, or the loss of its socket.
-    Dns(In<'a>),
+    Dns(ResolverInput<'a>),
     /// The combined state that other fronts' lists report for a server.
     ServerWarning(PeerWarning),
     /// The answer to [`Output::FindCall`].
--- a/crates/front/src/sources.rs
+++ b/crates/front/src/sources.rs
@@ -11,7 +11,7 @@
     first_choices, Change, DnsRecord, LookupResult, Member, Membership, PeerWarning, PoolNumbers,
     ServiceStatus, StoredMember,
 };
-use shalespindle_srv::{In, Out, Outcome, Resolver, Step};
+use shalespindle_srv::{Outcome, Resolver, ResolverInput, ResolverOutput, Step};
 use std::net::SocketAddr;
 
 /// A number that no pool has.
@@ -182,10 +182,10 @@
         self.sources.members.reconnected(now, server);
     }
 
-    pub(crate) fn dns(&mut self, now: f64, report: In) {
+    pub(crate) fn dns(&mut self, now: f64, report: ResolverInput) {
         self.sources.changed = true;
         if let Some(dns) = &mut self.sources.dns {
-            dns.resolver.take(now, report);
+            dns.resolver.handle(now, report);
         }
     }
 
@@ -217,7 +217,7 @@
         }
         // A newly listed server may belong to a lost site.
         self.update_excluded(now);
-        let resolver = self.sources.dns.as_ref().map_or(f64::INFINITY, |dns| dns.resolver.due());
+        let resolver = self.sources.dns.as_ref().map_or(f64::INFINITY, |dns| dns.resolver.next_deadline());
         let due = resolver.min(self.sources.members.next_deadline(now));
         if due < self.sources.timer_at {
             self.sources.timer_at = due;
@@ -235,21 +235,21 @@
 
     fn poll_resolver(&mut self, now: f64) {
         let Some(dns) = &mut self.sources.dns else { return };
-        while let Some(out) = dns.resolver.next_out() {
+        while let Some(out) = dns.resolver.next_output() {
             match out {
-                Out::Ask { ticket, to, tcp, bytes } => {
+                ResolverOutput::SendQuery { ticket, to, tcp, bytes } => {
                     self.outputs.push_back(Output::DnsQuery { ticket, to, tcp, bytes });
                 }
-                Out::Close { ticket } => self.outputs.push_back(Output::DnsClose { ticket }),
-                Out::Done { name, outcome } => {
+                ResolverOutput::CloseSocket { ticket } => self.outputs.push_back(Output::DnsClose { ticket }),
+                ResolverOutput::LookupDone { name_index, outcome } => {
                     let what = match outcome {
                         Outcome::Servers { .. } => "servers",
                         Outcome::Empty => "empty",
                         Outcome::Failed => "failed",
                     };
-                    dns.last_results[name] = Some((now, what));
+                    dns.last_results[name_index] = Some((now, what));
                     let answer = dns.answer(outcome);
-                    self.sources.members.apply_lookup(now, name, &answer);
+                    self.sources.members.apply_lookup(now, name_index, &answer);
                 }
             }
         }
--- a/crates/front/tests/dns.rs
+++ b/crates/front/tests/dns.rs
@@ -6,7 +6,7 @@
 use shalespindle_front::params::{DnsParams, FirstChoice};
 use shalespindle_front::{Front, Input, Params};
 use shalespindle_membership::ServiceStatus;
-use shalespindle_srv::{In, Name, ResolverParams};
+use shalespindle_srv::{Name, ResolverInput, ResolverParams};
 use shalespindle_standin::nameserver::{Entry, NameServer, Script};
 use std::net::SocketAddr;
 
@@ -32,15 +32,15 @@
             resolver: ResolverParams {
                 upstreams: vec![SocketAddr::from(([127, 0, 0, 1], 53))],
                 names: vec![service()],
-                try_within: 1.0,
-                tries: 3,
-                lifetime: (2.0, 600.0),
-                negative_longest: 5.0,
-                early: 0.3,
-                pause: (1.0, 8.0),
+                try_timeout: 1.0,
+                max_tries: 3,
+                lifetime_bounds: (2.0, 600.0),
+                max_negative_lifetime: 5.0,
+                refresh_fraction: 0.3,
+                retry_pause: (1.0, 8.0),
                 start_spread: 0.0,
                 udp_size: 1232,
-                most_records: 100,
+                max_records: 100,
             },
             pools: [("s0.example.org.".to_string(), 0), ("s1.example.org.".to_string(), 1)].into(),
             first_pool: 2,
@@ -71,9 +71,9 @@
         for reply in name_server.ask(harness.now, question, tcp) {
             if tcp {
                 let framed = [&(reply.bytes.len() as u16).to_be_bytes()[..], &reply.bytes].concat();
-                harness.input(Input::Dns(In::Stream { ticket, bytes: &framed }));
+                harness.input(Input::Dns(ResolverInput::Stream { ticket, bytes: &framed }));
             } else {
-                harness.input(Input::Dns(In::Datagram { ticket, from: to, bytes: &reply.bytes }));
+                harness.input(Input::Dns(ResolverInput::Datagram { ticket, from: to, bytes: &reply.bytes }));
             }
         }
     }
--- a/crates/lab/src/sim/fronts.rs
+++ b/crates/lab/src/sim/fronts.rs
@@ -3,7 +3,7 @@
 use super::{name_server, FrontNews, Happening, Planted, World, DEAF_FROM};
 use shalespindle_front::{Event, Input, LinkId, Output};
 use shalespindle_membership::ServiceStatus;
-use shalespindle_srv::In;
+use shalespindle_srv::ResolverInput;
 use shalespindle_standin::trace::Seen;
 use std::net::SocketAddr;
 
@@ -43,10 +43,10 @@
                 return;
             }
             FrontNews::Name { ticket, tcp: true, bytes, .. } => {
-                Input::Dns(In::Stream { ticket: *ticket, bytes })
+                Input::Dns(ResolverInput::Stream { ticket: *ticket, bytes })
             }
             FrontNews::Name { ticket, place, bytes, .. } => {
-                Input::Dns(In::Datagram { ticket: *ticket, from: name_server(*place), bytes })
+                Input::Dns(ResolverInput::Datagram { ticket: *ticket, from: name_server(*place), bytes })
             }
         };
         made.take(now, arrived, input);
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -276,7 +276,7 @@
         if self.country.is_none() {
             settings.sites.clear();
         }
-        let mut params = settings.params();
+        let mut params = settings.front_params();
         params.host = front_host(front);
         let planted = self.setup.planted;
         if planted == Some(Planted::NoGuard) {
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -156,7 +156,7 @@
     }
 
     /// What the fleet module is started with.
-    pub fn params(&self) -> FleetParams {
+    pub fn fleet_params(&self) -> FleetParams {
         FleetParams {
             peers: PeersParams {
                 heartbeat_interval: self.every.seconds(),
@@ -176,14 +176,14 @@
     }
 
     /// The others: name and address.
-    pub fn others(&self) -> Vec<(String, SocketAddr)> {
+    pub fn other_fronts(&self) -> Vec<(String, SocketAddr)> {
         let others = self.peers.iter().filter(|p| p.name != self.name);
         others.map(|p| (p.name.clone(), p.address)).collect()
     }
 }
 
 /// Reads a key file: 64 hex digits, white space around them aside.
-pub fn read_key(path: &Path) -> Result<[u8; 32], String> {
+pub fn read_key_file(path: &Path) -> Result<[u8; 32], String> {
     let named = |why: String| format!("fleet.key_file {}: {why}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
     let key = blake3::Hash::from_hex(text.trim()).map_err(|_| named("64 hex digits are allowed".into()))?;
@@ -200,13 +200,13 @@
         let path = folder.path().join("key");
         let read = |text: &str| {
             std::fs::write(&path, text).unwrap();
-            read_key(&path)
+            read_key_file(&path)
         };
         assert_eq!(read(&format!("{}\n", "0a".repeat(32))), Ok([10; 32]));
         for bad in ["", "0a", &"zz".repeat(32), &"0a".repeat(33), &"\u{e9}".repeat(32)] {
             let why = read(bad).unwrap_err();
             assert!(why.contains("key_file") && why.contains("64 hex digits"), "{why}");
         }
-        assert!(read_key(&folder.path().join("none")).unwrap_err().contains("none"));
+        assert!(read_key_file(&folder.path().join("none")).unwrap_err().contains("none"));
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! Settings: TOML with units into checked types, their schema, and what a front is started with. A bad
-//! value is named with file, line, key and what is allowed, and nothing starts.
+//! Settings of a front: reads TOML with units into checked types, yields their schema and converts them to
+//! the parameters of the other crates. A bad value is reported with its file, line and key and with what is
+//! allowed there; a front does not start with one.
 
 mod fleet;
 mod model;
@@ -8,7 +9,7 @@
 mod sources;
 mod span;
 
-pub use fleet::{read_key, FleetSettings, PeerSettings};
+pub use fleet::{read_key_file, FleetSettings, PeerSettings};
 pub use model::*;
 pub use sites::{SitePlanSettings, SiteSettings};
 pub use sources::{DnsSettings, DnsTarget, MembershipSettings};
@@ -18,62 +19,67 @@
 use std::fmt;
 use std::path::Path;
 
-/// One thing wrong with a settings file.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SettingsError {
     pub file: String,
+    /// Line number from 1; 0 if the file can't be read.
     pub line: usize,
-    /// The key as a path, such as `rules.cold.start_capacity`; empty where the text itself is malformed.
+    /// Path of the key, such as `rules.cold.start_capacity`; empty if the TOML itself is malformed.
     pub key: String,
     /// What is wrong and what is allowed.
-    pub why: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: ", self.file, self.line)?;
         if !self.key.is_empty() {
             write!(f, "{}: ", self.key)?;
         }
-        f.write_str(&self.why)
+        f.write_str(&self.message)
     }
 }
 
-/// Reads and checks a settings file; all faults that can be told apart are returned together.
-pub fn read(path: &Path) -> Result<Settings, Vec<Fault>> {
+/// Reads and checks a settings file. The errors of all values are returned together; a file that can't be
+/// parsed yields only the first error.
+pub fn read(path: &Path) -> Result<Settings, Vec<SettingsError>> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
         Ok(text) => parse(&file, &text),
-        Err(why) => Err(vec![Fault { file, line: 0, key: String::new(), why: why.to_string() }]),
+        Err(error) => {
+            Err(vec![SettingsError { file, line: 0, key: String::new(), message: error.to_string() }])
+        }
     }
 }
 
-/// Checks the text of a settings file; `file` is only named in faults.
-pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<Fault>> {
-    let fault = |line, key: String, why: String| Fault { file: file.into(), line, key, why };
+/// Parses and checks the text of a settings file; `file` is its name in errors.
+pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<SettingsError>> {
+    let error = |line, key: String, message: String| SettingsError { file: file.into(), line, key, message };
     let settings: Settings = toml::from_str(text).map_err(|e| {
-        let at = e.span().map_or(0, |s| s.start);
-        vec![fault(place::line(text, at), place::key_at(text, at), e.message().to_string())]
+        let offset = e.span().map_or(0, |s| s.start);
+        let (line, key) = (place::line(text, offset), place::key_at(text, offset));
+        vec![error(line, key, e.message().to_string())]
     })?;
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     if let Err(report) = settings.validate() {
-        for (path, error) in report.iter() {
+        for (path, invalid) in report.iter() {
             let key = path.to_string();
-            faults.push(fault(place::line_of(text, &key), key, error.message().to_string()));
+            errors.push(error(place::line_of(text, &key), key, invalid.message().to_string()));
         }
     }
-    for (key, why) in settings.cross_checks() {
-        faults.push(fault(place::line_of(text, &key), key, why));
+    for (key, message) in settings.cross_checks() {
+        errors.push(error(place::line_of(text, &key), key, message));
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(settings)
     } else {
-        faults.sort_by(|a, b| (a.line, &a.key).cmp(&(b.line, &b.key)));
-        Err(faults)
+        errors.sort_by(|a, b| (a.line, &a.key).cmp(&(b.line, &b.key)));
+        Err(errors)
     }
 }
 
-/// The JSON schema of a settings file.
+/// Returns the JSON schema of a settings file.
 pub fn schema() -> serde_json::Value {
     schemars::schema_for!(Settings).to_value()
 }
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -465,7 +465,7 @@
     }
 
     /// What the front is started with.
-    pub fn params(&self) -> Params {
+    pub fn front_params(&self) -> Params {
         let procedure = |p: &ProcedureSettings| ToldProcedure {
             latency_target: p.latency_target.seconds(),
             utility: p.utility,
@@ -540,9 +540,9 @@
             priorities: self.procedures.iter().enumerate().flat_map(named).collect(),
             trunk_groups,
             dns_groups: dealt,
-            membership: self.membership.params(),
+            membership: self.membership.membership_params(),
             has_peers: self.fleet.is_some(),
-            dns: self.dns.as_ref().map(DnsSettings::params),
+            dns: self.dns.as_ref().map(DnsSettings::dns_params),
             default_procedure: 0,
             host: self.front.host.clone().unwrap_or_else(|| self.front.listen.to_string()),
             answer_margin: self.front.answer_margin.seconds(),
--- a/crates/settings/src/sources.rs
+++ b/crates/settings/src/sources.rs
@@ -196,22 +196,22 @@
     256
 }
 impl DnsSettings {
-    pub(crate) fn params(&self) -> DnsParams {
+    pub(crate) fn dns_params(&self) -> DnsParams {
         // Names were checked; one that cannot be read has stopped the start already.
         let name = |n: &String| absolute(n);
         DnsParams {
             resolver: ResolverParams {
                 upstreams: self.servers.clone(),
                 names: self.names.iter().filter_map(name).collect(),
-                try_within: self.try_within.seconds(),
-                tries: self.tries,
-                lifetime: (self.lifetime_least.seconds(), self.lifetime_longest.seconds()),
-                negative_longest: self.negative_longest.seconds(),
-                early: self.early,
-                pause: (self.pause_least.seconds(), self.pause_longest.seconds()),
+                try_timeout: self.try_within.seconds(),
+                max_tries: self.tries,
+                lifetime_bounds: (self.lifetime_least.seconds(), self.lifetime_longest.seconds()),
+                max_negative_lifetime: self.negative_longest.seconds(),
+                refresh_fraction: self.early,
+                retry_pause: (self.pause_least.seconds(), self.pause_longest.seconds()),
                 start_spread: self.start_spread.seconds(),
                 udp_size: self.udp_size,
-                most_records: self.most_records,
+                max_records: self.most_records,
             },
             pools: self
                 .targets
@@ -254,7 +254,7 @@
 }
 
 impl MembershipSettings {
-    pub(crate) fn params(&self) -> MembershipParams {
+    pub(crate) fn membership_params(&self) -> MembershipParams {
         MembershipParams {
             list_timeout: self.list_patience.seconds(),
             withdrawal_hold: self.hold.seconds(),
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -8,7 +8,7 @@
 #[test]
 fn the_shipped_file_is_good() {
     let settings = parse("front.toml", GOOD).unwrap();
-    let params = settings.params();
+    let params = settings.front_params();
     assert_eq!(params.deployment.release_guard, 0.525);
     assert_eq!((params.priorities["wps.0"], params.trunk_groups["wayanad"]), (1, FirstChoice::Pool(1)));
 }
@@ -61,7 +61,7 @@
         let faults = parse("f.toml", &GOOD.replace(from, to)).unwrap_err();
         let fault = &faults[0];
         assert_eq!((fault.line, fault.key.as_str()), (line, key), "{to}: {fault}");
-        assert!(fault.why.contains(why), "{to}: {fault}");
+        assert!(fault.message.contains(why), "{to}: {fault}");
         assert!(fault.to_string().starts_with(&format!("f.toml:{line}: ")));
     }
 }
@@ -79,7 +79,7 @@
 #[test]
 fn dns_makes_first_choices_optional_and_its_faults_are_named() {
     let good = format!("{}{DNS}", GOOD.replace("first_choice = 1\n", ""));
-    let params = parse("f.toml", &good).unwrap().params();
+    let params = parse("f.toml", &good).unwrap().front_params();
     assert_eq!(params.trunk_groups["wayanad"], FirstChoice::Dns(0));
     let dns = params.dns.unwrap();
     assert_eq!(dns.resolver.names[0].to_string(), "_sip._tcp.auth.example.org.");
@@ -153,8 +153,8 @@
         let faults = parse("front.toml", &with_sites(&(north() + &more))).unwrap_err();
         let fault =
             faults.iter().find(|f| f.key.starts_with(key)).unwrap_or_else(|| panic!("{more}: {faults:?}"));
-        assert!(fault.why.contains(why) && fault.line > 50, "{fault}");
+        assert!(fault.message.contains(why) && fault.line > 50, "{fault}");
     }
     let alone = parse("front.toml", &format!("{GOOD}\n{}", north())).unwrap_err();
-    assert!(alone.iter().any(|f| f.why.contains("[fleet] is needed")), "{alone:?}");
+    assert!(alone.iter().any(|f| f.message.contains("[fleet] is needed")), "{alone:?}");
 }
--- a/crates/srv/src/lib.rs
+++ b/crates/srv/src/lib.rs
@@ -27,28 +27,28 @@
     /// Names of SRV records, such as `_sip._tcp.auth.example.org.`.
     pub names: Vec<Name>,
     /// A try is given up after this.
-    pub try_within: f64,
+    pub try_timeout: f64,
     /// Tries of one question over all name servers.
-    pub tries: u32,
+    pub max_tries: u32,
     /// Least and longest time that a record is taken to be good for.
-    pub lifetime: (f64, f64),
+    pub lifetime_bounds: (f64, f64),
     /// The longest time that a negative answer is kept (RFC 2308 section 5).
-    pub negative_longest: f64,
+    pub max_negative_lifetime: f64,
     /// A refresh starts within the last part of a lifetime, drawn anew each time.
-    pub early: f64,
+    pub refresh_fraction: f64,
     /// Least and longest pause after a look-up that failed.
-    pub pause: (f64, f64),
+    pub retry_pause: (f64, f64),
     /// First look-ups are spread over this, so that fronts started together do not ask together.
     pub start_spread: f64,
     /// Size of answers over UDP that is asked for (RFC 6891 section 6.2.5).
     pub udp_size: u16,
     /// Records that an answer may have.
-    pub most_records: usize,
+    pub max_records: usize,
 }
 
 /// What the host reports.
 #[derive(Clone, Debug)]
-pub enum In<'a> {
+pub enum ResolverInput<'a> {
     Datagram {
         ticket: Ticket,
         from: SocketAddr,
@@ -60,20 +60,20 @@
         bytes: &'a [u8],
     },
     /// The socket could not be opened, or its stream has ended.
-    Lost {
+    SocketLost {
         ticket: Ticket,
     },
 }
 
 /// What the host is asked to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum ResolverOutput {
     /// Open a socket, send, and report what comes; over TCP the length is in front already.
-    Ask { ticket: Ticket, to: SocketAddr, tcp: bool, bytes: Vec<u8> },
+    SendQuery { ticket: Ticket, to: SocketAddr, tcp: bool, bytes: Vec<u8> },
     /// Close its socket.
-    Close { ticket: Ticket },
+    CloseSocket { ticket: Ticket },
     /// What a look-up of the name at that place came to.
-    Done { name: usize, outcome: Outcome },
+    LookupDone { name_index: usize, outcome: Outcome },
 }
 
 /// What a look-up came to.
@@ -118,7 +118,7 @@
     },
     /// Dropped; the try goes on waiting.
     Dropped {
-        why: Dropped,
+        why: DropReason,
     },
     /// The try is over without an answer that can be used.
     TryFailed {
@@ -150,7 +150,7 @@
 
 /// Why an answer was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum DropReason {
     /// Not from where it was asked.
     WrongSource,
     WrongId,
--- a/crates/srv/src/resolver.rs
+++ b/crates/srv/src/resolver.rs
@@ -6,7 +6,8 @@
 use crate::upstreams::Upstreams;
 use crate::wire::{self, Reply};
 use crate::{
-    chain, Counters, Dropped, In, Name, Out, Outcome, RecordType, ResolverParams, Step, Target, Ticket,
+    chain, Counters, DropReason, Name, Outcome, RecordType, ResolverInput, ResolverOutput, ResolverParams,
+    Step, Target, Ticket,
 };
 use hickory_proto::op::ResponseCode;
 use hickory_proto::rr::Record;
@@ -57,7 +58,7 @@
     /// Addresses last known of each target: an answer that cannot be had takes no server out.
     last_known: BTreeMap<Name, Vec<IpAddr>>,
     next_ticket: Ticket,
-    out: VecDeque<Out>,
+    out: VecDeque<ResolverOutput>,
     steps: VecDeque<Step>,
     counters: Counters,
 }
@@ -89,7 +90,7 @@
     }
 
     /// What to do next, oldest first.
-    pub fn next_out(&mut self) -> Option<Out> {
+    pub fn next_output(&mut self) -> Option<ResolverOutput> {
         self.out.pop_front()
     }
 
@@ -99,7 +100,7 @@
     }
 
     /// When [`Resolver::tick`] must be called at the latest.
-    pub fn due(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         let tries = self.queries.iter().map(|q| q.due);
         let scheduled = self.schedule.iter().map(|s| s.next);
         tries.chain(scheduled).fold(f64::INFINITY, f64::min)
@@ -137,21 +138,21 @@
     }
 
     /// Takes one report.
-    pub fn take(&mut self, now: f64, report: In) {
+    pub fn handle(&mut self, now: f64, report: ResolverInput) {
         match report {
-            In::Datagram { ticket, from, bytes } => {
+            ResolverInput::Datagram { ticket, from, bytes } => {
                 let Some(place) = self.queries.iter().position(|q| q.ticket == ticket && !q.tcp) else {
                     return;
                 };
                 if from != self.upstreams.address(self.queries[place].upstream) {
-                    return self.drop_answer(Dropped::WrongSource);
+                    return self.drop_answer(DropReason::WrongSource);
                 }
                 if bytes.len() > usize::from(self.params.udp_size.max(512)) {
-                    return self.drop_answer(Dropped::TooLarge);
+                    return self.drop_answer(DropReason::TooLarge);
                 }
                 self.bytes(now, place, bytes);
             }
-            In::Stream { ticket, bytes } => {
+            ResolverInput::Stream { ticket, bytes } => {
                 let Some(place) = self.queries.iter().position(|q| q.ticket == ticket && q.tcp) else {
                     return;
                 };
@@ -169,7 +170,7 @@
                     self.bytes(now, place, &message);
                 }
             }
-            In::Lost { ticket } => {
+            ResolverInput::SocketLost { ticket } => {
                 if let Some(place) = self.queries.iter().position(|q| q.ticket == ticket) {
                     self.try_failed(now, place, "socket lost");
                 }
@@ -177,7 +178,7 @@
         }
     }
 
-    fn drop_answer(&mut self, why: Dropped) {
+    fn drop_answer(&mut self, why: DropReason) {
         // Guards against forged answers: the true one may still come, so the try goes on (RFC 5452 section 9).
         self.counters.dropped += 1;
         self.step(Step::Dropped { why });
@@ -192,7 +193,7 @@
 
     fn bytes(&mut self, now: f64, place: usize, bytes: &[u8]) {
         let query = &self.queries[place];
-        match wire::read(query.id, &query.want, bytes, self.params.most_records) {
+        match wire::read(query.id, &query.want, bytes, self.params.max_records) {
             Err(why) => self.drop_answer(why),
             Ok(reply) => self.reply(now, place, reply),
         }
@@ -227,7 +228,7 @@
         self.counters.answered += 1;
         self.upstreams.answered(upstream);
         let query = self.queries.swap_remove(place);
-        self.out.push_back(Out::Close { ticket: query.ticket });
+        self.out.push_back(ResolverOutput::CloseSocket { ticket: query.ticket });
         self.step(Step::Answered {
             code: reply.code.to_string(),
             records: reply.answers.len(),
@@ -249,7 +250,7 @@
             // RFC 2308 section 5: without an SOA record a negative answer is not kept.
             End::Nothing { .. } => {
                 if let Some(ttl) = reply.negative {
-                    let lifetime = f64::from(ttl).min(self.params.negative_longest);
+                    let lifetime = f64::from(ttl).min(self.params.max_negative_lifetime);
                     self.cache.put(now, &want.name, want.kind, Known::Nothing, lifetime);
                 }
             }
@@ -258,7 +259,7 @@
     }
 
     fn bounded(&self, lifetime: f64) -> f64 {
-        lifetime.clamp(self.params.lifetime.0, self.params.lifetime.1)
+        lifetime.clamp(self.params.lifetime_bounds.0, self.params.lifetime_bounds.1)
     }
 
     /// Hands records to every look-up that wants them.
@@ -346,7 +347,7 @@
             }
         }
         // Kept only for targets that are still named: bounded by what one answer may hold.
-        if self.last_known.len() > self.params.most_records * self.params.names.len().max(1) {
+        if self.last_known.len() > self.params.max_records * self.params.names.len().max(1) {
             let named: Vec<Name> = targets.iter().map(|t| t.name.to_lowercase()).collect();
             self.last_known.retain(|name, _| named.contains(name));
         }
@@ -373,11 +374,11 @@
             Outcome::Servers { targets, lifetime } => {
                 schedule.failures = 0;
                 // Before its end, at a moment of this front's own.
-                schedule.next = now + lifetime * (1.0 - self.params.early * chance);
+                schedule.next = now + lifetime * (1.0 - self.params.refresh_fraction * chance);
                 format!("{} targets, good for {lifetime} s", targets.len())
             }
             Outcome::Empty | Outcome::Failed => {
-                let (least, longest) = self.params.pause;
+                let (least, longest) = self.params.retry_pause;
                 let doubled = least * 2f64.powi(schedule.failures.min(16) as i32);
                 schedule.failures += 1;
                 schedule.next = now + doubled.min(longest) * (0.5 + 0.5 * chance);
@@ -391,7 +392,7 @@
             }
         };
         self.step(Step::Finished { name: self.params.names[lookup.place].clone(), outcome: in_words });
-        self.out.push_back(Out::Done { name: lookup.place, outcome });
+        self.out.push_back(ResolverOutput::LookupDone { name_index: lookup.place, outcome });
     }
 
     // ---- tries ----
@@ -423,7 +424,7 @@
         let query = &mut self.queries[place];
         query.id = id;
         query.ticket = ticket;
-        query.due = now + self.params.try_within;
+        query.due = now + self.params.try_timeout;
         query.stream.clear();
         let upstream = query.upstream;
         query.tried.push(upstream);
@@ -439,12 +440,12 @@
         }
         self.counters.asked += 1;
         self.step(Step::Asked { name, kind, to, tcp });
-        self.out.push_back(Out::Ask { ticket, to, tcp, bytes });
+        self.out.push_back(ResolverOutput::SendQuery { ticket, to, tcp, bytes });
     }
 
     fn ask_again(&mut self, now: f64, place: usize, upstream: usize, tcp: bool) {
         let ticket = self.queries[place].ticket;
-        self.out.push_back(Out::Close { ticket });
+        self.out.push_back(ResolverOutput::CloseSocket { ticket });
         self.queries[place].upstream = upstream;
         self.queries[place].tcp = tcp;
         self.send(now, place);
@@ -456,13 +457,13 @@
         self.upstreams.failed(now, upstream);
         let by = self.upstreams.address(upstream);
         self.step(Step::TryFailed { by, why });
-        if tried.len() < self.params.tries as usize {
+        if tried.len() < self.params.max_tries as usize {
             if let Some(next) = self.upstreams.choose(now, &tried) {
                 return self.ask_again(now, place, next, false);
             }
         }
         let query = self.queries.swap_remove(place);
-        self.out.push_back(Out::Close { ticket: query.ticket });
+        self.out.push_back(ResolverOutput::CloseSocket { ticket: query.ticket });
         self.gave_up(now, &query.want);
         self.advance(now);
     }
--- a/crates/srv/src/wire.rs
+++ b/crates/srv/src/wire.rs
@@ -1,7 +1,7 @@
 //! Questions and answers as bytes (RFC 1035 section 4), with the checks that an answer must pass.
 
 use crate::lookup::Want;
-use crate::Dropped;
+use crate::DropReason;
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{DNSClass, RData, Record, RecordType};
 
@@ -36,25 +36,25 @@
 }
 
 /// Reads an answer and checks that it is one to this question.
-pub(crate) fn read(id: u16, want: &Want, bytes: &[u8], most_records: usize) -> Result<Reply, Dropped> {
+pub(crate) fn read(id: u16, want: &Want, bytes: &[u8], most_records: usize) -> Result<Reply, DropReason> {
     // The id alone first: what is not ours is not worth reading.
-    let told = bytes.get(..2).map(|b| u16::from_be_bytes([b[0], b[1]])).ok_or(Dropped::Malformed)?;
+    let told = bytes.get(..2).map(|b| u16::from_be_bytes([b[0], b[1]])).ok_or(DropReason::Malformed)?;
     if told != id {
-        return Err(Dropped::WrongId);
+        return Err(DropReason::WrongId);
     }
-    let message = Message::from_vec(bytes).map_err(|_| Dropped::Malformed)?;
+    let message = Message::from_vec(bytes).map_err(|_| DropReason::Malformed)?;
     if message.message_type() != MessageType::Response || message.op_code() != OpCode::Query {
-        return Err(Dropped::NoAnswer);
+        return Err(DropReason::NoAnswer);
     }
-    let [asked] = message.queries() else { return Err(Dropped::WrongQuestion) };
+    let [asked] = message.queries() else { return Err(DropReason::WrongQuestion) };
     let same =
         asked.name() == &want.name && asked.query_type() == want.kind && asked.query_class() == DNSClass::IN;
     if !same {
-        return Err(Dropped::WrongQuestion);
+        return Err(DropReason::WrongQuestion);
     }
     let sections = [message.answers(), message.name_servers(), message.additionals()];
     if sections.iter().map(|s| s.len()).sum::<usize>() > most_records {
-        return Err(Dropped::TooLarge);
+        return Err(DropReason::TooLarge);
     }
     let soa = message.name_servers().iter().find_map(|r| match r.data() {
         RData::SOA(soa) => Some(soa.minimum().min(r.ttl())),
--- a/crates/srv/tests/scripts.rs
+++ b/crates/srv/tests/scripts.rs
@@ -2,7 +2,9 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use shalespindle_srv::{Dropped, In, Name, Out, Outcome, Resolver, ResolverParams, Step, Target};
+use shalespindle_srv::{
+    DropReason, Name, Outcome, Resolver, ResolverInput, ResolverOutput, ResolverParams, Step, Target,
+};
 use shalespindle_standin::nameserver::{Entry, NameServer, Script};
 use std::net::{IpAddr, SocketAddr};
 
@@ -22,15 +24,15 @@
     ResolverParams {
         upstreams: (0..upstreams).map(upstream).collect(),
         names: vec![service()],
-        try_within: 1.0,
-        tries: 4,
-        lifetime: (5.0, 3600.0),
-        negative_longest: 30.0,
-        early: 0.3,
-        pause: (1.0, 16.0),
+        try_timeout: 1.0,
+        max_tries: 4,
+        lifetime_bounds: (5.0, 3600.0),
+        max_negative_lifetime: 30.0,
+        refresh_fraction: 0.3,
+        retry_pause: (1.0, 16.0),
         start_spread: 3.0,
         udp_size: 1232,
-        most_records: 256,
+        max_records: 256,
     }
 }
 
@@ -73,9 +75,9 @@
             while let Some(step) = self.resolver.next_step() {
                 self.steps.push(step);
             }
-            while let Some(out) = self.resolver.next_out() {
+            while let Some(out) = self.resolver.next_output() {
                 match out {
-                    Out::Ask { ticket, to, tcp, bytes } => {
+                    ResolverOutput::SendQuery { ticket, to, tcp, bytes } => {
                         self.open.push(ticket);
                         let question = if tcp { &bytes[2..] } else { &bytes[..] };
                         let server = &mut self.servers[usize::from(to.port() - 5300)];
@@ -87,12 +89,12 @@
                             self.wire.push((self.now + 0.002 + reply.after, ticket, tcp, to, bytes));
                         }
                     }
-                    Out::Close { ticket } => self.open.retain(|t| *t != ticket),
-                    Out::Done { outcome, .. } => return Some(outcome),
+                    ResolverOutput::CloseSocket { ticket } => self.open.retain(|t| *t != ticket),
+                    ResolverOutput::LookupDone { outcome, .. } => return Some(outcome),
                 }
             }
             let first = self.wire.iter().map(|w| w.0).fold(f64::INFINITY, f64::min);
-            let next = first.min(self.resolver.due());
+            let next = first.min(self.resolver.next_deadline());
             if next > until {
                 self.now = until;
                 return None;
@@ -111,10 +113,10 @@
                 if tcp {
                     // A stream comes in any parts.
                     for part in bytes.chunks(7) {
-                        self.resolver.take(self.now, In::Stream { ticket, bytes: part });
+                        self.resolver.handle(self.now, ResolverInput::Stream { ticket, bytes: part });
                     }
                 } else {
-                    self.resolver.take(self.now, In::Datagram { ticket, from, bytes: &bytes });
+                    self.resolver.handle(self.now, ResolverInput::Datagram { ticket, from, bytes: &bytes });
                 }
             }
             self.resolver.tick(self.now);
@@ -228,20 +230,25 @@
 fn answers_that_are_not_to_the_question_are_dropped_and_the_true_one_taken() {
     let (world, outcome) = scripted(Script::WrongId);
     assert_eq!(targets(&outcome).len(), 3);
-    assert!(world.steps.contains(&Step::Dropped { why: Dropped::WrongId }));
+    assert!(world.steps.contains(&Step::Dropped { why: DropReason::WrongId }));
     let (world, _) = scripted(Script::WrongQuestion);
-    assert!(world.steps.contains(&Step::Dropped { why: Dropped::WrongQuestion }));
+    assert!(world.steps.contains(&Step::Dropped { why: DropReason::WrongQuestion }));
     // From elsewhere.
     let mut resolver = Resolver::new(ResolverParams { start_spread: 0.0, ..params(1) }, 1, 0.0);
     resolver.tick(0.0);
-    let Some(Out::Ask { ticket, bytes, .. }) = resolver.next_out() else { panic!("a question") };
+    let Some(ResolverOutput::SendQuery { ticket, bytes, .. }) = resolver.next_output() else {
+        panic!("a question")
+    };
     let answer = zone(3, 60).ask(0.0, &bytes, false).remove(0).bytes;
-    resolver.take(0.1, In::Datagram { ticket, from: upstream(9), bytes: &answer });
-    assert_eq!((resolver.counters().dropped, resolver.next_out()), (1, None));
-    resolver.take(0.1, In::Datagram { ticket: ticket + 7, from: upstream(0), bytes: &answer });
-    resolver.take(0.1, In::Datagram { ticket, from: upstream(0), bytes: &answer });
-    assert_eq!(resolver.next_out(), Some(Out::Close { ticket }));
-    assert!(matches!(resolver.next_out(), Some(Out::Done { outcome: Outcome::Servers { .. }, .. })));
+    resolver.handle(0.1, ResolverInput::Datagram { ticket, from: upstream(9), bytes: &answer });
+    assert_eq!((resolver.counters().dropped, resolver.next_output()), (1, None));
+    resolver.handle(0.1, ResolverInput::Datagram { ticket: ticket + 7, from: upstream(0), bytes: &answer });
+    resolver.handle(0.1, ResolverInput::Datagram { ticket, from: upstream(0), bytes: &answer });
+    assert_eq!(resolver.next_output(), Some(ResolverOutput::CloseSocket { ticket }));
+    assert!(matches!(
+        resolver.next_output(),
+        Some(ResolverOutput::LookupDone { outcome: Outcome::Servers { .. }, .. })
+    ));
 }
 
 #[test]
@@ -310,7 +317,7 @@
         let before = world.servers[0].asked.len();
         world.servers[0].script = Script::NoAdditional;
         while world.servers[0].asked.len() == before {
-            let due = world.resolver.due();
+            let due = world.resolver.next_deadline();
             assert!(world.run(due).is_none());
         }
         world.servers[0].script = Script::Servfail;
@@ -328,14 +335,16 @@
     let mut refreshes = Vec::new();
     for seed in 0..281 {
         let mut resolver = Resolver::new(params(1), seed, 0.0);
-        firsts.push(resolver.due());
+        firsts.push(resolver.next_deadline());
         let mut server = zone(3, 60);
-        let now = resolver.due();
+        let now = resolver.next_deadline();
         resolver.tick(now);
-        let Some(Out::Ask { ticket, bytes, .. }) = resolver.next_out() else { panic!("a question") };
+        let Some(ResolverOutput::SendQuery { ticket, bytes, .. }) = resolver.next_output() else {
+            panic!("a question")
+        };
         let answer = server.ask(now, &bytes, false).remove(0).bytes;
-        resolver.take(now, In::Datagram { ticket, from: upstream(0), bytes: &answer });
-        refreshes.push(resolver.due());
+        resolver.handle(now, ResolverInput::Datagram { ticket, from: upstream(0), bytes: &answer });
+        refreshes.push(resolver.next_deadline());
     }
     let most =
         |times: &[f64]| times.iter().map(|t| times.iter().filter(|u| (**u - t).abs() < 0.5).count()).max();
@@ -359,9 +368,9 @@
         let mut now = 0.0;
         for _ in 0..60 {
             resolver.tick(now);
-            while let Some(out) = resolver.next_out() {
-                let Out::Ask { ticket, to: from, tcp, bytes } = out else {
-                    done += u32::from(matches!(out, Out::Done { .. }));
+            while let Some(out) = resolver.next_output() {
+                let ResolverOutput::SendQuery { ticket, to: from, tcp, bytes } = out else {
+                    done += u32::from(matches!(out, ResolverOutput::LookupDone { .. }));
                     continue;
                 };
                 let question = if tcp { &bytes[2..] } else { &bytes[..] };
@@ -384,9 +393,9 @@
                     let report = |bad: &[u8], to: &mut Resolver| {
                         if tcp {
                             let framed = [&(bad.len() as u16).to_be_bytes()[..], bad].concat();
-                            to.take(now, In::Stream { ticket, bytes: &framed });
+                            to.handle(now, ResolverInput::Stream { ticket, bytes: &framed });
                         } else {
-                            to.take(now, In::Datagram { ticket, from, bytes: bad });
+                            to.handle(now, ResolverInput::Datagram { ticket, from, bytes: bad });
                         }
                     };
                     // Each at a resolver that still waits for it; the last one goes on with what it took.
@@ -399,7 +408,7 @@
                 }
                 resolver = last.unwrap_or(resolver);
             }
-            now = resolver.due().max(now + 0.001);
+            now = resolver.next_deadline().max(now + 0.001);
         }
         while resolver.next_step().is_some() {}
     }
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -4,7 +4,7 @@
 use shalespindle_membership::ListEntry;
 use shalespindle_peer_service::{Fronts, Keep, Saying, Start};
 use shalespindle_replica::ServerRecord;
-use shalespindle_settings::{read_key, FleetSettings};
+use shalespindle_settings::{read_key_file, FleetSettings};
 use shalespindle_sites::{SiteTable, SitesParams};
 use shalespindle_sockets::{Ground, Mailbox};
 use std::io;
@@ -21,9 +21,9 @@
     let start = Start {
         name: settings.name.clone(),
         listen: settings.listen,
-        peers: settings.others(),
-        key: read_key(&settings.key_file).map_err(io::Error::other)?,
-        params: settings.params(),
+        peers: settings.other_fronts(),
+        key: read_key_file(&settings.key_file).map_err(io::Error::other)?,
+        params: settings.fleet_params(),
         seed,
         keep: settings.keep_file.as_ref().map(keep),
         sites,
--- a/crates/transport/src/names.rs
+++ b/crates/transport/src/names.rs
@@ -1,13 +1,15 @@
 //! What sockets report of questions, as the resolver takes it.
 
 use shalespindle_sockets::Report;
-use shalespindle_srv::In;
+use shalespindle_srv::ResolverInput;
 
 /// The same report in the resolver's words.
-pub fn as_in(report: &Report) -> In<'_> {
+pub fn as_in(report: &Report) -> ResolverInput<'_> {
     match report {
-        Report::Datagram { ticket, from, bytes } => In::Datagram { ticket: *ticket, from: *from, bytes },
-        Report::Bytes { ticket, bytes } => In::Stream { ticket: *ticket, bytes },
-        Report::Lost { ticket } => In::Lost { ticket: *ticket },
+        Report::Datagram { ticket, from, bytes } => {
+            ResolverInput::Datagram { ticket: *ticket, from: *from, bytes }
+        }
+        Report::Bytes { ticket, bytes } => ResolverInput::Stream { ticket: *ticket, bytes },
+        Report::Lost { ticket } => ResolverInput::SocketLost { ticket: *ticket },
     }
 }
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -57,7 +57,7 @@
         let address = listener.local_addr()?;
         // A refusal costs only room for datagrams while the process stands still.
         let _ = SockRef::from(udp.inner()).set_recv_buffer_size(DATAGRAM_BUFFER);
-        let mut params = settings.params();
+        let mut params = settings.front_params();
         if settings.front.host.is_none() {
             params.host = address.to_string();
         }
@@ -162,7 +162,7 @@
     /// The list of other fronts changed; false where this front was started without any.
     pub fn relist(&self, fleet: &FleetSettings) -> bool {
         if let Some(fronts) = &self.fronts {
-            fronts.teller().relist(fleet.others());
+            fronts.teller().relist(fleet.other_fronts());
         }
         self.fronts.is_some()
     }
