--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -96,7 +96,7 @@
         }
     };
     if let (Some(now), Some(then)) = (&mut current.fleet, &mut new.fleet) {
-        if now.others() != then.others() && service.set_peers(then) {
+        if now.other_fronts() != then.other_fronts() && service.set_peers(then) {
             now.peers.clone_from(&then.peers);
         }
     }
