--- a/crates/platform-service/src/owner.rs
+++ b/crates/platform-service/src/owner.rs
@@ -5,7 +5,7 @@
 use shalespindle_platform::{
     ConnectionId, Edge, LogLevel, LogRecord, Loss, Output, StartFile, UNCOUNTED_CONNECTIONS,
 };
-use shalespindle_sockets::{Ground, Mail, Mailbox, Writing};
+use shalespindle_sockets::{Mailbox, MailboxReceiver, MonotonicClock, WriteHalf};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tracing::{debug, info};
@@ -27,8 +27,8 @@
 
 /// What the owner receives.
 pub(crate) enum OwnerEvent {
-    Accepted { connection: ConnectionId, writing: Writing },
-    Connected { connection: ConnectionId, writing: Writing },
+    Accepted { connection: ConnectionId, writing: WriteHalf },
+    Connected { connection: ConnectionId, writing: WriteHalf },
     Bytes { arrived: f64, connection: ConnectionId, bytes: Vec<u8> },
     Lost { connection: ConnectionId, loss: Loss },
     Reload(Box<StartFile>),
@@ -36,7 +36,7 @@
 }
 
 struct Peer {
-    writing: Writing,
+    writing: WriteHalf,
     /// Bytes that did not fit into the socket yet.
     waiting: Vec<u8>,
     /// Set once the `Edge` has closed the connection: it is closed when all bytes are written, or at this
@@ -45,16 +45,16 @@
 }
 
 impl Peer {
-    fn new(writing: Writing) -> Peer {
+    fn new(writing: WriteHalf) -> Peer {
         Peer { writing, waiting: Vec::new(), closes_at: None }
     }
 }
 
 pub(crate) struct Owner {
     edge: Edge,
-    ground: Ground,
+    ground: MonotonicClock,
     mailbox: Mailbox<OwnerEvent>,
-    mail: Mail<OwnerEvent>,
+    mail: MailboxReceiver<OwnerEvent>,
     peers: BTreeMap<ConnectionId, Peer>,
     dialled: BTreeSet<ConnectionId>,
     slots: ConnectionSlots,
@@ -66,9 +66,9 @@
 impl Owner {
     pub fn new(
         edge: Edge,
-        ground: Ground,
+        ground: MonotonicClock,
         mailbox: Mailbox<OwnerEvent>,
-        mail: Mail<OwnerEvent>,
+        mail: MailboxReceiver<OwnerEvent>,
         slots: ConnectionSlots,
     ) -> Owner {
         let (peers, dialled) = Default::default();
@@ -91,8 +91,8 @@
             let blocked = self.peers.values().any(|p| !p.waiting.is_empty());
             let again = if blocked { self.ground.now() + WRITE_RETRY } else { f64::INFINITY };
             let due = self.edge.wake_at().min(again);
-            let next = self.mail.next_within(self.ground.until(due));
-            if self.ground.just_went_on() {
+            let next = self.mail.recv_timeout(self.ground.duration_until(due));
+            if self.ground.just_resumed() {
                 // After a stall all input that arrived meanwhile is read before anything is decided: callers
                 // may have left, and servers may have gone out of service (platform rule 3).
                 may::coroutine::sleep(SETTLE_TIME);
@@ -127,14 +127,14 @@
         loop {
             while let Some(event) = next {
                 self.handle_event(event);
-                next = if self.ground.now() < until { self.mail.try_next() } else { None };
+                next = if self.ground.now() < until { self.mail.try_recv() } else { None };
             }
             // Lets readers that were woken or wait for mailbox space run first, on the same worker.
             may::coroutine::yield_now();
             if self.ground.now() >= until {
                 return;
             }
-            next = self.mail.try_next();
+            next = self.mail.try_recv();
             if next.is_none() {
                 if !self.has_unread_input() {
                     return;
--- a/crates/platform-service/src/readers.rs
+++ b/crates/platform-service/src/readers.rs
@@ -4,7 +4,7 @@
 use crate::slots::ConnectionSlots;
 use may::net::{TcpListener, TcpStream};
 use shalespindle_platform::{ConnectionId, Loss};
-use shalespindle_sockets::{read_all, share, start, Ground, Handle, Mailbox, SMALL_STACK};
+use shalespindle_sockets::{read_all, split, start, Handle, Mailbox, MonotonicClock, SMALL_STACK};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 pub(crate) fn accept(
     listener: TcpListener,
     mailbox: Mailbox<OwnerEvent>,
-    ground: Ground,
+    ground: MonotonicClock,
     slots: ConnectionSlots,
 ) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
@@ -38,7 +38,7 @@
             let _ = stream.set_nodelay(true);
             let connection = last;
             let (reader_mailbox, ground) = (mailbox.clone(), ground.clone());
-            let (mut reading, writing) = share(stream);
+            let (mut reading, writing) = split(stream);
             if mailbox.send(OwnerEvent::Accepted { connection, writing }).is_err() {
                 return;
             }
@@ -56,13 +56,13 @@
 }
 
 fn read(
-    reading: &mut shalespindle_sockets::Reading,
+    reading: &mut shalespindle_sockets::ReadHalf,
     connection: ConnectionId,
     mailbox: &Mailbox<OwnerEvent>,
-    ground: &Ground,
+    ground: &MonotonicClock,
 ) {
     read_all(reading, READ_SIZE, |bytes| {
-        mailbox.send(OwnerEvent::Bytes { arrived: ground.arrival(), connection, bytes }).is_ok()
+        mailbox.send(OwnerEvent::Bytes { arrived: ground.earliest_arrival(), connection, bytes }).is_ok()
     });
 }
 
@@ -72,14 +72,14 @@
     to: SocketAddr,
     timeout: Duration,
     mailbox: &Mailbox<OwnerEvent>,
-    ground: &Ground,
+    ground: &MonotonicClock,
 ) {
     let (mailbox_of_dial, ground) = (mailbox.clone(), ground.clone());
     let started = start(SMALL_STACK, move || {
         let loss = match TcpStream::connect_timeout(&to, timeout) {
             Ok(stream) => {
                 let _ = stream.set_nodelay(true);
-                let (mut reading, writing) = share(stream);
+                let (mut reading, writing) = split(stream);
                 if mailbox_of_dial.send(OwnerEvent::Connected { connection, writing }).is_err() {
                     return;
                 }
@@ -92,6 +92,6 @@
         let _ = mailbox_of_dial.send(OwnerEvent::Lost { connection, loss });
     });
     if started.is_err() {
-        let _ = mailbox.send_urgent(OwnerEvent::Lost { connection, loss: Loss::Broken });
+        let _ = mailbox.send_unbounded(OwnerEvent::Lost { connection, loss: Loss::Broken });
     }
 }
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -4,9 +4,9 @@
 use shalespindle_membership::ListEntry;
 use shalespindle_peer_service::{FleetCommand, FleetConfig, FleetService, Persistence};
 use shalespindle_replica::ServerRecord;
-use shalespindle_settings::{read_key, FleetSettings};
+use shalespindle_settings::{read_key_file, FleetSettings};
 use shalespindle_sites::{SiteTable, SitesParams};
-use shalespindle_sockets::{Ground, Mailbox};
+use shalespindle_sockets::{Mailbox, MonotonicClock};
 use std::io;
 
 /// Opens the socket between fronts; what others make known goes to the front's owner.
@@ -14,7 +14,7 @@
     settings: &FleetSettings,
     sites: Option<(SitesParams, SiteTable)>,
     seed: u64,
-    ground: Ground,
+    ground: MonotonicClock,
     to: Mailbox<Letter>,
 ) -> io::Result<FleetService> {
     let keep = |file: &std::path::PathBuf| Persistence {
@@ -24,15 +24,15 @@
     let config = FleetConfig {
         name: settings.name.clone(),
         listen: settings.listen,
-        peers: settings.others(),
-        key: read_key(&settings.key_file).map_err(io::Error::other)?,
-        params: settings.params(),
+        peers: settings.other_fronts(),
+        key: read_key_file(&settings.key_file).map_err(io::Error::other)?,
+        params: settings.fleet_params(),
         seed,
         persistence: settings.keep_file.as_ref().map(keep),
         sites,
     };
     // An owner that has ended has no use for news.
-    FleetService::start(config, ground, move |heard| drop(to.send_urgent(Letter::Fleet(heard))))
+    FleetService::start(config, ground, move |heard| drop(to.send_unbounded(Letter::Fleet(heard))))
 }
 
 /// What this front's list told, for others.
