--- a/crates/console/src/words.rs
+++ b/crates/console/src/display.rs
@@ -1,4 +1,4 @@
-//! Answers as operators read them.
+//! Replies as text for operators.
 
 use crate::{FrontStatus, LevelState, MemberState, Members, Reply};
 use shalespindle_peer_service::{FleetStatus, PersistenceState};
@@ -8,9 +8,9 @@
 impl fmt::Display for Reply {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reply::Status(snapshot) => snapshot.fmt(f),
+            Reply::Status(status) => status.fmt(f),
             Reply::Members(members) => members.fmt(f),
-            Reply::Fleet(standing) => fleet(standing, f),
+            Reply::Fleet(fleet) => write_fleet(fleet, f),
             Reply::Done { what } => f.write_str(what),
             Reply::Bad { why } => write!(f, "not done: {why}"),
         }
@@ -27,15 +27,15 @@
         }
         writeln!(
             f,
-            "attaches: {} in hand, {} standing; held {} and {} legs",
+            "attaches: {} pending, {} established; {} attaches and {} legs in memory",
             self.pending, self.established, self.attaches_held, self.legs_held
         )?;
         writeln!(
             f,
-            "late by p50 {:.2} ms, p99 {:.2} ms; {} datagrams dropped",
+            "delay p50 {:.2} ms, p99 {:.2} ms; {} datagrams dropped",
             self.lag_p50_ms, self.lag_p99_ms, self.datagrams_dropped
         )?;
-        // Every counter under its own name, whatever there will be.
+        // All counters, by way of JSON, so that a new one is printed without a change here.
         let counters = serde_json::to_value(self.counters).map_err(|_| fmt::Error)?;
         for (name, count) in counters.as_object().into_iter().flatten() {
             writeln!(f, "  {name:20} {count}")?;
@@ -44,16 +44,16 @@
     }
 }
 
-fn fleet(s: &FleetStatus, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+fn write_fleet(s: &FleetStatus, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     let state = match (s.silenced, s.isolated, s.caught_up) {
-        (true, ..) => "silenced: another process holds this name",
-        (_, true, _) => "alone: no other front is heard",
+        (true, ..) => "silenced: another process uses this name",
+        (_, true, _) => "isolated: no other front is alive",
         (.., false) => "catching up",
         (.., true) => "caught up",
     };
     writeln!(
         f,
-        "{}: {state}; life {}-{:x}, {} facts told",
+        "{}: {state}; incarnation {}-{:x}, {} facts published",
         s.name, s.incarnation.0, s.incarnation.1, s.own_facts
     )?;
     for p in &s.peers {
@@ -64,16 +64,16 @@
         )?;
     }
     if let Some(sites) = &s.sites {
-        sites_in_words(sites, f)?;
+        write_sites(sites, f)?;
     }
     match &s.persistence {
-        PersistenceState::Off => writeln!(f, "nothing is kept on disk")?,
-        PersistenceState::Good => writeln!(f, "what is known here is kept on disk")?,
-        PersistenceState::Failing(why) => writeln!(f, "nothing is kept on disk now: {why}")?,
+        PersistenceState::Off => writeln!(f, "persistence is off")?,
+        PersistenceState::Good => writeln!(f, "the fleet state is persisted")?,
+        PersistenceState::Failing(why) => writeln!(f, "the fleet state is not persisted: {why}")?,
     }
     writeln!(
         f,
-        "{} servers differ now, copies that differ met {} times",
+        "{} servers have conflicting reports now, {} conflicts so far",
         s.conflicts.len(),
         s.conflict_count
     )?;
@@ -83,19 +83,20 @@
     Ok(())
 }
 
-fn sites_in_words(s: &SitesStatus, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-    let cut_off = if s.cut_off { "; cut off: this front hears no more than half of the fleet" } else { "" };
-    writeln!(f, "sites, by the sights of {} of {} fronts{cut_off}", s.observations, s.fleet)?;
+fn write_sites(s: &SitesStatus, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    let cut_off =
+        if s.cut_off { "; cut off: this front receives from at most half of the fleet" } else { "" };
+    writeln!(f, "sites, by the observations of {} of {} fronts{cut_off}", s.observations, s.fleet)?;
     for site in &s.sites {
         let step = match site.stage {
             Stage::Returning { step } => format!(", step {step}"),
             _ => String::new(),
         };
         let held = site.held_for.map_or(String::new(), |left| format!(", held for {left:.0} s"));
-        let out = if site.excluded_here { "; left alone here" } else { "" };
+        let excluded = if site.excluded_here { "; excluded here" } else { "" };
         writeln!(
             f,
-            "  {:20} {}{step} (epoch {}, {:.1} s{held}); fronts {} of {}; of {} outside {} reach it, {} miss it{out}",
+            "  {:20} {}{step} (epoch {}, {:.1} s{held}); fronts {} of {} alive; of {} outside, {} reach it, {} do not{excluded}",
             site.name,
             site.state.name(),
             site.epoch,
@@ -106,41 +107,39 @@
             site.reached,
             site.missed
         )?;
-        let bears = |b: Option<f64>| b.map_or("not known yet".into(), |b| format!("{b:.1} a second"));
+        let capacity =
+            |rate: Option<f64>| rate.map_or("not known yet".into(), |rate| format!("{rate:.1} a second"));
         writeln!(
             f,
-            "  {:20} stands {:.1} a second of {}; were it lost: {:.1} a second needed, the others bear {}",
+            "  {:20} establishes {:.1} a second, capacity {}; if it is lost: {:.1} a second required, capacity of the others {}",
             "",
             site.established,
-            bears(site.capacity),
+            capacity(site.capacity),
             site.required_if_lost,
-            bears(site.capacity_if_lost)
+            capacity(site.capacity_if_lost)
         )?;
     }
     if !s.shares.is_empty() {
         let shares: Vec<String> = s.shares.iter().map(|s| format!("{:.2}", s)).collect();
-        writeln!(f, "  taken of what is asked, by procedure: {}", shares.join(", "))?;
+        writeln!(f, "  admitted fraction of requests, by procedure: {}", shares.join(", "))?;
     }
     if s.other_tables + s.invalid_messages > 0 {
-        writeln!(
-            f,
-            "  {} messages of other tables of sites, {} of bad form",
-            s.other_tables, s.invalid_messages
-        )?;
+        writeln!(f, "  {} messages with another site table, {} invalid", s.other_tables, s.invalid_messages)?;
     }
     Ok(())
 }
 
-/// Copies that differ, a line each, as `fleet diff` prints them.
+/// The servers with conflicting reports, one line each, as `fleet diff` prints them.
 pub fn differences(s: &FleetStatus) -> String {
     let mut text = String::new();
-    for d in &s.conflicts {
-        let words: Vec<String> = d.reports.iter().map(|(front, told)| format!("{front} {told}")).collect();
-        let (address, incarnation, settled) = (d.address, d.incarnation, &d.resolved);
+    for conflict in &s.conflicts {
+        let reports: Vec<String> =
+            conflict.reports.iter().map(|(front, state)| format!("{front} {state}")).collect();
+        let (address, incarnation, resolved) = (conflict.address, conflict.incarnation, &conflict.resolved);
         text += &format!(
-            "{address} start {incarnation}: {}; counts as {settled}, for {:.0} s\n",
-            words.join(", "),
-            d.duration_s
+            "{address} start {incarnation}: {}; counts as {resolved}, for {:.0} s\n",
+            reports.join(", "),
+            conflict.duration_s
         );
     }
     text
@@ -149,12 +148,12 @@
 impl fmt::Display for LevelState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "level {} of {} for {:.1} s: {}", self.level, self.max_level, self.seconds, self.reason)?;
-        writeln!(f, "  takes {}", self.admits)?;
+        writeln!(f, "  admits {}", self.admits)?;
         match self.pressure {
             Some(pressure) => write!(f, "  pressure now {pressure:.3}")?,
-            None => write!(f, "  too little to judge by now")?,
+            None => write!(f, "  too few samples for a pressure now")?,
         }
-        writeln!(f, "; taken {}, refused {}, changes {}", self.admitted, self.refused, self.changes)?;
+        writeln!(f, "; admitted {}, refused {}, changes {}", self.admitted, self.refused, self.changes)?;
         if let Some(left) = self.pinned_for {
             writeln!(f, "  pinned for another {left:.0} s")?;
         }
@@ -165,8 +164,8 @@
 impl fmt::Display for Members {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.feed_lost_for {
-            Some(seconds) => writeln!(f, "pool list: away for {seconds:.0} s")?,
-            None => writeln!(f, "pool list: there")?,
+            Some(seconds) => writeln!(f, "pool list: disconnected for {seconds:.0} s")?,
+            None => writeln!(f, "pool list: connected")?,
         }
         for name in &self.names {
             let last = name.last.as_deref().unwrap_or("not looked up yet");
@@ -175,15 +174,15 @@
                 write!(f, ", {age:.0} s ago")?;
             }
             match name.next_in {
-                Some(next) => writeln!(f, "; again in {next:.0} s")?,
-                None => writeln!(f, "; under way")?,
+                Some(next) => writeln!(f, "; next lookup in {next:.0} s")?,
+                None => writeln!(f, "; lookup in progress")?,
             }
         }
         for member in &self.members {
             member.fmt(f)?;
         }
         if self.over_capacity > 0 {
-            writeln!(f, "{} servers not taken up for want of room", self.over_capacity)?;
+            writeln!(f, "{} servers ignored: the maximum number is reached", self.over_capacity)?;
         }
         Ok(())
     }
@@ -191,7 +190,7 @@
 
 impl fmt::Display for MemberState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let warned = if self.needs_attention { ", warned" } else { "" };
+        let warned = if self.needs_attention { ", needs attention" } else { "" };
         write!(
             f,
             "{} pool {}: {} for {:.0} s{warned}; list {}",
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,62 +1,54 @@
-//! Operators' questions to a running front: one JSON object a line over a Unix socket, one answer a line.
-//! The front's owner answers; nothing is decided here.
+//! Operators' requests to a running front over a Unix socket: one JSON object per line, one reply per line. The
+//! replies come from the front's owner.
 
 mod client;
+mod display;
 mod server;
-mod words;
 
 pub use client::{ask, ConsoleError};
+pub use display::differences;
 pub use server::{serve, Console};
 pub use shalespindle_sites::Order;
-pub use words::differences;
 
 use serde::{Deserialize, Serialize};
 use shalespindle_front::Counters;
 use shalespindle_peer_service::FleetStatus;
 
-/// The longest question taken, bytes.
+/// Maximum length of a request's line, bytes.
 pub const MAX_LINE_BYTES: u64 = 4096;
 
-/// A question or an order.
+/// A query or an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Request {
+    /// The front's state.
     Status,
-    /// Each server with what the sources say of it.
+    /// Each server with the states that its sources report.
     Members,
-    /// Holds a level of reduced service for so many seconds.
-    PinLevel {
-        level: usize,
-        seconds: f64,
-    },
-    /// Ends a pin before its time.
+    /// Pins a level of reduced service at this front for `seconds`.
+    PinLevel { level: usize, seconds: f64 },
+    /// Ends a pin before it expires.
     UnpinLevel,
-    /// The other fronts, as this one knows them.
+    /// The state of the fleet as this front knows it.
     Fleet,
-    /// Holds a level on all fronts for so many seconds; none lets it go.
-    PinFleet {
-        level: Option<usize>,
-        seconds: f64,
-    },
-    /// An operator's word on a site, for all fronts.
-    Site {
-        name: String,
-        order: Order,
-        seconds: f64,
-    },
+    /// Pins a level on all fronts for `seconds`; `None` ends the pin.
+    PinFleet { level: Option<usize>, seconds: f64 },
+    /// An order on a site that applies to all fronts for `seconds`.
+    Site { name: String, order: Order, seconds: f64 },
 }
 
-/// What a front says.
+/// The reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "reply", rename_all = "snake_case")]
 pub enum Reply {
     Status(Box<FrontStatus>),
     Members(Box<Members>),
     Fleet(Box<FleetStatus>),
+    /// The order was carried out; `what` describes the result.
     Done {
         what: String,
     },
-    /// Not done, and why.
+    /// The request was refused or could not be parsed, with the reason.
     Bad {
         why: String,
     },
@@ -67,19 +59,23 @@
 pub struct FrontStatus {
     /// Its name in Via and Contact.
     pub front: String,
+    /// Time since the start.
     pub seconds_in_service: f64,
+    /// Shutting down: established attaches are still served.
     #[serde(rename = "ending")]
     pub shutting_down: bool,
-    /// None where levels are off.
+    /// None if the settings disable levels.
     pub level: Option<LevelState>,
+    /// Number of attaches that are not answered yet, and of established ones.
     #[serde(rename = "in_hand")]
     pub pending: usize,
     #[serde(rename = "standing")]
     pub established: usize,
+    /// Number of attaches and of legs in memory, finished ones included.
     pub attaches_held: usize,
     pub legs_held: usize,
     pub datagrams_dropped: u64,
-    /// How late the owner handled what came and what was due, milliseconds.
+    /// Delay of the owner in handling inputs and timers, median and 99th percentile, milliseconds.
     pub lag_p50_ms: f64,
     pub lag_p99_ms: f64,
     pub counters: Counters,
@@ -89,19 +85,22 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LevelState {
     pub level: usize,
+    /// The highest level that the settings define.
     #[serde(rename = "deepest")]
     pub max_level: usize,
-    /// How long it has been this one.
+    /// Time since the last change of the level.
     pub seconds: f64,
-    /// The figure that crossed which threshold, in words.
+    /// The value that crossed a threshold, as text.
     #[serde(rename = "why")]
     pub reason: String,
+    /// What the level admits, as text.
     #[serde(rename = "takes")]
     pub admits: String,
-    /// Share of the protected utility lost just now; none with too little to judge by.
+    /// Fraction of the protected utility that is lost at present; none if there are too few samples.
     pub pressure: Option<f64>,
-    /// Seconds left of a pin.
+    /// Seconds until the pin expires.
     pub pinned_for: Option<f64>,
+    /// Numbers of attaches that the level admitted and refused, and of changes of the level.
     #[serde(rename = "taken")]
     pub admitted: u64,
     pub refused: u64,
@@ -111,47 +110,52 @@
 /// The servers that a front knows; docs/operators/membership.md.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Members {
-    /// Seconds that the pool list's feed has been away; none while it is there.
+    /// Seconds since the connection to the pool list's feed was lost; none while it is connected.
     #[serde(rename = "feed_away")]
     pub feed_lost_for: Option<f64>,
     pub names: Vec<NameState>,
     pub members: Vec<MemberState>,
-    /// Servers not taken up for want of room.
+    /// Servers that were ignored because the maximum number of servers was reached.
     #[serde(rename = "turned_away")]
     pub over_capacity: u64,
 }
 
-/// A name that is looked up.
+/// A DNS name that is resolved for server addresses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NameState {
     pub name: String,
-    /// What the last look-up came to.
+    /// Result of the last lookup; none before it.
     pub last: Option<String>,
-    /// Seconds since then.
+    /// Seconds since the last lookup.
     pub age: Option<f64>,
-    /// Seconds until the next; none while one is under way.
+    /// Seconds until the next lookup; none while one is in progress.
     pub next_in: Option<f64>,
 }
 
-/// One server.
+/// The state of one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberState {
     pub address: std::net::SocketAddr,
     pub pool: u16,
+    /// The status that this front has decided, and the seconds since.
     #[serde(rename = "verdict")]
     pub status: String,
     pub seconds: f64,
+    /// The state that the pool list reports.
     pub list: String,
-    /// Seconds since the list last told something new.
+    /// Seconds since the list last reported a change.
     pub list_age: Option<f64>,
+    /// The state that follows from DNS.
     pub dns: String,
-    /// Seconds since DNS last named it, and what is left of that answer's lifetime (negative: past).
+    /// Seconds since a DNS answer last contained it, and until that answer expires (negative: it has expired).
     pub dns_age: Option<f64>,
     pub dns_left: Option<f64>,
     /// Priority and weight (RFC 2782).
     pub rank: Option<(u16, u16)>,
+    /// Reason of the status.
     #[serde(rename = "because")]
     pub reason: String,
+    /// In service with a warning about its sources, or as the last resort.
     #[serde(rename = "warned")]
     pub needs_attention: bool,
 }
--- a/crates/peer-service/src/lib.rs
+++ b/crates/peer-service/src/lib.rs
@@ -1,6 +1,8 @@
-//! A front's place among the others on sockets: one UDP socket, a coroutine that reads it and a thread that owns the
-//! core. What becomes known goes to a callback; what this front tells comes over a bounded mailbox, and no
-//! sender of it ever waits. Nothing is decided here.
+//! Runs a front's part in the fleet over UDP: one socket, a coroutine that reads it and a thread that owns the
+//! state machines (`shalespindle_replica::Fleet` and `shalespindle_sites::Sites`), which make all decisions.
+//!
+//! Notices from the fleet go to a callback. Commands of this front arrive over a mailbox whose senders never
+//! block, while datagrams are bounded.
 
 mod owner;
 mod persistence;
@@ -10,112 +12,129 @@
 pub use persistence::{Persistence, PersistenceState};
 
 use may::net::UdpSocket;
-use owner::{Directory, Letter, Owner};
+use owner::{Directory, Owner, OwnerMessage};
 use persistence::Persister;
 use shalespindle_peer_store::Store;
 use shalespindle_peer_wire::{front_id, Codec};
 use shalespindle_replica::{Fleet, FleetParams};
 use shalespindle_sites::{Order, SiteTable, Sites, SitesError, SitesParams};
 use shalespindle_sockets::{end, mailbox, start, Handle, Mailbox, MonotonicClock, SMALL_STACK};
-use sites::SitesOwner;
+use sites::SitesDriver;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::mpsc;
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Letters that may wait for the owner; past that datagrams wait in their socket and are lost there.
-const ROOM: usize = 1024;
-/// An owner that does not answer a question within this has ended.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(5);
+/// Capacity of the owner's mailbox for datagrams. When it is full they wait in the socket's buffer, and the kernel
+/// drops what does not fit there.
+const MAILBOX_CAPACITY: usize = 1024;
+/// Timeout of a request to the owner; an owner that exceeds it is treated as ended.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a front among others is started with.
+/// Configuration of a [`FleetService`].
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     pub name: String,
     pub listen: SocketAddr,
-    /// The other fronts: name, and where their datagrams go.
+    /// The other fronts: name and UDP address.
     pub peers: Vec<(String, SocketAddr)>,
+    /// Key of the frames' hashes, the same on all fronts.
     pub key: [u8; 32],
     pub params: FleetParams,
-    /// Draws the order in which others are told, and the nonce of this life.
+    /// Seeds the random choice of peers, and is the nonce of this incarnation.
     pub seed: u64,
-    /// None: nothing outlives the process.
+    /// None: no state is persisted.
     pub persistence: Option<Persistence>,
-    /// Sites that the fleet judges; none: nothing is told or heeded of any.
+    /// The sites whose state the fleet decides; none: this front neither reports nor uses site states.
     pub sites: Option<(SitesParams, SiteTable)>,
 }
 
-/// A front among others; dropping it leaves in order and leaves nothing running.
+/// A running member of the fleet. Dropping it announces the departure, then ends the thread and the coroutine.
 pub struct FleetService {
     address: SocketAddr,
-    mailbox: Mailbox<Letter>,
+    mailbox: Mailbox<OwnerMessage>,
     reader: Option<Handle>,
     owner: Option<JoinHandle<()>>,
-    /// What is kept, once the owner has ended.
+    /// Yields the store once the owner has ended.
     store: mpsc::Receiver<Store>,
 }
 
-/// Tells the others; cheap to clone.
+/// Sends commands and requests to a [`FleetService`]; cheap to clone.
 #[derive(Clone)]
-pub struct FleetHandle(Mailbox<Letter>);
+pub struct FleetHandle(Mailbox<OwnerMessage>);
 
 impl FleetHandle {
-    /// Never waits: what is said comes from the front's own list and operators, not from peers.
-    pub fn publish(&self, sayings: Vec<FleetCommand>) {
-        let _ = self.0.send_unbounded(Letter::Say(sayings));
+    /// Queues commands without blocking. They come from the front itself and from operators, not from peers, so
+    /// the mailbox's capacity does not apply to them.
+    pub fn publish(&self, commands: Vec<FleetCommand>) {
+        let _ = self.0.send_unbounded(OwnerMessage::Publish(commands));
     }
 
-    /// An operator's order on a site, for all fronts, waited for on the caller's thread; none once the owner has ended.
+    /// Applies an operator's order on a site, for all fronts. Blocks the calling thread until the reply; none once
+    /// the owner has ended. `lasts` is in seconds.
     pub fn order(&self, site: String, order: Order, lasts: f64) -> Option<Result<(), SitesError>> {
-        let (to, from) = mpsc::channel();
-        self.0.send_unbounded(Letter::Order { site, order, lasts, to }).ok()?;
-        from.recv_timeout(ANSWERED_WITHIN).ok()
+        let (reply_to, reply) = mpsc::channel();
+        self.0.send_unbounded(OwnerMessage::SiteOrder { site, order, lasts, reply_to }).ok()?;
+        reply.recv_timeout(REPLY_TIMEOUT).ok()
     }
 
-    /// The list of the other fronts changed: name, and where their datagrams go.
+    /// Replaces the list of the other fronts: name and UDP address.
     pub fn set_peers(&self, peers: Vec<(String, SocketAddr)>) {
-        let _ = self.0.send_unbounded(Letter::Relist(peers));
+        let _ = self.0.send_unbounded(OwnerMessage::SetPeers(peers));
     }
 
-    /// How the fronts stand, waited for on the caller's thread; none once the owner has ended.
+    /// Returns the state of the fleet as this front knows it. Blocks the calling thread until the reply; none once
+    /// the owner has ended.
     pub fn status(&self) -> Option<FleetStatus> {
-        let (to, from) = mpsc::channel();
-        self.0.send_unbounded(Letter::Ask(to)).ok()?;
-        from.recv_timeout(ANSWERED_WITHIN).ok()
+        let (reply_to, reply) = mpsc::channel();
+        self.0.send_unbounded(OwnerMessage::Status(reply_to)).ok()?;
+        reply.recv_timeout(REPLY_TIMEOUT).ok()
     }
 }
 
 impl FleetService {
-    /// Opens the socket and starts; the port may be 0 for any free one.
+    /// Opens the socket and starts the threads; port 0 selects any free one. `on_notice` is called on the owner's
+    /// thread.
     pub fn start(
-        what: FleetConfig,
-        ground: MonotonicClock,
-        heard: impl FnMut(FleetNotice) + Send + 'static,
+        config: FleetConfig,
+        clock: MonotonicClock,
+        on_notice: impl FnMut(FleetNotice) + Send + 'static,
     ) -> io::Result<FleetService> {
-        let udp = UdpSocket::bind(what.listen)?;
+        let udp = UdpSocket::bind(config.listen)?;
         let address = udp.local_addr()?;
         let writer = udp.try_clone()?;
-        let own = front_id(&what.name);
-        let directory = Directory::new(&what.name, what.peers);
-        let now = ground.now();
-        let (mut persister, kept) = Persister::open(what.persistence.as_ref(), own, now);
-        let life = persistence::life(kept.as_ref(), own, what.seed);
-        let (most, fanout, bytes) =
-            (what.params.peers.max_fronts, what.params.peers.fanout, what.params.max_message_bytes);
-        let sites = what.sites.map(|(params, table)| Sites::new(params, table, own, what.seed, now));
-        let mut fleet = Fleet::new(what.params, own, life, &directory.listed(), what.seed, now);
-        persister.restore(now, &mut fleet, kept);
-        let codec = Codec::new(what.key, own, most);
-        let (sending, mail) = mailbox(ROOM);
-        let reader = read(udp, sending.clone())?;
-        let (last, store) = mpsc::channel();
-        let (udp, heard, traffic) = (writer, Box::new(heard), Default::default());
-        let sites = sites.map(|core| SitesOwner { core, fanout, bytes });
-        let owner =
-            Owner { fleet, sites, persister, codec, udp, directory, ground, mail, heard, traffic, last };
-        // A thread of its own: its turns over many facts are long, and would hold up a front's owner that shares a
-        // worker of the coroutines with it.
+        let own = front_id(&config.name);
+        let directory = Directory::new(&config.name, config.peers);
+        let now = clock.now();
+        let (mut persister, snapshot) = Persister::open(config.persistence.as_ref(), own, now);
+        let incarnation = persistence::new_incarnation(snapshot.as_ref(), own, config.seed);
+        let (max_fronts, fanout, max_message_bytes) =
+            (config.params.peers.max_fronts, config.params.peers.fanout, config.params.max_message_bytes);
+        let sites = config.sites.map(|(params, table)| Sites::new(params, table, own, config.seed, now));
+        let mut fleet = Fleet::new(config.params, own, incarnation, &directory.listed(), config.seed, now);
+        persister.restore(now, &mut fleet, snapshot);
+        let codec = Codec::new(config.key, own, max_fronts);
+        let (mailbox, receiver) = mailbox(MAILBOX_CAPACITY);
+        let reader = read(udp, mailbox.clone())?;
+        let (store_sender, store) = mpsc::channel();
+        let (udp, on_notice, traffic) = (writer, Box::new(on_notice), Default::default());
+        let sites = sites.map(|core| SitesDriver { core, fanout, max_message_bytes });
+        let owner = Owner {
+            fleet,
+            sites,
+            persister,
+            codec,
+            udp,
+            directory,
+            clock,
+            receiver,
+            on_notice,
+            traffic,
+            store_sender,
+        };
+        // A separate thread instead of a coroutine: a turn over many facts takes long and would delay a front's owner
+        // that shares a coroutine worker with it.
         let owner = match std::thread::Builder::new().name("fleet".into()).spawn(move || owner.run()) {
             Ok(owner) => owner,
             Err(why) => {
@@ -123,25 +142,28 @@
                 return Err(why);
             }
         };
-        Ok(FleetService { address, mailbox: sending, reader: Some(reader), owner: Some(owner), store })
+        Ok(FleetService { address, mailbox, reader: Some(reader), owner: Some(owner), store })
     }
 
+    /// The local address of the UDP socket.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
+    /// Returns a handle for commands and requests.
     pub fn handle(&self) -> FleetHandle {
         FleetHandle(self.mailbox.clone())
     }
 }
 
-fn read(udp: UdpSocket, mailbox: Mailbox<Letter>) -> io::Result<Handle> {
+/// Starts the coroutine that passes datagrams to the owner.
+fn read(udp: UdpSocket, mailbox: Mailbox<OwnerMessage>) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
         let mut buffer = vec![0; 65_536];
         loop {
-            // An error here tells of a datagram of our own that nobody took.
+            // An error here reports an earlier datagram from this socket that was not delivered (ICMP).
             let Ok((size, _)) = udp.recv_from(&mut buffer) else { continue };
-            if mailbox.send(Letter::Datagram(buffer[..size].to_vec())).is_err() {
+            if mailbox.send(OwnerMessage::Datagram(buffer[..size].to_vec())).is_err() {
                 return;
             }
         }
@@ -150,7 +172,7 @@
 
 impl Drop for FleetService {
     fn drop(&mut self) {
-        let _ = self.mailbox.send_unbounded(Letter::Leave);
+        let _ = self.mailbox.send_unbounded(OwnerMessage::Leave);
         if let Some(owner) = self.owner.take() {
             // A panic in the owner has been reported by its own message.
             let _ = owner.join();
@@ -158,7 +180,7 @@
         if let Some(reader) = self.reader.take() {
             end(reader);
         }
-        // The last step is waited for here, on the caller's thread.
+        // Dropping the store blocks the calling thread until the final write is done.
         drop(self.store.try_recv());
     }
 }
--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -1,7 +1,7 @@
-//! The thread that owns the core: letters in, turns, frames out.
+//! The thread that owns the fleet's state machines: handles messages, advances the state, sends frames.
 
 use crate::persistence::{PersistenceState, Persister};
-use crate::sites::SitesOwner;
+use crate::sites::SitesDriver;
 use may::net::UdpSocket;
 use serde::{Deserialize, Serialize};
 use shalespindle_peer_store::Store;
@@ -15,31 +15,33 @@
 use std::sync::mpsc;
 use tracing::{info, warn};
 
-/// Letters handled before the core's turn.
-const BATCH: usize = 128;
+/// Maximum number of messages that are handled before the state machines advance.
+const MAX_BATCH: usize = 128;
 
-/// What this front tells the others.
+/// A state change that this front publishes to the fleet, or a query of the fleet's state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetCommand {
-    /// Its pool list told this of a server.
+    /// The pool list of this front reported a state of a server.
     Server { address: SocketAddr, record: ServerRecord },
-    /// An operator's word on the level for all fronts; none lets it go.
+    /// An operator pinned a level on all fronts for `valid_for` seconds; `None` removes the pin.
     Level { level: Option<u8>, valid_for: f64 },
-    /// A call stands here, or stands no more.
+    /// A call was established here; without a record it has ended.
     Call { call: u64, record: Option<Box<CallRecord>> },
-    /// What this front sees of sites, and what is asked of it.
+    /// This front's observations of the sites, and the load requested of it.
     SitesObserved(Sample),
-    /// Whose call is it, by the name of its dialog with the caller or with the server; [`FleetNotice::CallFound`] answers.
+    /// Finds a call by the hash of its dialog with the caller, or with the server if `by_leg`, and ends it.
+    /// [`FleetNotice::CallFound`] is the answer.
     FindCall { ticket: u64, name: u64, by_leg: bool },
 }
 
-/// What this front hears of the others.
+/// A message from the fleet to this front.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetNotice {
     Event(FleetEvent),
-    /// What the fleet's word on sites leaves this front.
+    /// The restrictions that follow from the states of the sites.
     SitesRestricted(Restrictions),
-    /// Known: one of the fleet's; without the word it has been released already.
+    /// The answer to [`FleetCommand::FindCall`]. `known`: the call is one of the fleet's; a known call without a
+    /// record has been released already.
     CallFound {
         ticket: u64,
         known: bool,
@@ -47,85 +49,87 @@
     },
 }
 
-/// What reaches the owner.
-pub(crate) enum Letter {
+/// A message to the owner.
+pub(crate) enum OwnerMessage {
     Datagram(Vec<u8>),
-    /// What this front tells, in its order.
-    Say(Vec<FleetCommand>),
-    Ask(mpsc::Sender<FleetStatus>),
-    /// An operator's order on a site.
-    Order {
+    /// Commands of this front, in order.
+    Publish(Vec<FleetCommand>),
+    Status(mpsc::Sender<FleetStatus>),
+    /// An operator's order on a site, for `lasts` seconds.
+    SiteOrder {
         site: String,
         order: Order,
         lasts: f64,
-        to: mpsc::Sender<Result<(), SitesError>>,
+        reply_to: mpsc::Sender<Result<(), SitesError>>,
     },
-    /// The list of the other fronts changed.
-    Relist(Vec<(String, SocketAddr)>),
+    /// The new list of the other fronts: name and UDP address.
+    SetPeers(Vec<(String, SocketAddr)>),
     Leave,
 }
 
-/// How the fronts stand, for operators.
+/// The state of this front and its peers, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetStatus {
     pub name: String,
-    /// Number and nonce of this process's life.
+    /// Number and nonce of this process's incarnation.
     #[serde(rename = "life")]
     pub incarnation: (u64, u64),
-    /// Another process holds this name: this one says nothing of its own.
+    /// Another process uses this front's name: this one publishes no facts of its own.
     pub silenced: bool,
-    /// It misses every other front at once.
+    /// No other front is alive from here.
     #[serde(rename = "alone")]
     pub isolated: bool,
-    /// Whether it has what a peer had.
+    /// A digest from a peer has arrived, and this front has everything that the digest named.
     pub caught_up: bool,
-    /// Facts of its own that it tells.
+    /// Number of facts of its own that it publishes.
     pub own_facts: usize,
     #[serde(rename = "own_mark")]
     pub own_digest: u64,
     pub peers: Vec<PeerStatus>,
-    /// How often copies that differ have met, and those that differ now.
+    /// How often fronts' reports on a server have conflicted, and the conflicts at present.
     #[serde(rename = "met")]
     pub conflict_count: u64,
     #[serde(rename = "differ")]
     pub conflicts: Vec<ServerConflict>,
-    /// Calls that two or more fronts released: name, fronts.
+    /// Calls that two or more fronts released: hexadecimal name, fronts.
     #[serde(rename = "doubles")]
     pub double_releases: Vec<(String, Vec<String>)>,
     pub counts: BTreeMap<String, u64>,
-    /// What outlives the process.
+    /// Whether the state is persisted.
     #[serde(rename = "kept")]
     pub persistence: PersistenceState,
-    /// None where the settings name no sites.
+    /// None if the settings define no sites.
     #[serde(default)]
     pub sites: Option<SitesStatus>,
 }
 
+/// The state of one peer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
     pub name: String,
     pub state: String,
-    /// Seconds since its beat last rose.
+    /// Seconds since its heartbeat last increased.
     pub quiet_for: f64,
-    /// Facts held of it, and how many changes of it are known to be missing here.
+    /// Number of facts in the replica of it, and number of its changes known to be missing here.
     pub facts: usize,
     pub behind: u64,
-    /// Equal on fronts whose copies of it are equal.
+    /// Equal on fronts whose replicas of it are equal.
     #[serde(rename = "mark")]
     pub digest: u64,
 }
 
-/// One server of which fronts were told different things.
+/// A server of which the pool lists of several fronts report different states.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerConflict {
     pub address: SocketAddr,
     pub incarnation: u64,
-    /// Front and what it was told.
+    /// Front and the state reported to it.
     #[serde(rename = "words")]
     pub reports: Vec<(String, String)>,
+    /// The state that counts on all fronts.
     #[serde(rename = "settled")]
     pub resolved: String,
-    /// Seconds since they met.
+    /// Seconds since the conflict was found.
     #[serde(rename = "for_s")]
     pub duration_s: f64,
 }
@@ -140,17 +144,17 @@
     pub fn new(own: &str, peers: Vec<(String, SocketAddr)>) -> Directory {
         let names = BTreeMap::from([(front_id(own), own.to_string())]);
         let mut directory = Directory { addresses: BTreeMap::new(), names };
-        directory.relist(peers);
+        directory.set_peers(peers);
         directory
     }
 
-    /// Names of those that left the list stay: what they said may still be shown.
-    fn relist(&mut self, peers: Vec<(String, SocketAddr)>) {
+    /// Replaces the addresses. Names of fronts that left the list stay, because facts of theirs may still be shown.
+    fn set_peers(&mut self, peers: Vec<(String, SocketAddr)>) {
         self.addresses = peers.iter().map(|(name, address)| (front_id(name), *address)).collect();
         self.names.extend(peers.into_iter().map(|(name, _)| (front_id(&name), name)));
     }
 
-    /// The others on the list.
+    /// Ids of the listed peers.
     pub fn listed(&self) -> Vec<FrontId> {
         self.addresses.keys().copied().collect()
     }
@@ -160,29 +164,29 @@
     }
 }
 
-/// What went over the socket.
+/// Counters of the socket's traffic.
 #[derive(Default)]
 pub(crate) struct Traffic {
     sent: u64,
     sent_bytes: u64,
-    /// Frames that the socket did not take; what they said is told again.
+    /// Frames that could not be sent; their content is sent again later.
     unsent: u64,
-    taken_bytes: u64,
+    received_bytes: u64,
 }
 
 pub(crate) struct Owner {
     pub fleet: Fleet,
-    pub sites: Option<SitesOwner>,
+    pub sites: Option<SitesDriver>,
     pub persister: Persister,
     pub codec: Codec,
     pub udp: UdpSocket,
     pub directory: Directory,
-    pub ground: MonotonicClock,
-    pub mail: MailboxReceiver<Letter>,
-    pub heard: Box<dyn FnMut(FleetNotice) + Send>,
+    pub clock: MonotonicClock,
+    pub receiver: MailboxReceiver<OwnerMessage>,
+    pub on_notice: Box<dyn FnMut(FleetNotice) + Send>,
     pub traffic: Traffic,
-    /// Takes what is to be waited for on a thread, when this has ended.
-    pub last: mpsc::Sender<Store>,
+    /// Receives the store when the owner ends, so that another thread waits for the final write.
+    pub store_sender: mpsc::Sender<Store>,
 }
 
 impl Owner {
@@ -190,65 +194,69 @@
         loop {
             let sites = self.sites.as_ref().map_or(f64::INFINITY, |sites| sites.core.next_tick_at());
             let mut next =
-                self.mail.recv_timeout(self.ground.duration_until(self.fleet.next_wakeup().min(sites)));
-            let mut taken = 0;
-            while let Some(letter) = next {
-                if !self.take(letter) {
-                    if let Some(store) = self.persister.end(self.ground.now(), &mut self.fleet) {
-                        // Nobody waits for it: then it is dropped here.
-                        let _ = self.last.send(store);
+                self.receiver.recv_timeout(self.clock.duration_until(self.fleet.next_wakeup().min(sites)));
+            let mut handled = 0;
+            while let Some(message) = next {
+                if !self.handle(message) {
+                    if let Some(store) = self.persister.finish(self.clock.now(), &mut self.fleet) {
+                        // If nobody receives it, the store is dropped here.
+                        let _ = self.store_sender.send(store);
                     }
                     return;
                 }
-                taken += 1;
-                next = if taken < BATCH { self.mail.try_recv() } else { None };
+                handled += 1;
+                next = if handled < MAX_BATCH { self.receiver.try_recv() } else { None };
             }
-            self.fleet.turn(self.ground.now());
-            self.persister.turn(self.ground.now(), &mut self.fleet);
+            self.fleet.turn(self.clock.now());
+            self.persister.turn(self.clock.now(), &mut self.fleet);
             if let Some(sites) = &mut self.sites {
-                sites.turn(self.ground.now(), self.fleet.peers());
+                sites.tick(self.clock.now(), self.fleet.peers());
             }
-            self.carry();
+            self.dispatch_outputs();
         }
     }
 
-    fn take(&mut self, letter: Letter) -> bool {
-        let now = self.ground.now();
-        match letter {
-            Letter::Datagram(bytes) => {
-                self.traffic.taken_bytes += bytes.len() as u64;
+    /// Handles one message; false if the owner is to end.
+    fn handle(&mut self, message: OwnerMessage) -> bool {
+        let now = self.clock.now();
+        match message {
+            OwnerMessage::Datagram(bytes) => {
+                self.traffic.received_bytes += bytes.len() as u64;
                 match (self.codec.read(&bytes), &mut self.sites) {
                     (Ok((from, Body::Fleet(message))), _) => self.fleet.receive(now, from, message),
                     (Ok((from, Body::Sites(message))), Some(sites)) => {
                         sites.core.receive(now, self.fleet.peers(), from, message);
                     }
-                    // Dropped and counted, or of no use to a front without sites.
+                    // Invalid frames, which the codec counts; messages on sites at a front without sites; messages of
+                    // coordinators.
                     (Err(_), _) | (Ok((_, Body::Sites(_) | Body::Coordinator(_))), _) => {}
                 }
             }
-            Letter::Say(sayings) => sayings.into_iter().for_each(|saying| self.say(now, saying)),
-            // Whoever asked may have gone; there is nobody to tell then.
-            Letter::Ask(to) => drop(to.send(self.standing(now))),
-            Letter::Order { site, order, lasts, to } => {
-                let done = match &mut self.sites {
+            OwnerMessage::Publish(commands) => {
+                commands.into_iter().for_each(|command| self.publish(now, command))
+            }
+            // The requester may have stopped waiting.
+            OwnerMessage::Status(reply_to) => drop(reply_to.send(self.status(now))),
+            OwnerMessage::SiteOrder { site, order, lasts, reply_to } => {
+                let result = match &mut self.sites {
                     Some(sites) => sites.core.apply_order(now, &site, order, lasts),
                     None => Err(SitesError::Disabled),
                 };
-                // Whoever asked may have gone.
-                let _ = to.send(done);
+                // The requester may have stopped waiting.
+                let _ = reply_to.send(result);
             }
-            Letter::Relist(peers) => self.relist(now, peers),
-            Letter::Leave => {
+            OwnerMessage::SetPeers(peers) => self.set_peers(now, peers),
+            OwnerMessage::Leave => {
                 self.fleet.leave(now);
-                self.carry();
+                self.dispatch_outputs();
                 return false;
             }
         }
         true
     }
 
-    fn say(&mut self, now: f64, saying: FleetCommand) {
-        match saying {
+    fn publish(&mut self, now: f64, command: FleetCommand) {
+        match command {
             FleetCommand::Server { address, record } => self.fleet.publish_server(now, address, record),
             FleetCommand::Level { level, valid_for } => {
                 let by = self.directory.name(self.fleet.replicas().own());
@@ -257,41 +265,42 @@
             FleetCommand::Call { call, record } => {
                 self.fleet.publish_call(now, call, record.map(|record| *record))
             }
-            FleetCommand::SitesObserved(seen) => {
+            FleetCommand::SitesObserved(sample) => {
                 if let Some(sites) = &mut self.sites {
-                    sites.core.record_sample(now, self.fleet.peers(), &seen);
+                    sites.core.record_sample(now, self.fleet.peers(), &sample);
                 }
             }
             FleetCommand::FindCall { ticket, name, by_leg } => {
                 let found = self.fleet.end_call(now, name, by_leg);
-                let (known, record) = (found.is_some(), found.and_then(|f| f.1).map(Box::new));
-                (self.heard)(FleetNotice::CallFound { ticket, known, record });
+                let (known, record) = (found.is_some(), found.and_then(|found| found.1).map(Box::new));
+                (self.on_notice)(FleetNotice::CallFound { ticket, known, record });
             }
         }
     }
 
-    fn carry(&mut self) {
-        while let Some(out) = self.fleet.next_output() {
-            match out {
+    /// Sends frames, reports notices and writes log lines for all pending outputs.
+    fn dispatch_outputs(&mut self) {
+        while let Some(output) = self.fleet.next_output() {
+            match output {
                 Output::Send { to, message } => self.send(to, message),
                 Output::Peer(change) => self.log(change),
             }
         }
-        while let Some(news) = self.fleet.next_event() {
-            (self.heard)(FleetNotice::Event(news));
+        while let Some(event) = self.fleet.next_event() {
+            (self.on_notice)(FleetNotice::Event(event));
         }
-        while let Some(out) = self.sites.as_mut().and_then(|sites| sites.core.next_output()) {
-            match out {
+        while let Some(output) = self.sites.as_mut().and_then(|sites| sites.core.next_output()) {
+            match output {
                 shalespindle_sites::Output::Send { to, message } => {
                     let frame = self.codec.write_sites(to, self.fleet.incarnation(), message);
                     self.send_frame(to, frame);
                 }
-                shalespindle_sites::Output::Restrict(narrowing) => {
-                    (self.heard)(FleetNotice::SitesRestricted(narrowing))
+                shalespindle_sites::Output::Restrict(restrictions) => {
+                    (self.on_notice)(FleetNotice::SitesRestricted(restrictions))
                 }
-                out => {
+                output => {
                     if let Some(sites) = &self.sites {
-                        sites.log(&out);
+                        sites.log(&output);
                     }
                 }
             }
@@ -309,7 +318,8 @@
             self.traffic.unsent += 1;
             return;
         };
-        // Never waits: what does not fit is lost like any datagram, and asked for again.
+        // Never blocks: a frame that does not fit into the socket's buffer is lost like any datagram, and its content is
+        // requested again.
         match self.udp.inner().send_to(&frame, address) {
             Ok(size) => {
                 (self.traffic.sent, self.traffic.sent_bytes) =
@@ -319,8 +329,8 @@
         }
     }
 
-    fn relist(&mut self, now: f64, peers: Vec<(String, SocketAddr)>) {
-        self.directory.relist(peers);
+    fn set_peers(&mut self, now: f64, peers: Vec<(String, SocketAddr)>) {
+        self.directory.set_peers(peers);
         let listed = self.directory.listed();
         info!(target: "shalespindle::fleet", fronts = listed.len(), "the list of fronts changed");
         self.fleet.relist(now, &listed);
@@ -338,26 +348,26 @@
                 }
             }
             Change::Restarted { front } => {
-                info!(target: "shalespindle::fleet", peer = self.directory.name(front), "peer started anew")
+                info!(target: "shalespindle::fleet", peer = self.directory.name(front), "peer restarted")
             }
             Change::Renewed { incarnation } => warn!(
                 target: "shalespindle::fleet", number = incarnation.number,
-                "a later life of this front's name is known: a clock set back, or another process of this name"
+                "peers know a later incarnation of this front: its clock was set back, or another process uses its name"
             ),
             Change::Silenced => tracing::error!(
-                target: "shalespindle::fleet", "another process holds this front's name; nothing of its own is told any more"
+                target: "shalespindle::fleet", "another process uses this front's name: this one publishes nothing any more"
             ),
-            Change::Isolated(true) => warn!(target: "shalespindle::fleet", "no other front is heard"),
-            Change::Isolated(false) => info!(target: "shalespindle::fleet", "other fronts are heard again"),
+            Change::Isolated(true) => warn!(target: "shalespindle::fleet", "no other front is alive"),
+            Change::Isolated(false) => info!(target: "shalespindle::fleet", "other fronts are alive again"),
         }
     }
 
-    fn standing(&self, now: f64) -> FleetStatus {
+    fn status(&self, now: f64) -> FleetStatus {
         let status = self.fleet.status(now);
         let dropped = self.codec.dropped();
         let counts = status.counts;
         let DropCounts { large, foreign, version, forged, form, not_for_us, replayed } = dropped;
-        let counted = [
+        let values = [
             ("digests", counts.digests),
             ("parts", counts.deltas),
             ("parts_known", counts.already_known),
@@ -383,29 +393,33 @@
             ("frames_sent", self.traffic.sent),
             ("frames_unsent", self.traffic.unsent),
             ("bytes_sent", self.traffic.sent_bytes),
-            ("bytes_taken", self.traffic.taken_bytes),
+            ("bytes_taken", self.traffic.received_bytes),
         ];
-        let peers = status.peers.iter().map(|p| PeerStatus {
-            name: self.directory.name(p.front),
-            state: p.state.name().into(),
-            quiet_for: p.quiet_for,
-            facts: p.facts,
-            behind: p.behind,
-            digest: p.digest,
+        let peers = status.peers.iter().map(|peer| PeerStatus {
+            name: self.directory.name(peer.front),
+            state: peer.state.name().into(),
+            quiet_for: peer.quiet_for,
+            facts: peer.facts,
+            behind: peer.behind,
+            digest: peer.digest,
         });
-        let differ = status.conflicts.iter().map(|m| ServerConflict {
-            address: m.address,
-            incarnation: m.incarnation,
-            reports: m.reports.iter().map(|w| (self.directory.name(w.0), told(w.1))).collect(),
-            resolved: told(m.resolved),
-            duration_s: now - m.since,
+        let conflicts = status.conflicts.iter().map(|conflict| ServerConflict {
+            address: conflict.address,
+            incarnation: conflict.incarnation,
+            reports: conflict
+                .reports
+                .iter()
+                .map(|report| (self.directory.name(report.0), state_name(report.1)))
+                .collect(),
+            resolved: state_name(conflict.resolved),
+            duration_s: now - conflict.since,
         });
-        let doubles = status.double_releases.iter().map(|(call, fronts)| {
+        let double_releases = status.double_releases.iter().map(|(call, fronts)| {
             (format!("{call:016x}"), fronts.iter().map(|f| self.directory.name(*f)).collect::<Vec<String>>())
         });
         let mut counts: BTreeMap<String, u64> =
-            counted.into_iter().map(|(name, n)| (name.to_string(), n)).collect();
-        self.persister.count(now, &mut counts);
+            values.into_iter().map(|(name, n)| (name.to_string(), n)).collect();
+        self.persister.add_counts(now, &mut counts);
         FleetStatus {
             name: self.directory.name(self.fleet.replicas().own()),
             incarnation: (status.incarnation.number, status.incarnation.nonce),
@@ -416,8 +430,8 @@
             own_digest: status.own_digest,
             peers: peers.collect(),
             conflict_count: status.conflict_count,
-            conflicts: differ.collect(),
-            double_releases: doubles.collect(),
+            conflicts: conflicts.collect(),
+            double_releases: double_releases.collect(),
             counts,
             persistence: self.persister.state(),
             sites: self.sites.as_ref().map(|sites| sites.core.status(now, self.fleet.peers())),
@@ -425,6 +439,7 @@
     }
 }
 
-fn told(told: shalespindle_replica::ReportedState) -> String {
-    format!("{told:?}").to_lowercase()
+/// The state as operators see it: the variant's name in lower case.
+fn state_name(state: shalespindle_replica::ReportedState) -> String {
+    format!("{state:?}").to_lowercase()
 }
--- a/crates/peer-service/src/persistence.rs
+++ b/crates/peer-service/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Carries what is to be kept to its file, and says how that stands.
+//! Passes the changes of the fleet's state to the thread that writes the file, and reports the outcome.
 
 use serde::{Deserialize, Serialize};
 use shalespindle_peer_store::{Outcome, Store};
@@ -9,116 +9,128 @@
 use std::time::{Duration, SystemTime};
 use tracing::{info, warn};
 
-/// What is kept on disk.
+/// Settings of the file that the fleet's state is stored in.
 #[derive(Clone, Debug)]
 pub struct Persistence {
     pub file: PathBuf,
-    /// Between two steps, seconds.
+    /// Time between two writes, seconds.
     pub interval: f64,
 }
 
-/// How the schedule stands, for operators.
+/// State of persistence, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PersistenceState {
     /// No file is set.
     Off,
-    /// The last step was written, or none was due yet.
+    /// The last write succeeded, or none was needed yet.
     Good,
-    /// The last step was not written, or there is no file to write to.
+    /// The last write failed, or the file could not be opened; with the reason.
     Failing(String),
 }
 
-pub(crate) fn wall() -> f64 {
+/// Seconds since the Unix epoch by the wall clock.
+pub(crate) fn unix_time() -> f64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.unwrap_or(Duration::ZERO).as_secs_f64()
 }
 
-/// The file and when it is written. Without a file nothing is kept, and the front goes on as one that returns empty.
+/// The store and the schedule of its writes. Without a store nothing is persisted, and the front starts without
+/// stored state.
 pub(crate) struct Persister {
     store: Option<Store>,
     schedule: SaveSchedule,
     state: PersistenceState,
     restored: Restored,
-    saves: u64,
-    failed: u64,
-    facts: u64,
+    writes: u64,
+    failed_writes: u64,
+    /// Facts written since the start.
+    facts_written: u64,
 }
 
 impl Persister {
-    /// What an earlier process of this front kept, if there is any.
-    pub fn open(keep: Option<&Persistence>, own: FrontId, now: f64) -> (Persister, Option<Snapshot>) {
-        let every = keep.map_or(1.0, |k| k.interval);
-        let (store, state, kept) = match keep {
+    /// Opens the file and returns what an earlier process of this front stored, if anything.
+    pub fn open(settings: Option<&Persistence>, own: FrontId, now: f64) -> (Persister, Option<Snapshot>) {
+        let interval = settings.map_or(1.0, |settings| settings.interval);
+        let (store, state, snapshot) = match settings {
             None => (None, PersistenceState::Off, None),
-            Some(keep) => match open(&keep.file, own) {
-                Ok((store, kept)) => (Some(store), PersistenceState::Good, kept),
+            Some(settings) => match open(&settings.file, own) {
+                Ok((store, snapshot)) => (Some(store), PersistenceState::Good, snapshot),
                 Err(why) => {
-                    let file = keep.file.display();
-                    warn!(target: "shalespindle::fleet", %file, why, "nothing is kept on disk");
+                    let file = settings.file.display();
+                    warn!(target: "shalespindle::fleet", %file, why, "the file of the fleet state cannot be opened: nothing is persisted");
                     (None, PersistenceState::Failing(why), None)
                 }
             },
         };
-        let schedule = SaveSchedule::new(every, now);
+        let schedule = SaveSchedule::new(interval, now);
         let restored = Restored::default();
-        (Persister { store, schedule, state, restored, saves: 0, failed: 0, facts: 0 }, kept)
+        (
+            Persister { store, schedule, state, restored, writes: 0, failed_writes: 0, facts_written: 0 },
+            snapshot,
+        )
     }
 
-    /// The fleet takes what was kept, and remembers from now on what changes.
-    pub fn restore(&mut self, now: f64, fleet: &mut Fleet, kept: Option<Snapshot>) {
+    /// Restores the stored state into the fleet and makes the fleet track its changes from now on.
+    pub fn restore(&mut self, now: f64, fleet: &mut Fleet, snapshot: Option<Snapshot>) {
         if self.store.is_none() {
             return;
         }
         fleet.track_changes();
-        let Some(kept) = kept else { return };
-        let ago = wall() - kept.saved_at;
-        self.restored = fleet.restore(now, wall(), kept);
+        let Some(snapshot) = snapshot else { return };
+        let ago = unix_time() - snapshot.saved_at;
+        self.restored = fleet.restore(now, unix_time(), snapshot);
         let Restored { incarnations, facts, refused, too_old } = self.restored;
         match too_old {
             true => {
-                warn!(target: "shalespindle::fleet", ago, "what was kept is too old, or its clock differs: not taken")
+                warn!(target: "shalespindle::fleet", ago, "the stored state is too old or the wall clock has changed: not restored")
             }
             false => {
-                info!(target: "shalespindle::fleet", ago, lives = incarnations, facts, refused, "what was kept is taken")
+                info!(target: "shalespindle::fleet", ago, lives = incarnations, facts, refused, "the stored state is restored")
             }
         }
     }
 
-    /// Hands over what changed, if that is due, and hears what became of it; waits for nothing.
+    /// Handles the outcomes of earlier writes and starts the next one when it is due. Never blocks.
     pub fn turn(&mut self, now: f64, fleet: &mut Fleet) {
         let Some(store) = &self.store else { return };
         while let Some(outcome) = store.outcome() {
             match outcome {
                 Outcome::Saved { facts } => {
                     if self.state != PersistenceState::Good {
-                        info!(target: "shalespindle::fleet", "the file is written again");
+                        info!(target: "shalespindle::fleet", "the fleet state is written to its file again");
                     }
-                    (self.state, self.saves, self.facts) =
-                        (PersistenceState::Good, self.saves + 1, self.facts + facts as u64);
+                    (self.state, self.writes, self.facts_written) =
+                        (PersistenceState::Good, self.writes + 1, self.facts_written + facts as u64);
                     self.schedule.saved(now);
                 }
                 Outcome::Failed(why) => {
                     let pause = self.schedule.failed(now);
-                    warn!(target: "shalespindle::fleet", why, pause, "what is to be kept was not written; all of it is tried again");
-                    (self.state, self.failed) = (PersistenceState::Failing(why), self.failed + 1);
+                    warn!(target: "shalespindle::fleet", why, pause, "writing the fleet state failed: the next write contains all of it");
+                    (self.state, self.failed_writes) =
+                        (PersistenceState::Failing(why), self.failed_writes + 1);
                 }
             }
         }
-        if let Some(whole) = self.schedule.start_write(now) {
-            let changes = fleet.changes(now, wall(), whole);
+        if let Some(complete) = self.schedule.start_write(now) {
+            let changes = fleet.changes(now, unix_time(), complete);
             if self.schedule.should_write(now, &changes) && !store.offer(changes) {
-                // Its thread has ended: what was taken from the fleet is lost, so the next step is a whole one.
+                // The store's thread has ended: the changes taken from the fleet are lost, so the next write must be
+                // a complete one.
                 self.schedule.failed(now);
-                self.state = PersistenceState::Failing("whoever writes has ended".into());
+                self.state = PersistenceState::Failing("the thread that writes the file has ended".into());
             }
         }
     }
 
-    /// The last step of all; whoever drops the store waits until it is written.
-    pub fn end(self, now: f64, fleet: &mut Fleet) -> Option<Store> {
+    /// Hands over the final write. Dropping the returned store blocks until it is written.
+    pub fn finish(self, now: f64, fleet: &mut Fleet) -> Option<Store> {
         let store = self.store?;
-        // A whole one where the step before failed.
-        store.offer(fleet.changes(now, wall(), self.saves == 0 || self.state != PersistenceState::Good));
+        // A complete write if the previous one failed or there was none.
+        store.offer(fleet.changes(
+            now,
+            unix_time(),
+            self.writes == 0 || self.state != PersistenceState::Good,
+        ));
         Some(store)
     }
 
@@ -126,36 +138,39 @@
         self.state.clone()
     }
 
-    pub fn count(&self, now: f64, counts: &mut BTreeMap<String, u64>) {
-        let since = self.schedule.saved_at().map(|at| ((now - at) * 1000.0) as u64);
-        let counted = [
-            ("steps_kept", Some(self.saves)),
-            ("steps_not_kept", Some(self.failed)),
-            ("facts_kept", Some(self.facts)),
-            ("kept_ms_ago", since),
+    /// Adds the counters of persistence to `counts`.
+    pub fn add_counts(&self, now: f64, counts: &mut BTreeMap<String, u64>) {
+        let age_ms = self.schedule.saved_at().map(|at| ((now - at) * 1000.0) as u64);
+        let values = [
+            ("steps_kept", Some(self.writes)),
+            ("steps_not_kept", Some(self.failed_writes)),
+            ("facts_kept", Some(self.facts_written)),
+            ("kept_ms_ago", age_ms),
             ("lives_restored", Some(self.restored.incarnations)),
             ("facts_restored", Some(self.restored.facts)),
             ("lives_not_restored", Some(self.restored.refused)),
         ];
-        counts.extend(counted.into_iter().filter_map(|(name, n)| Some((name.to_string(), n?))));
+        counts.extend(values.into_iter().filter_map(|(name, n)| Some((name.to_string(), n?))));
     }
 }
 
+/// Opens the store and logs what could not be read.
 fn open(file: &Path, own: FrontId) -> Result<(Store, Option<Snapshot>), String> {
     let opened = Store::open(file, own).map_err(|e| e.to_string())?;
     if let Some((aside, why)) = opened.set_aside {
         let aside = aside.display();
-        warn!(target: "shalespindle::fleet", %aside, why, "what was kept cannot be read: put aside, begun anew");
+        warn!(target: "shalespindle::fleet", %aside, why, "the file of the fleet state cannot be read: moved aside, a new one is created");
     }
     if opened.corrupt.0 > 0 {
-        warn!(target: "shalespindle::fleet", facts = opened.corrupt.0, "facts that were kept have wrong checksums");
+        warn!(target: "shalespindle::fleet", facts = opened.corrupt.0, "stored facts have wrong checksums");
     }
     Ok((opened.store, opened.snapshot))
 }
 
-/// This process's life: above any that is known from before.
-pub(crate) fn life(kept: Option<&Snapshot>, own: FrontId, nonce: u64) -> Incarnation {
-    // A clock that was set back gives a life that the others know to be over, and say so.
-    let wished = Incarnation { number: (wall() * 1000.0) as u64, nonce };
-    kept.map_or(wished, |kept| kept.next_incarnation(own, wished))
+/// Returns the incarnation of this process, higher than any stored one of this front.
+pub(crate) fn new_incarnation(snapshot: Option<&Snapshot>, own: FrontId, nonce: u64) -> Incarnation {
+    // After the wall clock was set back, peers may know a later incarnation than this one; they report it, and
+    // this front takes a higher number.
+    let proposed = Incarnation { number: (unix_time() * 1000.0) as u64, nonce };
+    snapshot.map_or(proposed, |snapshot| snapshot.next_incarnation(own, proposed))
 }
--- a/crates/peer-service/src/sites.rs
+++ b/crates/peer-service/src/sites.rs
@@ -1,27 +1,29 @@
-//! The sites' core in the hands of the fleet's owner: its turns and its log.
+//! Runs the state machine of the sites on the thread that owns the fleet, and writes its log lines.
 
 use shalespindle_peers::Peers;
 use shalespindle_sites::{Output, Sites, Stage};
 use tracing::{info, warn};
 
-/// The core, and what bounds its messages.
-pub(crate) struct SitesOwner {
+/// The state machine of the sites and the limits of its messages.
+pub(crate) struct SitesDriver {
     pub core: Sites,
+    /// Number of peers that a message goes to on each tick.
     pub fanout: usize,
-    pub bytes: usize,
+    /// Maximum size of a message, bytes.
+    pub max_message_bytes: usize,
 }
 
-impl SitesOwner {
-    pub fn turn(&mut self, now: f64, peers: &Peers) {
-        self.core.tick(now, peers, self.fanout, self.bytes);
+impl SitesDriver {
+    pub fn tick(&mut self, now: f64, peers: &Peers) {
+        self.core.tick(now, peers, self.fanout, self.max_message_bytes);
     }
 
     pub fn log(&self, out: &Output) {
         match out {
             Output::RecordChanged { site, from, to, missed, outside } => {
                 let site = self.core.table().site(*site).name.as_str();
-                let (epoch, losses, was) = (to.epoch, to.losses, stage(from.stage));
-                let is = stage(to.stage);
+                let (epoch, losses, was) = (to.epoch, to.losses, describe(from.stage));
+                let is = describe(to.stage);
                 match to.stage {
                     Stage::Lost | Stage::KeptOut => warn!(
                         target: "shalespindle::sites", site, epoch, was, is, losses, missed, outside, "site"
@@ -33,17 +35,17 @@
             }
             Output::CutOff(true) => warn!(
                 target: "shalespindle::sites",
-                "this front hears no more than half of the fleet: it declares nothing and goes by what it sees itself"
+                "this front receives from at most half of the fleet: it declares no site lost and uses its own observations"
             ),
             Output::CutOff(false) => {
-                info!(target: "shalespindle::sites", "this front hears more than half of the fleet again")
+                info!(target: "shalespindle::sites", "this front receives from more than half of the fleet again")
             }
             Output::Send { .. } | Output::Restrict(_) => {}
         }
     }
 }
 
-fn stage(stage: Stage) -> String {
+fn describe(stage: Stage) -> String {
     match stage {
         Stage::Up => "up".into(),
         Stage::Returning { step } => format!("returning, step {step}"),
