--- a/crates/console/tests/socket.rs
+++ b/crates/console/tests/socket.rs
@@ -58,7 +58,7 @@
     assert_eq!(second, Some(std::io::ErrorKind::AddrInUse));
     assert!(ask(&path, &Request::Status, TIMEOUT).is_ok());
     drop(console);
-    std::fs::write(&path, "kept").unwrap();
+    std::fs::write(&path, "not a socket").unwrap();
     assert!(serve(&path, echo).is_err());
-    assert_eq!(std::fs::read_to_string(&path).unwrap(), "kept");
+    assert_eq!(std::fs::read_to_string(&path).unwrap(), "not a socket");
 }
--- a/crates/peer-service/src/lib.rs
+++ b/crates/peer-service/src/lib.rs
@@ -2,7 +2,7 @@
 //! state machines (`shalespindle_replica::Fleet` and `shalespindle_sites::Sites`), which make all decisions.
 //!
 //! Notices from the fleet go to a callback. Commands of this front arrive over a mailbox whose senders never
-//! block, while datagrams are bounded.
+//! block. Only datagrams count against the mailbox's capacity.
 
 mod owner;
 mod persistence;
--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -37,33 +37,28 @@
 /// A message from the fleet to this front.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetNotice {
+    /// A change of the fleet's state.
     Event(FleetEvent),
     /// The restrictions that follow from the states of the sites.
     SitesRestricted(Restrictions),
     /// The answer to [`FleetCommand::FindCall`]. `known`: the call is one of the fleet's; a known call without a
     /// record has been released already.
-    CallFound {
-        ticket: u64,
-        known: bool,
-        record: Option<Box<CallRecord>>,
-    },
+    CallFound { ticket: u64, known: bool, record: Option<Box<CallRecord>> },
 }
 
 /// A message to the owner.
 pub(crate) enum OwnerMessage {
+    /// A received datagram, not verified yet.
     Datagram(Vec<u8>),
     /// Commands of this front, in order.
     Publish(Vec<FleetCommand>),
+    /// A request for the fleet's state.
     Status(mpsc::Sender<FleetStatus>),
     /// An operator's order on a site, for `lasts` seconds.
-    SiteOrder {
-        site: String,
-        order: Order,
-        lasts: f64,
-        reply_to: mpsc::Sender<Result<(), SitesError>>,
-    },
+    SiteOrder { site: String, order: Order, lasts: f64, reply_to: mpsc::Sender<Result<(), SitesError>> },
     /// The new list of the other fronts: name and UDP address.
     SetPeers(Vec<(String, SocketAddr)>),
+    /// The front is shutting down: announce the departure and end.
     Leave,
 }
 
@@ -366,7 +361,7 @@
         let status = self.fleet.status(now);
         let dropped = self.codec.dropped();
         let counts = status.counts;
-        let DropCounts { large, foreign, version, forged, form, not_for_us, replayed } = dropped;
+        let DropCounts { too_large, not_a_frame, version, forged, malformed, not_for_us, replayed } = dropped;
         let values = [
             ("digests", counts.digests),
             ("parts", counts.deltas),
@@ -383,11 +378,11 @@
             ("calls_released_for_the_dead", status.calls.released),
             ("calls_found", status.calls.found),
             ("calls_released_twice", status.calls.double_releases),
-            ("frames_large", large),
-            ("frames_foreign", foreign),
+            ("frames_large", too_large),
+            ("frames_foreign", not_a_frame),
             ("frames_of_other_versions", version),
             ("frames_forged", forged),
-            ("frames_of_bad_form", form),
+            ("frames_of_bad_form", malformed),
             ("frames_not_for_us", not_for_us),
             ("frames_replayed", replayed),
             ("frames_sent", self.traffic.sent),
--- a/crates/peer-store/src/lib.rs
+++ b/crates/peer-store/src/lib.rs
@@ -1,15 +1,15 @@
-//! What a front keeps of its fleet on disk: one file (`redb`), written in whole steps by a thread of its own, so that
-//! whoever decides never waits for a disk. What is worth keeping and what of it is believed is decided elsewhere
-//! (`shalespindle_replica::Snapshot`); here it is bytes with a version and checksums.
+//! Stores a front's fleet state on disk: one `redb` file, written in transactions by a dedicated thread, so that the
+//! thread that makes decisions never waits for the disk. `shalespindle_replica::Snapshot` decides what is stored and
+//! what of it is restored; this crate adds a version and checksums.
 //!
-//! Guards: a step that was cut short leaves the one before (redb's two commit slots); a fact whose checksum is wrong
-//! is left out, and then its life is not believed; a file that cannot be read is put aside, and one of a later version
-//! or of another front is left alone.
+//! - An interrupted write leaves the previous transaction intact (redb has two commit slots).
+//! - A fact with a wrong checksum is left out; the incarnation that lacks a fact is then not restored.
+//! - A file that cannot be read is moved aside. A file of a later version or of another front is left untouched.
 
 mod file;
 mod thread;
 
-/// Threads and channels; the test of their interleavings puts others in their place.
+/// Threads and channels of the standard library. The test of their interleavings replaces this module.
 mod sys {
     pub use std::sync::mpsc;
     pub use std::thread;
--- a/crates/peer-store/src/thread.rs
+++ b/crates/peer-store/src/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that writes, so that nobody else waits for a disk.
+//! The thread that writes the file, so that no other thread waits for the disk.
 
 use crate::file::{CorruptFacts, File, OpenError};
 use crate::sys::mpsc::{channel, sync_channel, Receiver, SyncSender, TrySendError};
@@ -7,75 +7,75 @@
 use shalespindle_replica::{Changes, Snapshot};
 use std::path::{Path, PathBuf};
 
-/// What became of a step.
+/// The outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Saved { facts: usize },
     Failed(String),
 }
 
-/// A file that is written by a thread of its own. Dropping it waits for the step under way.
+/// A file that a dedicated thread writes. Dropping the store blocks until all accepted writes are done.
 pub struct Store {
-    steps: Option<SyncSender<Changes>>,
+    writes: Option<SyncSender<Changes>>,
     outcomes: Receiver<Outcome>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// What came of opening.
+/// The result of [`Store::open`].
 pub struct Opened {
     pub store: Store,
-    /// What was kept; none in a new file.
+    /// The stored state; none in a new file.
     pub snapshot: Option<Snapshot>,
-    /// Facts that could not be read.
+    /// Number of facts that could not be read.
     pub corrupt: CorruptFacts,
-    /// Where a file that could not be read was put aside, and why.
+    /// Path that an unreadable file was moved to, and why it is unreadable.
     pub set_aside: Option<(PathBuf, String)>,
 }
 
-/// What came of opening a file.
-struct Found {
+/// An open file and what was found in it; the fields are as in [`Opened`].
+struct OpenedFile {
     file: File,
-    kept: Option<Snapshot>,
-    bad: CorruptFacts,
-    aside: Option<(PathBuf, String)>,
+    snapshot: Option<Snapshot>,
+    corrupt: CorruptFacts,
+    set_aside: Option<(PathBuf, String)>,
 }
 
-/// One that cannot be read is put aside and begun anew.
-fn find(path: &Path, own: FrontId) -> Result<Found, OpenError> {
-    let (opened, aside) = match File::open(path, own) {
+/// Opens the file. An unreadable one is moved aside and replaced by a new one.
+fn open_or_replace(path: &Path, own: FrontId) -> Result<OpenedFile, OpenError> {
+    let (opened, set_aside) = match File::open(path, own) {
         Err(OpenError::Corrupt(why)) => {
-            let aside = path.with_extension("spoilt");
-            std::fs::rename(path, &aside).map_err(|e| OpenError::Io(e.to_string()))?;
-            (File::open(path, own)?, Some((aside, why)))
+            let moved_to = path.with_extension("spoilt");
+            std::fs::rename(path, &moved_to).map_err(|e| OpenError::Io(e.to_string()))?;
+            (File::open(path, own)?, Some((moved_to, why)))
         }
         other => (other?, None),
     };
-    let (file, kept, bad) = opened;
-    Ok(Found { file, kept, bad, aside })
+    let (file, snapshot, corrupt) = opened;
+    Ok(OpenedFile { file, snapshot, corrupt, set_aside })
 }
 
 impl Store {
-    /// Opens the file, or makes it; one that cannot be read is put aside and begun anew.
+    /// Opens the file, or creates it. An unreadable one is moved aside and replaced by a new one.
     pub fn open(path: &Path, own: FrontId) -> Result<Opened, OpenError> {
-        let Found { file, kept: snapshot, bad: corrupt, aside: set_aside } = find(path, own)?;
+        let OpenedFile { file, snapshot, corrupt, set_aside } = open_or_replace(path, own)?;
         let path = path.to_path_buf();
-        let store = Store::with_file(file, move || Ok(find(&path, own)?.file))?;
+        let store = Store::with_file(file, move || Ok(open_or_replace(&path, own)?.file))?;
         Ok(Opened { store, snapshot, corrupt, set_aside })
     }
 
-    /// Writes to that file, and after a failure to the one that `again` opens: the storage takes nothing more after
-    /// it has failed once.
+    /// Writes to `file`, and after a failed write to the one that `reopen` returns, because the storage accepts no
+    /// writes after its first error.
     pub fn with_file(
         file: File,
-        mut again: impl FnMut() -> Result<File, OpenError> + Send + 'static,
+        mut reopen: impl FnMut() -> Result<File, OpenError> + Send + 'static,
     ) -> Result<Store, OpenError> {
-        // One step may wait while one is written.
-        let (steps, taken) = sync_channel::<Changes>(1);
-        let (tell, outcomes) = channel();
+        // One write may be queued while another is in progress.
+        let (writes, queue) = sync_channel::<Changes>(1);
+        let (report, outcomes) = channel();
         let write = move || {
             let mut file = Some(file);
-            for changes in taken {
-                let outcome = match file.take().map_or_else(&mut again, Ok) {
+            for changes in queue {
+                let outcome = match file.take().map_or_else(&mut reopen, Ok) {
                     Ok(open) => match open.write(&changes) {
                         Ok(()) => {
                             file = Some(open);
@@ -85,23 +85,23 @@
                     },
                     Err(why) => Outcome::Failed(why.to_string()),
                 };
-                if tell.send(outcome).is_err() {
+                if report.send(outcome).is_err() {
                     return;
                 }
             }
         };
         let thread = Builder::new().name("fleet-store".into()).spawn(write);
         let thread = thread.map_err(|e| OpenError::Io(e.to_string()))?;
-        Ok(Store { steps: Some(steps), outcomes, thread: Some(thread) })
+        Ok(Store { writes: Some(writes), outcomes, thread: Some(thread) })
     }
 
-    /// Hands a step over without waiting; false where there is no room for it, or the thread has ended.
+    /// Queues a write without blocking; false if the queue is full or the thread has ended.
     pub fn offer(&self, changes: Changes) -> bool {
-        let offered = self.steps.as_ref().map(|steps| steps.try_send(changes));
+        let offered = self.writes.as_ref().map(|writes| writes.try_send(changes));
         !matches!(offered, None | Some(Err(TrySendError::Full(_) | TrySendError::Disconnected(_))))
     }
 
-    /// What became of a step since this was last asked.
+    /// Returns the next outcome that has not been returned yet, without blocking.
     pub fn outcome(&self) -> Option<Outcome> {
         self.outcomes.try_recv().ok()
     }
@@ -109,9 +109,9 @@
 
 impl Drop for Store {
     fn drop(&mut self) {
-        drop(self.steps.take());
+        drop(self.writes.take());
         if let Some(thread) = self.thread.take() {
-            // A panic there has been reported by its own message.
+            // A panic in the thread has already printed its message.
             let _ = thread.join();
         }
     }
--- a/crates/peer-store/tests/file.rs
+++ b/crates/peer-store/tests/file.rs
@@ -1,4 +1,4 @@
-//! The file under a disk that tears writes, loses them, fills up and flips bits.
+//! The file on a disk in memory that tears and loses writes, fills up and flips bits.
 
 use redb::StorageBackend;
 use shalespindle_peer_store::{CorruptFacts, File, OpenError, Outcome, Store};
@@ -11,27 +11,28 @@
 const OWN: FrontId = FrontId(7);
 
 #[derive(Clone, Debug)]
-enum Op {
+enum DiskOp {
     Write(u64, Vec<u8>),
     Length(u64),
     Sync,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Platter {
+struct DiskState {
     bytes: Vec<u8>,
-    ops: Vec<Op>,
-    /// Bytes that fit.
-    room: Option<u64>,
+    /// All operations that succeeded, in order.
+    ops: Vec<DiskOp>,
+    /// Size of the disk, bytes; none: unlimited.
+    capacity: Option<u64>,
 }
 
-/// A disk in memory that remembers what was asked of it.
+/// A disk in memory that records the operations.
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Platter>>);
+struct Disk(Arc<Mutex<DiskState>>);
 
 impl Disk {
-    fn holding(bytes: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Platter { bytes, ..Platter::default() })))
+    fn with_content(bytes: Vec<u8>) -> Disk {
+        Disk(Arc::new(Mutex::new(DiskState { bytes, ..DiskState::default() })))
     }
 
     fn bytes(&self) -> Vec<u8> {
@@ -39,15 +40,15 @@
     }
 }
 
-fn apply(bytes: &mut Vec<u8>, op: &Op) {
+fn apply(bytes: &mut Vec<u8>, op: &DiskOp) {
     match op {
-        Op::Write(at, data) => {
+        DiskOp::Write(at, data) => {
             let (at, end) = (*at as usize, *at as usize + data.len());
             bytes.resize(bytes.len().max(end), 0);
             bytes[at..end].copy_from_slice(data);
         }
-        Op::Length(length) => bytes.resize(*length as usize, 0),
-        Op::Sync => {}
+        DiskOp::Length(length) => bytes.resize(*length as usize, 0),
+        DiskOp::Sync => {}
     }
 }
 
@@ -57,33 +58,34 @@
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let platter = self.0.lock().unwrap();
-        let from = platter.bytes.get(offset as usize..offset as usize + out.len());
+        let state = self.0.lock().unwrap();
+        let from = state.bytes.get(offset as usize..offset as usize + out.len());
         out.copy_from_slice(from.ok_or(io::ErrorKind::UnexpectedEof)?);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.0.lock().unwrap().take(Op::Length(len))
+        self.0.lock().unwrap().execute(DiskOp::Length(len))
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.0.lock().unwrap().take(Op::Sync)
+        self.0.lock().unwrap().execute(DiskOp::Sync)
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.0.lock().unwrap().take(Op::Write(offset, data.to_vec()))
+        self.0.lock().unwrap().execute(DiskOp::Write(offset, data.to_vec()))
     }
 }
 
-impl Platter {
-    fn take(&mut self, op: Op) -> io::Result<()> {
+impl DiskState {
+    /// Applies and records an operation, or fails if the disk is full.
+    fn execute(&mut self, op: DiskOp) -> io::Result<()> {
         let needed = match &op {
-            Op::Write(at, data) => *at + data.len() as u64,
-            Op::Length(length) => *length,
-            Op::Sync => 0,
+            DiskOp::Write(at, data) => *at + data.len() as u64,
+            DiskOp::Length(length) => *length,
+            DiskOp::Sync => 0,
         };
-        if self.room.is_some_and(|room| needed > room) {
+        if self.capacity.is_some_and(|capacity| needed > capacity) {
             return Err(io::ErrorKind::StorageFull.into());
         }
         apply(&mut self.bytes, &op);
@@ -109,39 +111,41 @@
     }))
 }
 
-/// Copies that keep what changes.
-fn copies() -> Replicas {
-    let mut copies = Replicas::new(
+/// Replicas that track their changes.
+fn replicas() -> Replicas {
+    let mut replicas = Replicas::new(
         ReplicaParams { max_facts: 10_000, deletion_retention: 300.0 },
         OWN,
         Incarnation { number: 3, nonce: 4 },
     );
-    copies.track_changes();
-    copies
+    replicas.track_changes();
+    replicas
 }
 
-fn stand(copies: &mut Replicas, calls: std::ops::Range<u64>) {
-    calls.for_each(|n| assert!(copies.write(1.0, Key::Call(n), call(n)).unwrap()));
+/// Records calls as established.
+fn establish(replicas: &mut Replicas, calls: std::ops::Range<u64>) {
+    calls.for_each(|n| assert!(replicas.write(1.0, Key::Call(n), call(n)).unwrap()));
 }
 
 fn read(bytes: Vec<u8>) -> Result<(Option<Snapshot>, CorruptFacts), OpenError> {
-    File::with_backend(Disk::holding(bytes), OWN).map(|(_, kept, bad)| (kept, bad))
+    File::with_backend(Disk::with_content(bytes), OWN).map(|(_, snapshot, corrupt)| (snapshot, corrupt))
 }
 
-/// Two steps, and what the disk held before the second.
-fn two_steps() -> (Vec<u8>, Vec<Op>, Snapshot, Snapshot) {
+/// Writes twice. Returns the disk's content before the second write, the operations of the second write, and the
+/// snapshots after each.
+fn write_twice() -> (Vec<u8>, Vec<DiskOp>, Snapshot, Snapshot) {
     let disk = Disk::default();
-    let mut copies = copies();
-    let (file, kept, _) = File::with_backend(disk.clone(), OWN).unwrap();
-    assert_eq!(kept, None);
-    stand(&mut copies, 0..40);
-    file.write(&copies.changes(1.0, 1001.0, true)).unwrap();
+    let mut replicas = replicas();
+    let (file, snapshot, _) = File::with_backend(disk.clone(), OWN).unwrap();
+    assert_eq!(snapshot, None);
+    establish(&mut replicas, 0..40);
+    file.write(&replicas.changes(1.0, 1001.0, true)).unwrap();
     let before = disk.bytes();
     disk.0.lock().unwrap().ops.clear();
-    stand(&mut copies, 40..60);
-    copies.delete(2.0, Key::Call(5));
-    copies.write(2.0, Key::CallEnd(5), Fact::CallEnd(CallEnd { claim: false })).unwrap();
-    file.write(&copies.changes(2.0, 1002.0, false)).unwrap();
+    establish(&mut replicas, 40..60);
+    replicas.delete(2.0, Key::Call(5));
+    replicas.write(2.0, Key::CallEnd(5), Fact::CallEnd(CallEnd { claim: false })).unwrap();
+    file.write(&replicas.changes(2.0, 1002.0, false)).unwrap();
     let ops = disk.0.lock().unwrap().ops.clone();
     let first = read(before.clone()).unwrap().0.unwrap();
     let second = read(disk.bytes()).unwrap().0.unwrap();
@@ -149,99 +153,104 @@
 }
 
 #[test]
-fn what_was_written_is_read_and_what_is_over_is_gone() {
-    let (_, _, first, second) = two_steps();
-    let facts = |kept: &Snapshot| kept.incarnations.iter().map(|l| l.1.len()).collect::<Vec<_>>();
+fn written_facts_are_read_and_ended_incarnations_are_removed() {
+    let (_, _, first, second) = write_twice();
+    let facts =
+        |snapshot: &Snapshot| snapshot.incarnations.iter().map(|(_, facts)| facts.len()).collect::<Vec<_>>();
     assert_eq!((facts(&first), first.saved_at), (vec![40], 1001.0));
-    // Sixty but for the one that ended untold, and the word that it is over.
+    // 60 calls, minus the deleted one, plus its CallEnd.
     assert_eq!((facts(&second), second.saved_at), (vec![60], 1002.0));
     assert_eq!(second.inventory().faults, Vec::<String>::new());
-    // A life that is not named any more takes its facts with it.
+    // An incarnation that the changes do not list is removed along with its facts.
     let disk = Disk::default();
     let (file, ..) = File::with_backend(disk.clone(), OWN).unwrap();
-    let mut copies = copies();
-    stand(&mut copies, 0..40);
-    file.write(&copies.changes(1.0, 1001.0, true)).unwrap();
+    let mut replicas = replicas();
+    establish(&mut replicas, 0..40);
+    file.write(&replicas.changes(1.0, 1001.0, true)).unwrap();
     file.write(&Changes { saved_at: 1002.0, ..Changes::default() }).unwrap();
-    let (kept, bad) = read(disk.bytes()).unwrap();
-    assert_eq!((kept.unwrap().incarnations, bad), (Vec::new(), CorruptFacts(0)));
+    let (snapshot, corrupt) = read(disk.bytes()).unwrap();
+    assert_eq!((snapshot.unwrap().incarnations, corrupt), (Vec::new(), CorruptFacts(0)));
 }
 
-/// The last step is cut short after any of its writes, within any of them, and with any of those since the last sync
-/// lost: what is read is that step or the one before, whole.
+/// The last transaction is interrupted after each of its operations, within its writes, and with each single operation
+/// between two syncs lost: what is read is always that transaction or the previous one, complete.
 #[test]
-fn a_step_that_is_torn_anywhere_leaves_it_or_the_one_before() {
-    let (before, ops, first, second) = two_steps();
-    let mut seen = [0, 0];
+fn an_interrupted_write_leaves_the_new_or_the_previous_state_complete() {
+    let (before, ops, first, second) = write_twice();
+    let mut counts = [0, 0];
     let mut check = |bytes: Vec<u8>, what: &str| {
-        let (kept, bad) = read(bytes).unwrap_or_else(|why| panic!("{what}: {why}"));
-        let kept = kept.unwrap_or_else(|| panic!("{what}: nothing"));
-        assert_eq!(bad, CorruptFacts(0), "{what}");
-        let which = [&first, &second].iter().position(|k| **k == kept);
-        seen[which.unwrap_or_else(|| panic!("{what}: a mixture"))] += 1;
+        let (snapshot, corrupt) = read(bytes).unwrap_or_else(|why| panic!("{what}: {why}"));
+        let snapshot = snapshot.unwrap_or_else(|| panic!("{what}: nothing"));
+        assert_eq!(corrupt, CorruptFacts(0), "{what}");
+        let which = [&first, &second].iter().position(|k| **k == snapshot);
+        counts[which.unwrap_or_else(|| panic!("{what}: a mixture"))] += 1;
     };
-    let mut whole = before.clone();
+    let mut written = before.clone();
     for (place, op) in ops.iter().enumerate() {
-        if let Op::Write(at, data) = op {
-            let last = ops[place + 1..].iter().all(|op| !matches!(op, Op::Write(..)));
-            // Every byte of the last write, and of those before some in each.
+        if let DiskOp::Write(at, data) = op {
+            let last = ops[place + 1..].iter().all(|op| !matches!(op, DiskOp::Write(..)));
+            // Every length of the last write, and every 509th of the earlier ones.
             for cut in (0..data.len()).step_by(if last { 1 } else { 509 }) {
-                let mut torn = whole.clone();
-                apply(&mut torn, &Op::Write(*at, data[..cut].to_vec()));
+                let mut torn = written.clone();
+                apply(&mut torn, &DiskOp::Write(*at, data[..cut].to_vec()));
                 check(torn, &format!("{cut} bytes of write {place}"));
             }
         }
-        apply(&mut whole, op);
-        check(whole.clone(), &format!("after {place}"));
+        apply(&mut written, op);
+        check(written.clone(), &format!("after {place}"));
     }
-    // Between two syncs a disk may write in any order: any one write may be the only one that is missing.
+    // Between two syncs a disk may write in any order, so any single write may be missing.
     let mut synced = before;
-    for chunk in ops.split_inclusive(|op| matches!(op, Op::Sync)) {
+    for chunk in ops.split_inclusive(|op| matches!(op, DiskOp::Sync)) {
         for missing in 0..chunk.len() {
             let mut torn = synced.clone();
-            let there = chunk.iter().enumerate().filter(|(place, _)| *place != missing);
-            there.for_each(|(_, op)| apply(&mut torn, op));
+            let kept_ops = chunk.iter().enumerate().filter(|(place, _)| *place != missing);
+            kept_ops.for_each(|(_, op)| apply(&mut torn, op));
             check(torn, &format!("without one of {}", chunk.len()));
         }
         chunk.iter().for_each(|op| apply(&mut synced, op));
     }
-    assert!(seen[0] > 20 && seen[1] > 0, "{seen:?}");
+    assert!(counts[0] > 20 && counts[1] > 0, "{counts:?}");
 }
 
 #[test]
-fn bits_that_flip_are_found_or_put_aside_and_never_a_panic() {
+fn flipped_bits_are_detected_and_never_cause_a_panic() {
     let disk = Disk::default();
     let (file, ..) = File::with_backend(disk.clone(), OWN).unwrap();
-    let mut copies = copies();
-    stand(&mut copies, 0..40);
-    file.write(&copies.changes(1.0, 1001.0, true)).unwrap();
+    let mut replicas = replicas();
+    establish(&mut replicas, 0..40);
+    file.write(&replicas.changes(1.0, 1001.0, true)).unwrap();
     drop(file);
     let folder = tempfile::tempdir().unwrap();
     let (path, good) = (folder.path().join("fleet.redb"), disk.bytes());
-    let (mut faults, mut spoilt, mut same) = (0, 0, 0);
+    let (mut incomplete, mut unreadable, mut intact) = (0, 0, 0);
     for at in (0..good.len()).step_by(good.len() / 400) {
         let mut bytes = good.clone();
         bytes[at] ^= 1 << (at % 8);
         std::fs::write(&path, bytes).unwrap();
         match File::open(&path, OWN) {
-            Ok((_, Some(kept), bad)) if bad.0 > 0 => {
-                // A life with a fact missing is not believed.
-                assert!(!kept.inventory().faults.is_empty());
-                faults += 1;
+            Ok((_, Some(snapshot), corrupt)) if corrupt.0 > 0 => {
+                // An incarnation that lacks a fact is reported and not restored.
+                assert!(!snapshot.inventory().faults.is_empty());
+                incomplete += 1;
             }
-            Ok((_, Some(kept), _)) => {
-                same +=
-                    usize::from(kept.incarnations.iter().all(|(life, facts)| life.fact_count == facts.len()));
+            Ok((_, Some(snapshot), _)) => {
+                intact += usize::from(
+                    snapshot
+                        .incarnations
+                        .iter()
+                        .all(|(incarnation, facts)| incarnation.fact_count == facts.len()),
+                );
             }
-            Ok((_, None, _)) | Err(_) => spoilt += 1,
+            Ok((_, None, _)) | Err(_) => unreadable += 1,
         }
         let _ = std::fs::remove_file(&path);
     }
-    assert!(same > 0 && faults + spoilt > 0, "{same} {faults} {spoilt}");
+    assert!(intact > 0 && incomplete + unreadable > 0, "{intact} {incomplete} {unreadable}");
 }
 
-/// Waits for what became of a step.
-fn outcome(store: &Store) -> Outcome {
+/// Waits for the outcome of a write.
+fn wait_for_outcome(store: &Store) -> Outcome {
     let begin = Instant::now();
     loop {
         if let Some(outcome) = store.outcome() {
@@ -253,43 +262,43 @@
 }
 
 #[test]
-fn a_full_disk_is_told_keeps_what_was_there_and_is_written_to_again_when_it_has_room() {
+fn a_full_disk_is_reported_keeps_the_last_state_and_is_written_again_once_it_has_space() {
     let disk = Disk::default();
     let (file, ..) = File::with_backend(disk.clone(), OWN).unwrap();
-    let again = disk.clone();
-    let store = Store::with_file(file, move || Ok(File::with_backend(again.clone(), OWN)?.0)).unwrap();
-    let mut copies = copies();
-    stand(&mut copies, 0..40);
-    assert!(store.offer(copies.changes(1.0, 1001.0, true)));
-    assert_eq!(outcome(&store), Outcome::Saved { facts: 40 });
-    let held = disk.bytes().len() as u64;
-    disk.0.lock().unwrap().room = Some(held);
-    stand(&mut copies, 40..9000);
-    assert!(store.offer(copies.changes(2.0, 1002.0, false)));
-    assert!(matches!(outcome(&store), Outcome::Failed(_)));
+    let reopened = disk.clone();
+    let store = Store::with_file(file, move || Ok(File::with_backend(reopened.clone(), OWN)?.0)).unwrap();
+    let mut replicas = replicas();
+    establish(&mut replicas, 0..40);
+    assert!(store.offer(replicas.changes(1.0, 1001.0, true)));
+    assert_eq!(wait_for_outcome(&store), Outcome::Saved { facts: 40 });
+    let used = disk.bytes().len() as u64;
+    disk.0.lock().unwrap().capacity = Some(used);
+    establish(&mut replicas, 40..9000);
+    assert!(store.offer(replicas.changes(2.0, 1002.0, false)));
+    assert!(matches!(wait_for_outcome(&store), Outcome::Failed(_)));
     assert_eq!(read(disk.bytes()).unwrap().0.unwrap().saved_at, 1001.0);
-    // Still full, then not.
-    assert!(store.offer(copies.changes(3.0, 1003.0, true)));
-    assert!(matches!(outcome(&store), Outcome::Failed(_)));
-    disk.0.lock().unwrap().room = None;
-    assert!(store.offer(copies.changes(4.0, 1004.0, true)));
-    assert_eq!(outcome(&store), Outcome::Saved { facts: 9000 });
+    // The disk is still full, then it has space again.
+    assert!(store.offer(replicas.changes(3.0, 1003.0, true)));
+    assert!(matches!(wait_for_outcome(&store), Outcome::Failed(_)));
+    disk.0.lock().unwrap().capacity = None;
+    assert!(store.offer(replicas.changes(4.0, 1004.0, true)));
+    assert_eq!(wait_for_outcome(&store), Outcome::Saved { facts: 9000 });
     drop(store);
-    let kept = read(disk.bytes()).unwrap().0.unwrap();
-    assert_eq!((kept.saved_at, kept.incarnations[0].1.len()), (1004.0, 9000));
+    let snapshot = read(disk.bytes()).unwrap().0.unwrap();
+    assert_eq!((snapshot.saved_at, snapshot.incarnations[0].1.len()), (1004.0, 9000));
 }
 
 #[test]
-fn files_of_others_of_later_versions_and_of_no_sense_are_told_apart() {
+fn files_of_other_fronts_newer_versions_and_invalid_content_are_distinguished() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("fleet.redb");
     let opened = Store::open(&path, OWN).unwrap();
     assert!(opened.snapshot.is_none() && opened.set_aside.is_none());
     assert!(matches!(Store::open(&path, OWN), Err(OpenError::InUse)));
-    let mut copies = copies();
-    stand(&mut copies, 0..3);
-    assert!(opened.store.offer(copies.changes(1.0, 1001.0, true)));
-    assert_eq!(outcome(&opened.store), Outcome::Saved { facts: 3 });
+    let mut replicas = replicas();
+    establish(&mut replicas, 0..3);
+    assert!(opened.store.offer(replicas.changes(1.0, 1001.0, true)));
+    assert_eq!(wait_for_outcome(&opened.store), Outcome::Saved { facts: 3 });
     drop(opened);
     assert!(matches!(Store::open(&path, FrontId(8)), Err(OpenError::WrongFront)));
     assert_eq!(Store::open(&path, OWN).unwrap().snapshot.unwrap().saved_at, 1001.0);
@@ -301,10 +310,10 @@
         writing.commit().unwrap();
     }
     assert!(matches!(Store::open(&path, OWN), Err(OpenError::NewerVersion(9))));
-    std::fs::write(&path, b"of no sense at all").unwrap();
+    std::fs::write(&path, b"not a database").unwrap();
     let opened = Store::open(&path, OWN).unwrap();
     let (aside, _) = opened.set_aside.unwrap();
     assert!(opened.snapshot.is_none());
-    assert_eq!(std::fs::read(aside).unwrap(), b"of no sense at all");
+    assert_eq!(std::fs::read(aside).unwrap(), b"not a database");
     assert!(matches!(Store::open(&folder.path().join("none/fleet.redb"), OWN), Err(OpenError::Io(_))));
 }
--- a/crates/peer-wire/src/lib.rs
+++ b/crates/peer-wire/src/lib.rs
@@ -1,6 +1,8 @@
-//! Frames between fronts: two bytes of mark, a version, a keyed hash of the rest (BLAKE3), then the envelope in
-//! postcard's form. A frame that is forged, replayed, too large, of another version or for somebody else is
-//! dropped and counted; nothing of it is read before its hash is right. docs/wire-fleet.md has the form.
+//! Frames between fronts: two magic bytes, a version, a keyed hash of the rest (BLAKE3), then the envelope encoded with
+//! postcard.
+//!
+//! A frame that is forged, replayed, too large, of an unknown version or for another receiver is dropped and counted.
+//! The envelope is decoded only after the hash has been verified. docs/wire-fleet.md describes the format.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -10,21 +12,23 @@
 use shalespindle_sites::SitesMessage;
 use std::collections::BTreeMap;
 
-/// The version of frames that every front speaks: beats, digests, parts.
+/// Version of the frames that all fronts support: heartbeats, digests and deltas.
 pub const VERSION: u8 = 2;
-/// The version of frames about sites. Fronts of before drop them and count them; all else still goes in [`VERSION`], so
-/// that fronts of both serve side by side.
+/// Version of the frames about sites. Older fronts drop and count them. All other frames still use [`VERSION`], so that
+/// older and newer fronts can run side by side.
 pub const SITES_VERSION: u8 = 3;
-/// The version of frames between coordinators and their clients. Whoever knows of none drops them and counts them.
+/// Version of the frames between coordinators and their clients. Fronts without support for it drop and count them.
 pub const COORDINATOR_VERSION: u8 = 4;
+/// First bytes of every frame.
 const MAGIC: [u8; 2] = *b"sf";
-/// Bytes of the hash that a frame carries.
-const HASH: usize = 16;
-const HEAD: usize = MAGIC.len() + 1 + HASH;
-/// The largest frame: a UDP datagram over IPv4.
+/// Length of the hash in a frame, bytes.
+const HASH_LENGTH: usize = 16;
+/// Length of magic bytes, version and hash, bytes.
+const HEADER_LENGTH: usize = MAGIC.len() + 1 + HASH_LENGTH;
+/// Maximum size of a frame: the payload of a UDP datagram over IPv4.
 pub const MAX_FRAME_BYTES: usize = 65_507;
 
-/// The name by which fronts know a front of that name in the settings.
+/// Returns the id of the front with the given name in the settings: the first eight bytes of the name's hash.
 pub fn front_id(name: &str) -> FrontId {
     let hash = blake3::hash(name.as_bytes());
     let mut first = [0; 8];
@@ -32,38 +36,41 @@
     FrontId(u64::from_le_bytes(first))
 }
 
-/// Why a frame was not taken.
+/// Reason why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     #[error("larger than {MAX_FRAME_BYTES} bytes")]
     TooLarge,
-    #[error("not a frame of this kind")]
+    #[error("not a frame: wrong magic bytes or too short")]
     NotAFrame,
-    #[error("of version {0}; {VERSION}, {SITES_VERSION} and {COORDINATOR_VERSION} are read")]
+    #[error("unsupported version {0}; supported are {VERSION}, {SITES_VERSION} and {COORDINATOR_VERSION}")]
     Version(u8),
-    #[error("its hash is wrong")]
+    #[error("the hash is wrong")]
     Forged,
-    #[error("its hash is right and its form is not")]
+    #[error("the hash is right, but the envelope cannot be decoded")]
     Malformed,
-    #[error("for another front, or from this one")]
+    #[error("for another front, from this one, or from a sender beyond the maximum number")]
     NotForUs,
-    #[error("seen before, or of an earlier life of its sender")]
+    #[error("received before, or from an earlier incarnation of the sender")]
     Replayed,
 }
 
-/// How many were dropped, by reason.
+/// Number of dropped frames, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DropCounts {
-    pub large: u64,
-    pub foreign: u64,
+    #[serde(rename = "large")]
+    pub too_large: u64,
+    #[serde(rename = "foreign")]
+    pub not_a_frame: u64,
     pub version: u64,
     pub forged: u64,
-    pub form: u64,
+    #[serde(rename = "form")]
+    pub malformed: u64,
     pub not_for_us: u64,
     pub replayed: u64,
 }
 
-/// What a frame carries.
+/// The message in a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
     Fleet(Message),
@@ -71,104 +78,107 @@
     Coordinator(CoordinatorMessage),
 }
 
+/// Sender, receiver and message; encoded in the order of the fields.
 #[derive(Serialize, Deserialize)]
 struct Envelope<M> {
     from: u64,
     to: u64,
-    /// Number and nonce of the sender's life.
-    life: (u64, u64),
-    /// Counts the frames of that life.
-    number: u64,
+    /// Number and nonce of the sender's incarnation.
+    incarnation: (u64, u64),
+    /// Sequence number of the frame within that incarnation.
+    sequence: u64,
     message: M,
 }
 
-/// Numbers of one sender's life that have been seen: the highest, and which of the 64 below it.
+/// Replay window of one sender: the latest incarnation, its highest sequence number, and a bit map of the received
+/// numbers from the highest one (bit 0) down to 63 below it.
 #[derive(Clone, Copy, Default)]
-struct Window {
-    life: (u64, u64),
+struct ReplayWindow {
+    incarnation: (u64, u64),
     highest: u64,
-    seen: u64,
+    received: u64,
 }
 
-impl Window {
-    /// True the first time only; what is further back than the window counts as seen.
-    fn is_new(&mut self, life: (u64, u64), number: u64) -> bool {
-        if life < self.life {
+impl ReplayWindow {
+    /// Records a frame; true if it is new. Frames of earlier incarnations and below the window count as received.
+    fn accept(&mut self, incarnation: (u64, u64), sequence: u64) -> bool {
+        if incarnation < self.incarnation {
             return false;
         }
-        if life > self.life {
-            *self = Window { life, highest: number, seen: 1 };
+        if incarnation > self.incarnation {
+            *self = ReplayWindow { incarnation, highest: sequence, received: 1 };
             return true;
         }
-        if number > self.highest {
-            let by = number - self.highest;
-            self.seen = if by >= 64 { 0 } else { self.seen << by } | 1;
-            self.highest = number;
+        if sequence > self.highest {
+            let shift = sequence - self.highest;
+            self.received = if shift >= 64 { 0 } else { self.received << shift } | 1;
+            self.highest = sequence;
             return true;
         }
-        let back = self.highest - number;
-        let new = back < 64 && self.seen & (1 << back) == 0;
+        let offset = self.highest - sequence;
+        let new = offset < 64 && self.received & (1 << offset) == 0;
         if new {
-            self.seen |= 1 << back;
+            self.received |= 1 << offset;
         }
         new
     }
 }
 
-/// Writes and reads the frames of one front.
+/// Encodes and decodes the frames of one front.
 pub struct Codec {
     key: [u8; 32],
     own: FrontId,
-    number: u64,
-    windows: BTreeMap<FrontId, Window>,
-    /// Senders remembered at most; only those with the key are.
-    most: usize,
+    /// Sequence number of the last frame written.
+    sequence: u64,
+    windows: BTreeMap<FrontId, ReplayWindow>,
+    /// Maximum number of replay windows; only senders with the key get one.
+    max_senders: usize,
     dropped: DropCounts,
 }
 
 impl Codec {
-    pub fn new(key: [u8; 32], own: FrontId, most: usize) -> Codec {
-        Codec { key, own, number: 0, windows: BTreeMap::new(), most, dropped: DropCounts::default() }
+    pub fn new(key: [u8; 32], own: FrontId, max_senders: usize) -> Codec {
+        Codec { key, own, sequence: 0, windows: BTreeMap::new(), max_senders, dropped: DropCounts::default() }
     }
 
-    /// A frame; none where the message is too large for one.
-    pub fn write(&mut self, to: FrontId, life: FrontIncarnation, message: Message) -> Option<Vec<u8>> {
-        self.frame(VERSION, to, life, message)
+    /// Encodes a frame; none if the message is too large for one.
+    pub fn write(&mut self, to: FrontId, incarnation: FrontIncarnation, message: Message) -> Option<Vec<u8>> {
+        self.frame(VERSION, to, incarnation, message)
     }
 
-    /// A frame about sites, in the version that only fronts read that know of them.
+    /// Encodes a frame about sites, in the version that only fronts with support for sites read.
     pub fn write_sites(
         &mut self,
         to: FrontId,
-        life: FrontIncarnation,
+        incarnation: FrontIncarnation,
         message: SitesMessage,
     ) -> Option<Vec<u8>> {
-        self.frame(SITES_VERSION, to, life, message)
+        self.frame(SITES_VERSION, to, incarnation, message)
     }
 
-    /// A frame between a coordinator and a client of it.
+    /// Encodes a frame between a coordinator and one of its clients.
     pub fn write_coordinator(
         &mut self,
         to: NodeId,
         incarnation: Incarnation,
         message: CoordinatorMessage,
     ) -> Option<Vec<u8>> {
-        let life = FrontIncarnation { number: incarnation.number, nonce: incarnation.nonce };
-        self.frame(COORDINATOR_VERSION, FrontId(to.0), life, message)
+        let incarnation = FrontIncarnation { number: incarnation.number, nonce: incarnation.nonce };
+        self.frame(COORDINATOR_VERSION, FrontId(to.0), incarnation, message)
     }
 
     fn frame(
         &mut self,
         version: u8,
         to: FrontId,
-        life: FrontIncarnation,
+        incarnation: FrontIncarnation,
         message: impl Serialize,
     ) -> Option<Vec<u8>> {
-        self.number += 1;
-        let life = (life.number, life.nonce);
-        let envelope = Envelope { from: self.own.0, to: to.0, life, number: self.number, message };
+        self.sequence += 1;
+        let incarnation = (incarnation.number, incarnation.nonce);
+        let envelope = Envelope { from: self.own.0, to: to.0, incarnation, sequence: self.sequence, message };
         let body = postcard::to_stdvec(&envelope).ok()?;
-        let mut frame = Vec::with_capacity(HEAD + body.len());
+        let mut frame = Vec::with_capacity(HEADER_LENGTH + body.len());
         frame.extend_from_slice(&MAGIC);
         frame.push(version);
         frame.extend_from_slice(&self.hash(version, &body));
@@ -176,87 +186,92 @@
         (frame.len() <= MAX_FRAME_BYTES).then_some(frame)
     }
 
-    /// The sender and what it says.
+    /// Decodes a frame into its sender and message. A dropped frame is counted.
     pub fn read(&mut self, frame: &[u8]) -> Result<(FrontId, Body), FrameError> {
-        let read = self.open(frame);
-        if let Err(why) = read {
+        let result = self.decode(frame);
+        if let Err(why) = result {
             let dropped = &mut self.dropped;
             *match why {
-                FrameError::TooLarge => &mut dropped.large,
-                FrameError::NotAFrame => &mut dropped.foreign,
+                FrameError::TooLarge => &mut dropped.too_large,
+                FrameError::NotAFrame => &mut dropped.not_a_frame,
                 FrameError::Version(_) => &mut dropped.version,
                 FrameError::Forged => &mut dropped.forged,
-                FrameError::Malformed => &mut dropped.form,
+                FrameError::Malformed => &mut dropped.malformed,
                 FrameError::NotForUs => &mut dropped.not_for_us,
                 FrameError::Replayed => &mut dropped.replayed,
             } += 1;
         }
-        read
+        result
     }
 
-    fn open(&mut self, frame: &[u8]) -> Result<(FrontId, Body), FrameError> {
+    fn decode(&mut self, frame: &[u8]) -> Result<(FrontId, Body), FrameError> {
         if frame.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge);
         }
-        let Some((head, body)) = frame.split_at_checked(HEAD) else { return Err(FrameError::NotAFrame) };
-        let (mark, rest) = head.split_at(MAGIC.len());
-        if mark != MAGIC {
+        let Some((head, body)) = frame.split_at_checked(HEADER_LENGTH) else {
+            return Err(FrameError::NotAFrame);
+        };
+        let (magic, rest) = head.split_at(MAGIC.len());
+        if magic != MAGIC {
             return Err(FrameError::NotAFrame);
         }
         if !matches!(rest[0], VERSION | SITES_VERSION | COORDINATOR_VERSION) {
             return Err(FrameError::Version(rest[0]));
         }
-        // In constant time: a forger must not learn how much of a hash was right.
-        let right = blake3::Hash::from_bytes(whole(&self.hash(rest[0], body)));
-        if right != blake3::Hash::from_bytes(whole(&rest[1..])) {
+        // blake3::Hash compares in constant time, so that a forger cannot learn how much of a hash is right.
+        let expected = blake3::Hash::from_bytes(zero_padded(&self.hash(rest[0], body)));
+        if expected != blake3::Hash::from_bytes(zero_padded(&rest[1..])) {
             return Err(FrameError::Forged);
         }
         match rest[0] {
-            VERSION => self.take(body, Body::Fleet),
-            COORDINATOR_VERSION => self.take(body, Body::Coordinator),
-            _ => self.take(body, Body::Sites),
+            VERSION => self.decode_body(body, Body::Fleet),
+            COORDINATOR_VERSION => self.decode_body(body, Body::Coordinator),
+            _ => self.decode_body(body, Body::Sites),
         }
     }
 
-    fn take<M: DeserializeOwned>(
+    /// Decodes the envelope and checks receiver, sender and replay window.
+    fn decode_body<M: DeserializeOwned>(
         &mut self,
         body: &[u8],
         wrap: impl FnOnce(M) -> Body,
     ) -> Result<(FrontId, Body), FrameError> {
-        let (envelope, left): (Envelope<M>, &[u8]) =
+        let (envelope, rest): (Envelope<M>, &[u8]) =
             postcard::take_from_bytes(body).map_err(|_| FrameError::Malformed)?;
-        if !left.is_empty() {
+        if !rest.is_empty() {
             return Err(FrameError::Malformed);
         }
         let from = FrontId(envelope.from);
         if envelope.to != self.own.0 || from == self.own {
             return Err(FrameError::NotForUs);
         }
-        if !self.windows.contains_key(&from) && self.windows.len() >= self.most {
+        if !self.windows.contains_key(&from) && self.windows.len() >= self.max_senders {
             return Err(FrameError::NotForUs);
         }
-        if !self.windows.entry(from).or_default().is_new(envelope.life, envelope.number) {
+        if !self.windows.entry(from).or_default().accept(envelope.incarnation, envelope.sequence) {
             return Err(FrameError::Replayed);
         }
         Ok((from, wrap(envelope.message)))
     }
 
-    fn hash(&self, version: u8, body: &[u8]) -> [u8; HASH] {
+    fn hash(&self, version: u8, body: &[u8]) -> [u8; HASH_LENGTH] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&[version]);
         hasher.update(body);
-        let mut hash = [0; HASH];
-        hash.copy_from_slice(&hasher.finalize().as_bytes()[..HASH]);
+        let mut hash = [0; HASH_LENGTH];
+        hash.copy_from_slice(&hasher.finalize().as_bytes()[..HASH_LENGTH]);
         hash
     }
 
+    /// Number of dropped frames, by reason.
     pub fn dropped(&self) -> DropCounts {
         self.dropped
     }
 }
 
-fn whole(part: &[u8]) -> [u8; 32] {
-    let mut whole = [0; 32];
-    whole[..part.len()].copy_from_slice(part);
-    whole
+/// Pads a truncated hash with zeros to the length of `blake3::Hash`.
+fn zero_padded(truncated: &[u8]) -> [u8; 32] {
+    let mut padded = [0; 32];
+    padded[..truncated.len()].copy_from_slice(truncated);
+    padded
 }
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,66 +1,71 @@
-//! What happened across a fleet as text: one column a node, one row an event, in causal order, for people who were not
-//! there. Times are rounded, so that the text of a run under virtual time is the same every time.
+//! Renders the events of a fleet as a text table: one column per node, one row per event, ordered by time. Times are
+//! rounded, so that a run under virtual time always renders the same text.
 
 use std::fmt;
 use tabled::builder::Builder;
 use tabled::settings::{Padding, Style};
 
-/// What one node did or saw.
+/// An event of one node, or of none.
 #[derive(Clone, Debug, PartialEq)]
 struct Event {
+    /// Time, seconds.
     at: f64,
-    /// The place of its node; none: it happened to the world.
+    /// Index of the node; none for a global event.
     node: Option<usize>,
-    what: String,
+    description: String,
 }
 
-/// Events of several nodes.
+/// Events of several nodes and global events.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     nodes: Vec<String>,
     events: Vec<Event>,
-    /// Times are told as multiples of this, seconds.
-    step: f64,
+    /// Times are rounded to multiples of this, seconds.
+    resolution: f64,
 }
 
 impl Timeline {
-    pub fn new(nodes: impl IntoIterator<Item = String>, step: f64) -> Timeline {
-        Timeline { nodes: nodes.into_iter().collect(), events: Vec::new(), step }
+    /// Creates an empty timeline with a column for each of `nodes`; times are rounded to `resolution` seconds.
+    pub fn new(nodes: impl IntoIterator<Item = String>, resolution: f64) -> Timeline {
+        Timeline { nodes: nodes.into_iter().collect(), events: Vec::new(), resolution }
     }
 
-    /// A node did or saw something. Events of one moment stay in the order in which they are told.
-    pub fn add(&mut self, at: f64, node: usize, what: impl Into<String>) {
-        self.events.push(Event { at, node: Some(node), what: what.into() });
+    /// Adds an event of a node. Events of the same time keep the order in which they are added.
+    pub fn add(&mut self, at: f64, node: usize, description: impl Into<String>) {
+        self.events.push(Event { at, node: Some(node), description: description.into() });
     }
 
-    /// Something happened to the world: a cut, a kill.
-    pub fn add_global(&mut self, at: f64, what: impl Into<String>) {
-        self.events.push(Event { at, node: None, what: what.into() });
+    /// Adds a global event, such as a network cut or a failure.
+    pub fn add_global(&mut self, at: f64, description: impl Into<String>) {
+        self.events.push(Event { at, node: None, description: description.into() });
     }
 
     pub fn is_empty(&self) -> bool {
         self.events.is_empty()
     }
 
-    /// Rows: nodes that did the same one after the other, with nothing else between, share one.
+    /// The rows of the table: rounded time, global event, event of each node. Consecutive equal events of different nodes
+    /// share a row, which has the time of the first.
     fn rows(&self) -> Vec<(f64, Option<String>, Vec<Option<String>>)> {
         let mut events = self.events.clone();
         events.sort_by(|a, b| a.at.total_cmp(&b.at));
         let mut rows: Vec<(f64, Option<String>, Vec<Option<String>>)> = Vec::new();
         for event in events {
-            let rounded = (event.at / self.step).round() * self.step;
+            let rounded = (event.at / self.resolution).round() * self.resolution;
             let Some(node) = event.node else {
-                rows.push((rounded, Some(event.what), vec![None; self.nodes.len()]));
+                rows.push((rounded, Some(event.description), vec![None; self.nodes.len()]));
                 continue;
             };
-            let same = |cells: &[Option<String>]| cells.iter().flatten().all(|what| *what == event.what);
+            let same = |cells: &[Option<String>]| {
+                cells.iter().flatten().all(|description| *description == event.description)
+            };
             match rows.last_mut() {
                 Some((_, None, cells)) if cells[node].is_none() && same(cells) => {
-                    cells[node] = Some(event.what);
+                    cells[node] = Some(event.description);
                 }
                 _ => {
                     let mut cells = vec![None; self.nodes.len()];
-                    cells[node] = Some(event.what);
+                    cells[node] = Some(event.description);
                     rows.push((rounded, None, cells));
                 }
             }
@@ -74,9 +79,9 @@
         let mut builder = Builder::default();
         let head = ["s".to_string(), "world".to_string()];
         builder.push_record(head.into_iter().chain(self.nodes.iter().cloned()));
-        for (at, world, cells) in self.rows() {
-            let places = if self.step < 1.0 { 1 } else { 0 };
-            let head = [format!("{at:.places$}"), world.unwrap_or_default()];
+        for (at, global, cells) in self.rows() {
+            let places = if self.resolution < 1.0 { 1 } else { 0 };
+            let head = [format!("{at:.places$}"), global.unwrap_or_default()];
             builder.push_record(head.into_iter().chain(cells.into_iter().map(Option::unwrap_or_default)));
         }
         let mut table = builder.build();
@@ -94,20 +99,20 @@
     use super::*;
 
     #[test]
-    fn one_column_a_node_and_what_several_do_alike_in_one_row() {
+    fn each_node_has_a_column_and_consecutive_equal_events_share_a_row() {
         let mut timeline = Timeline::new(["a", "b"].map(String::from), 1.0);
         timeline.add(2.2, 1, "north lost");
-        timeline.add_global(0.4, "north dies");
+        timeline.add_global(0.4, "north fails");
         timeline.add(2.1, 0, "north lost");
         timeline.add(5.0, 0, "north returns");
         timeline.add(5.6, 0, "north up");
         insta::assert_snapshot!(timeline.to_string(), @r"
-         s | world      | a             | b
-        ---+------------+---------------+------------
-         0 | north dies |               |
-         2 |            | north lost    | north lost
-         5 |            | north returns |
-         6 |            | north up      |
+         s | world       | a             | b
+        ---+-------------+---------------+------------
+         0 | north fails |               |
+         2 |             | north lost    | north lost
+         5 |             | north returns |
+         6 |             | north up      |
         ");
     }
 }
