--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -217,7 +217,7 @@
     let log = || std::fs::read_to_string(config.with_extension("log")).unwrap_or_default();
     until("the first try", || {
         assert!(front.0.try_wait().unwrap().is_none(), "it ended: {}", log());
-        log().contains("asked for again")
+        log().contains("address in use, retrying")
     });
     closing(|| drop(taken));
     Caller::accepted(listen);
@@ -251,7 +251,7 @@
     let mut caller = Caller::that_takes_little(live.listen);
     let mut pace = Caller::accepted(live.listen);
     let mut asked = 0;
-    while !live.log().contains("writing waits for its reader") {
+    while !live.log().contains("peer does not read, writes are queued") {
         caller.send("INVITE", &format!("{asked:016x}"), "9d41\r\n");
         asked += 1;
         assert!(asked < 10_000, "everything fits");
@@ -294,7 +294,7 @@
         callers.push(caller);
         assert!(callers.len() < 90, "everything fits");
         Caller::accepted(listen);
-        if !log().contains("writing waits for its reader") {
+        if !log().contains("peer does not read, writes are queued") {
             continue;
         }
         while_stopped(&front, || {
--- a/crates/platform-service/src/owner.rs
+++ b/crates/platform-service/src/owner.rs
@@ -214,7 +214,7 @@
             Ok(size) => {
                 if peer.waiting.is_empty() && size < bytes.len() {
                     self.edge.set_blocked(connection, true);
-                    info!(target: "shalespindle::platform", connection, "writing waits for its reader");
+                    info!(target: "shalespindle::platform", connection, "peer does not read, writes are queued");
                 }
                 peer.waiting.extend_from_slice(&bytes[size..]);
             }
--- a/crates/platform-service/src/service.rs
+++ b/crates/platform-service/src/service.rs
@@ -74,7 +74,7 @@
     loop {
         match TcpListener::bind(listen) {
             Err(why) if why.kind() == io::ErrorKind::AddrInUse && begin.elapsed() < BIND_TIMEOUT => {
-                warn!(target: "shalespindle::platform", %listen, %why, "asked for again");
+                warn!(target: "shalespindle::platform", %listen, %why, "address in use, retrying");
                 std::thread::sleep(BIND_RETRY);
             }
             bound => return bound,
--- a/crates/platform/src/callers.rs
+++ b/crates/platform/src/callers.rs
@@ -48,7 +48,7 @@
     fn unreadable(&mut self, now: f64, connection: ConnectionId, status: u16) {
         self.counters.unreadable += 1;
         self.outputs.push_back(Output::Write { connection, bytes: sip::unreadable(status) });
-        self.close_client(now, connection, "what came on it cannot be read");
+        self.close_client(now, connection, "unreadable message");
     }
 
     fn message(&mut self, now: f64, arrived: f64, connection: ConnectionId, message: &Message) {
@@ -89,7 +89,7 @@
         let Some(client) = self.clients.all.get_mut(&connection) else { return };
         client.bad_messages += 1;
         if client.bad_messages >= MAX_BAD_MESSAGES {
-            self.close_client(now, connection, "too many messages of bad form");
+            self.close_client(now, connection, "too many malformed messages");
         }
     }
 
@@ -122,7 +122,7 @@
             || self.calls.description_bytes() + request.description.len() > self.max_description_bytes;
         if is_full || self.refuses_new_calls(now) {
             self.counters.no_place += 1;
-            let reason = if is_full { "503: no room" } else { "503: the front ends" };
+            let reason = if is_full { "503: limit reached" } else { "503: shutting down" };
             self.log_info("attach refused", call_subject(id), reason);
             self.clients.used(now, connection, Usage::Requests);
             return self.respond(connection, 503, message);
@@ -139,7 +139,7 @@
         };
         let ue = self.calls.add(id, connection, CallState::Pending(Box::new(pending)));
         self.counters.attaches += 1;
-        self.log_debug("attach taken", call_subject(id), format!("connection {connection}"));
+        self.log_debug("attach accepted", call_subject(id), format!("connection {connection}"));
         self.clients.used(now, connection, Usage::Requests);
         if let Some(client) = self.clients.all.get_mut(&connection) {
             client.open.push(ue);
@@ -253,7 +253,7 @@
         let Some(call) = self.calls.remove(ue) else { return };
         let level = if cause == NORMAL_CLEARING { LogLevel::Debug } else { LogLevel::Info };
         let reason = format!("cause {cause} at {}: {reason}", self.server_name(pool));
-        self.log(level, "call over", call_subject(call.id), reason);
+        self.log(level, "call ended", call_subject(call.id), reason);
         self.detach_from_client(now, call.client, ue);
         self.send_release(now, call.client, call.id, cause);
         self.call_left_server(pool);
@@ -271,8 +271,8 @@
             if is_repeat {
                 self.counters.byes_again += 1;
                 let usage = self.clients.all.get(&connection).map_or(Usage::None, |c| c.usage);
-                let reason = format!("again on {connection}, {usage:?}");
-                self.log_info("release not heard", call_subject(id), reason);
+                let reason = format!("repeated on connection {connection}, usage {usage:?}");
+                self.log_info("release not confirmed", call_subject(id), reason);
             }
             self.outputs.push_back(Output::Write { connection, bytes: sip::bye(id, cause) });
         }
@@ -313,7 +313,7 @@
         self.expire_handovers(now);
         for id in self.releases.expire(now) {
             self.counters.byes_unheard += 1;
-            self.log_info("release never heard", call_subject(id), "given up");
+            self.log_info("release never confirmed", call_subject(id), "expired");
         }
         self.send_releases(now);
     }
@@ -331,7 +331,7 @@
     pub(crate) fn close_marked(&mut self, now: f64) {
         let marked = std::mem::take(&mut self.closing);
         for connection in self.idle_at_shutdown(now).into_iter().filter(|c| marked.contains(c)) {
-            self.close_client(now, connection, "the front ends, and nothing is left on it");
+            self.close_client(now, connection, "shutting down, and unused");
         }
         for connection in self.clients.overdue(now).into_iter().filter(|c| marked.contains(c)) {
             self.counters.clients_overdue += 1;
@@ -343,7 +343,7 @@
             if useless {
                 self.outputs.push_back(Output::Write { connection, bytes: sip::unreadable(408) });
             }
-            let reason = if useless { "nothing of use came in time" } else { "idle" };
+            let reason = if useless { "no useful message in time" } else { "idle" };
             self.close_client(now, connection, reason);
         }
     }
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -262,7 +262,7 @@
                 self.list_event(now, event);
             }
             if !usable {
-                self.log_info("feed left", self.feed.address, "a gap, or what cannot be read");
+                self.log_info("feed dropped", self.feed.address, "gap or unreadable event");
                 self.outputs.push_back(Output::Close { connection, reset: false });
                 self.feed.lost(now);
             }
@@ -271,7 +271,7 @@
 
     /// The start file was replaced: the feed continues at the address in the new file.
     pub fn reconfigured(&mut self, now: f64, file: StartFile) {
-        self.log_info("configuration taken", file.feed, format!("known to {}", file.known.n));
+        self.log_info("configuration applied", file.feed, format!("events known up to {}", file.known.n));
         // Events of the file are only applied if they follow the last event without a gap.
         let first = file.known.events.iter().map(|e| e.n).find(|n| *n > self.feed.last_event);
         if first == Some(self.feed.last_event + 1) {
@@ -342,7 +342,7 @@
         }
         if self.feed.should_reconnect(now) {
             if let Some(connection) = self.feed.connection {
-                self.log_info("feed left", self.feed.address, self.feed.close_reason());
+                self.log_info("feed dropped", self.feed.address, self.feed.close_reason());
                 self.outputs.push_back(Output::Close { connection, reset: false });
             }
             let connection = self.new_connection_id();
@@ -399,11 +399,11 @@
             }
             Decision::Refuse { ue, pause } => {
                 self.counters.refused += 1;
-                self.send_final_answer(now, ue, 503, Some(pause), "no server may take it now");
+                self.send_final_answer(now, ue, 503, Some(pause), "no server can take it now");
             }
             Decision::Abort { ue } => {
                 self.counters.aborted += 1;
-                self.send_final_answer(now, ue, 504, None, "no time is left for another try");
+                self.send_final_answer(now, ue, 504, None, "no time left for another try");
             }
             Decision::Probe { pool } => self.probe(now, pool),
             Decision::Wake { after } => self.timers.set(now + after, TimerEvent::Wake),
@@ -465,7 +465,7 @@
                 if let Some(link) = self.servers.links.get_mut(&connection) {
                     link.open.retain(|u| *u != ue);
                     if link.retired && link.open.is_empty() {
-                        self.drop_link(now, connection, "silent, nothing out on it any more");
+                        self.drop_link(now, connection, "silent, and no set-up is out on it");
                     }
                 }
             }
@@ -491,7 +491,7 @@
         let (number, lasted) = (pending.tries, now - setup_try.sent_at);
         let reason =
             format!("{ended:?}, try {number} at {}, after {lasted:.3} s", self.server_name(setup_try.pool));
-        self.log_info("try over", call_subject(id), reason);
+        self.log_info("setup try ended", call_subject(id), reason);
     }
 
     pub(crate) fn count_try_end(&mut self, ended: EndReason) {
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -143,8 +143,8 @@
     /// Why the feed is dialled again although its connection is open, for the log.
     pub fn close_reason(&self) -> &'static str {
         match self.stream.is_partial() {
-            true => "an event that stopped short",
-            false => "silent, or moved",
+            true => "stopped within an event",
+            false => "silent, or address changed",
         }
     }
 
--- a/crates/platform/src/handover.rs
+++ b/crates/platform/src/handover.rs
@@ -41,7 +41,7 @@
             return;
         }
         self.clients.used(now, client, Usage::Requests);
-        self.log_info("call handed over", call_subject(id), format!("it stands at {server}"));
+        self.log_info("call handed over", call_subject(id), format!("established at {server}"));
         // A server repeats its releases on the first connection from a front, which may precede the handover.
         if self.early_releases.take(now, id) {
             return self.send_release(now, client, id, NORMAL_CLEARING);
@@ -112,9 +112,9 @@
         self.unresolved_handovers = remaining;
         for handed in expired.into_iter().filter(|h| h.released_cause.is_none()) {
             self.log_info(
-                "call over",
+                "call ended",
                 call_subject(handed.id),
-                format!("no list names its server {}", handed.server),
+                format!("its server {} is not listed", handed.server),
             );
             self.send_release(now, handed.client, handed.id, TEMPORARY_FAILURE);
         }
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -109,7 +109,7 @@
             let begins_it =
                 |o: &Output| matches!(o, Output::Dial { connection: dialled, .. } if *dialled == connection);
             self.outputs.retain(|output| !begins_it(output));
-            self.drop_link(now, connection, "not up, and its server was removed");
+            self.drop_link(now, connection, "not up when its server was removed");
         }
     }
 
@@ -124,9 +124,9 @@
     fn server_restarted(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         for connection in server.links.clone() {
-            self.drop_link(now, connection, "its server started anew");
+            self.drop_link(now, connection, "its server was restarted");
         }
-        self.process_ended(now, pool, "its server started anew");
+        self.process_ended(now, pool, "its server was restarted");
     }
 
     /// Removes a server, and ends its calls, once the grace period after its removal has passed.
@@ -187,7 +187,7 @@
         let count = self.servers.all.get(&pool).map_or(MAX_LINKS, |s| s.links.len());
         if count >= MAX_LINKS {
             match self.servers.replaceable_link(now, pool, self.dial_timeout) {
-                Some(connection) => self.drop_link(now, connection, "silent, another takes its place"),
+                Some(connection) => self.drop_link(now, connection, "silent, replaced by another link"),
                 None => return,
             }
         }
@@ -252,7 +252,7 @@
     pub(crate) fn drop_link(&mut self, now: f64, connection: ConnectionId, reason: &'static str) {
         if let Some(link) = self.servers.links.get(&connection) {
             let of = self.servers.all.get(&link.pool).map_or(String::new(), |s| s.id.clone());
-            self.log_info("link given up", of, format!("connection {connection}: {reason}"));
+            self.log_info("link dropped", of, format!("connection {connection}: {reason}"));
             self.outputs.push_back(Output::Close { connection, reset: true });
             self.link_lost(now, connection, Loss::Broken);
         }
@@ -269,7 +269,7 @@
     /// unsent and must not arrive after its end, so the whole link is dropped.
     pub(crate) fn release_try(&mut self, now: f64, connection: ConnectionId, id: u64) {
         if self.servers.links.get(&connection).is_some_and(|l| l.blocked) {
-            self.drop_link(now, connection, "blocked, with a set-up that was given up");
+            self.drop_link(now, connection, "blocked with an abandoned set-up");
         } else {
             self.outputs.push_back(Output::Write { connection, bytes: lines::release(id, NORMAL_CLEARING) });
         }
@@ -301,7 +301,7 @@
         }
         self.log_info("link down", id, format!("connection {connection}: {:?}, {loss:?}", link.state));
         if dead {
-            self.process_ended(now, pool, "its server's address refuses connections");
+            self.process_ended(now, pool, "its server refuses connections");
         }
         if pause > 0.0 {
             self.timers.set(now + pause, TimerEvent::Redial(pool));
@@ -355,7 +355,7 @@
             };
             let Some(line) = line else {
                 self.counters.links_spoilt += 1;
-                return self.drop_link(now, connection, "a line that cannot be read");
+                return self.drop_link(now, connection, "unreadable line");
             };
             self.line(now, connection, &line);
             match self.servers.links.get_mut(&connection) {
@@ -423,7 +423,7 @@
         let Some((_, _, pending)) = self.calls.pending(ue) else { return };
         let bytes = sip::answer(&pending.head, &line.description);
         self.counters.stood += 1;
-        self.log_debug("call stands", call_subject(id), self.server_name(pool).to_string());
+        self.log_debug("call established", call_subject(id), self.server_name(pool).to_string());
         self.control.attach_established(now, ue, pool, now - setup_try.sent_at);
         self.calls.establish(ue, pool, connection);
         if let Some(server) = self.servers.all.get_mut(&pool) {
@@ -467,7 +467,7 @@
                 let ended = if line.cause == NORMAL_CLEARING { EndReason::Released } else { EndReason::Cut };
                 self.control.try_ended(now, ue, pool, ended, true, report);
                 self.outputs.push_back(Output::Write { connection, bytes: lines::released(id) });
-                self.end_established_call(now, ue, pool, line.cause, "its server's word");
+                self.end_established_call(now, ue, pool, line.cause, "released by its server");
             }
             Some(_) => self.control.pool_reported(now, pool, false, report),
             None => {
@@ -485,7 +485,7 @@
     fn ended_before_answer(&mut self, now: f64, ue: UeId, report: Report) {
         self.counters.ended_before_answer += 1;
         self.end_try(now, ue, EndReason::Released, report);
-        self.send_final_answer(now, ue, 504, None, "it ended before its answer came");
+        self.send_final_answer(now, ue, 504, None, "released before its answer arrived");
         self.control.client_left(now, ue);
     }
 
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -33,7 +33,7 @@
         if self.shutdown_since.is_none() {
             self.shutdown_since = Some(now);
             let remaining = self.shutdown_deadline(now) - now;
-            self.log_info("ending", "front", format!("asked to; in {remaining:.3} s at the latest"));
+            self.log_info("shutting down", "front", format!("within {remaining:.3} s"));
             self.timers.set(self.shutdown_deadline(now) - FINAL_ANSWER_LEAD, TimerEvent::AnswerAllPending);
         }
     }
@@ -95,7 +95,7 @@
     /// connections close.
     pub(crate) fn answer_all_pending(&mut self, now: f64) {
         for ue in self.calls.all_pending() {
-            self.fail_attach(now, ue, "the front ends");
+            self.fail_attach(now, ue, "the front shuts down");
         }
     }
 
--- a/crates/platform/src/silent_servers.rs
+++ b/crates/platform/src/silent_servers.rs
@@ -53,7 +53,7 @@
                     self.probe_link(now, connection)
                 }
                 LivenessStatus::Dead => {
-                    self.drop_link(now, connection, "silent, while its server speaks on another");
+                    self.drop_link(now, connection, "silent while its server sends on another link");
                     // Releases that the server could not send on the broken link it sends on the next one
                     // that is made.
                     self.dial(now, pool);
@@ -88,7 +88,7 @@
         let established = self.calls.established_at(pool);
         let ids: Vec<u64> = established.iter().filter_map(|ue| self.calls.by_ue(*ue).map(|c| c.id)).collect();
         let name = self.server_name(pool).to_string();
-        self.log_info("server silent", name, format!("{} calls stand there", ids.len()));
+        self.log_info("server silent", name, format!("{} established calls", ids.len()));
         self.counters.calls_at_silent_servers += ids.len() as u64;
         self.end_calls_at(now, pool, "its server is silent");
         if let Some(server) = self.servers.all.get_mut(&pool) {
@@ -104,10 +104,10 @@
         for connection in older.into_iter().filter(|c| *c != newest) {
             let is_up = self.servers.links.get(&connection).is_some_and(|l| l.state == LinkState::Up);
             if is_up {
-                self.drop_link(now, connection, "another process is at its address");
+                self.drop_link(now, connection, "another process has its address");
             }
         }
-        self.process_ended(now, pool, "another process is at its server's address");
+        self.process_ended(now, pool, "another process has its server's address");
     }
 
     /// Called when a link of a server with established calls is lost. If the process has ended, its other
