--- a/crates/platform-service/tests/sockets.rs
+++ b/crates/platform-service/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The shell on loopback sockets: peers that do not read, that connect in crowds, that break off.
+//! The live front on loopback sockets, with peers that do not read, connect in large numbers, or disconnect
+//! within a message.
 
 use serde_json::json;
 use shalespindle_platform::read_file;
@@ -40,32 +41,32 @@
 }
 
 #[test]
-fn a_caller_that_never_reads_is_cut_off_and_others_are_served() {
+fn a_client_that_never_reads_is_closed_and_others_are_served() {
     let service = service(256);
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&service.address().into()).unwrap();
     socket.set_write_timeout(Some(PATIENCE)).unwrap();
     let (mut stream, tests) = (TcpStream::from(socket), TEST.repeat(64));
-    // What the kernel takes on both sides and the bound of the backlog are a few MB; this asks for many times that.
+    // The kernel buffers and the backlog hold a few MB; this requests many times as much.
     let cut = (0..10_000).any(|_| stream.write_all(tests.as_bytes()).is_err());
     assert!(cut, "asked for 100 MB of answers, read none, and was not cut off");
     assert!(is_served(service.address()));
 }
 
 #[test]
-fn a_crowd_of_silent_connections_leaves_room_for_a_caller() {
+fn silent_connections_leave_capacity_for_a_caller() {
     let service = service(128);
     let crowd: Vec<TcpStream> = (0..300).map(|_| caller(service.address())).collect();
     assert!(is_served(service.address()));
-    // The oldest of them were closed to make room.
+    // The oldest connections were closed to free descriptors.
     let waited_for_nothing = |why: &std::io::Error| why.kind() == std::io::ErrorKind::WouldBlock;
     let ended = (&crowd[0]).read_to_end(&mut Vec::new());
     assert!(!ended.as_ref().is_err_and(waited_for_nothing), "{ended:?}");
 }
 
 #[test]
-fn half_a_message_and_a_close_harm_nobody() {
+fn a_partial_message_and_a_close_do_not_affect_others() {
     let service = service(256);
     for size in [1, 30, TEST.len() - 1] {
         caller(service.address()).write_all(&TEST.as_bytes()[..size]).unwrap();
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn an_end_that_is_asked_for_comes() {
+fn a_requested_shutdown_finishes() {
     let service = service(256);
     service.end();
     let begin = std::time::Instant::now();
--- a/crates/platform/src/early_tests.rs
+++ b/crates/platform/src/early_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn one_is_remembered_once_for_its_time_and_all_are_bounded() {
+fn an_id_is_returned_once_before_it_expires_and_memory_is_bounded() {
     let mut early = EarlyIds::default();
     early.add(0.0, 1, 9.0);
     assert!(early.take(8.9, 1) && !early.take(8.9, 1));
@@ -12,7 +12,7 @@
         assert!(early.order.len() <= MAX_IDS && early.expires_at.len() <= MAX_IDS);
     }
     assert!(early.take(20.0, 9_999) && !early.take(20.0, 0));
-    // The same one again and again takes one place.
+    // Repeating the same id takes one entry.
     for _ in 0..10 {
         early.add(30.0, 5, 9.0);
     }
--- a/crates/platform/src/lines_tests.rs
+++ b/crates/platform/src/lines_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of lines to and from signalling servers.
+//! Tests of the JSON lines exchanged with signalling servers.
 
 use super::*;
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
 const ID: &str = "9b1f03aa5c7e2d41";
 
 #[test]
-fn lines_are_read_with_what_they_need_and_not_without() {
+fn lines_without_required_fields_are_rejected() {
     let refusal = format!(
         r#"{{"type":"release","id":"{ID}","fields":{{"note":"throttled","load":"x0:12;x1:40;latency_ms:3.5;queue:-1"}},"cause":34}}"#
     );
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_back_by_json() {
+fn a_written_set_up_is_one_line_of_valid_json() {
     let description = "a\r\n\"\u{e9}\\\t";
     let bytes = set_up(7, "voice", "7f3a", 1.2345, description);
     assert_eq!(bytes.iter().filter(|b| **b == b'\n').count(), 1);
@@ -61,7 +61,7 @@
 }
 
 proptest! {
-    // The same cases each time.
+    // The same cases in every run.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
@@ -75,7 +75,7 @@
     }
 
     #[test]
-    fn noise_never_panics_and_what_does_not_end_is_given_up(
+    fn noise_never_panics_and_an_endless_line_is_an_error(
         noise in proptest::collection::vec(any::<u8>(), 0..3000), step in 1usize..700,
     ) {
         for line in read_all(&noise, &[step]).unwrap_or_default() {
--- a/crates/platform/src/sip_tests.rs
+++ b/crates/platform/src/sip_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of messages to and from callers.
+//! Tests of the SIP messages exchanged with callers.
 
 use super::*;
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_set_up_is_read_strictly() {
+fn a_malformed_set_up_is_rejected_with_the_bad_field() {
     assert_eq!(read(&invite("", "")), Ok((1.5, Some(2))));
     for (from, to, what) in [
         ("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d4", "Call-ID"),
@@ -49,7 +49,7 @@
 }
 
 proptest! {
-    // The same cases each time.
+    // The same cases in every run.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
--- a/crates/platform/src/sse_tests.rs
+++ b/crates/platform/src/sse_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of server-sent events.
+//! Tests of the parser for server-sent events.
 
 use super::*;
 use proptest::prelude::*;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_bad_head_and_a_bad_chunk_are_named() {
+fn invalid_heads_chunks_and_long_events_are_errors() {
     assert_eq!(read(b"HTTP/1.1 404 No\r\n\r\n", &[9]), Err(StreamError::Head));
     assert_eq!(read(&[b'x'; 9000], &[100]), Err(StreamError::Head));
     let bad = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n";
@@ -39,11 +39,11 @@
 }
 
 proptest! {
-    // The same cases each time.
+    // The same cases in every run.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_split_and_either_body_tells_the_same(steps in proptest::collection::vec(1usize..40, 1..20)) {
+    fn any_split_and_either_body_give_the_same_events(steps in proptest::collection::vec(1usize..40, 1..20)) {
         let wanted = Ok(vec!["{\"n\":4}".to_string(), "a\nb".to_string()]);
         prop_assert_eq!(&read(PLAIN.as_bytes(), &steps), &wanted);
         prop_assert_eq!(&read(chunked().as_bytes(), &steps), &wanted);
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,16 +1,16 @@
-//! A front under a fake clock with scripted peers: bytes in, bytes out, nothing else.
+//! A front with a simulated clock and scripted peers, without I/O.
 
-// Each test program uses a part of it.
+// Each test binary uses a part of this module.
 #![allow(dead_code)]
 
 use shalespindle_platform::{read_file, ConnectionId, Edge, Loss, Output};
 use shalespindle_signalling::{Message, Start};
 use std::collections::BTreeMap;
 
-/// The Unix time at which the tests' clock stands at `BEGIN`.
+/// Unix time, in seconds, when the simulated clock is at `BEGIN`.
 pub const UNIX: f64 = 1.7e9;
 pub const BEGIN: f64 = 1e6;
-/// What a server says first on a connection, and again unasked.
+/// The line a server sends first on a connection, and later without a request.
 pub const STATE: &str = r#"{"type":"state","id":"","fields":{"load":"x0:40;x1:40"}}"#;
 
 pub fn settings() -> String {
@@ -47,39 +47,39 @@
     )
 }
 
-/// The front, its clock and what it has done.
-pub struct World {
+/// A front, its clock, and the outputs it has produced.
+pub struct TestFront {
     pub edge: Edge,
     pub now: f64,
-    /// What was written to each connection and not yet looked at.
+    /// Bytes written to each connection that the test has not taken yet.
     pub written: BTreeMap<ConnectionId, Vec<u8>>,
-    /// The same in order, with the time, and each close as no bytes.
+    /// All writes in order with their times; a close is recorded without bytes.
     pub log: Vec<(f64, ConnectionId, Option<Vec<u8>>)>,
     pub dials: Vec<(ConnectionId, u16)>,
     pub closed: Vec<(ConnectionId, bool)>,
-    next: ConnectionId,
+    last_client: ConnectionId,
 }
 
-impl World {
-    /// With so many signalling servers known, ids `s0`, `s1` and so on, none linked yet.
-    pub fn new(servers: u16) -> World {
+impl TestFront {
+    /// A front that knows `servers` signalling servers, named `s0`, `s1` and so on, none of them linked.
+    pub fn new(servers: u16) -> TestFront {
         let members: Vec<String> = (0..servers).map(|c| member(&format!("s{c}"), c, "up", 0)).collect();
-        World::from(&file(&[event(1, true, &members)], 4222))
+        TestFront::from(&file(&[event(1, true, &members)], 4222))
     }
 
-    pub fn from(text: &str) -> World {
+    pub fn from(text: &str) -> TestFront {
         let edge = Edge::new(read_file(text.as_bytes()).unwrap(), BEGIN, UNIX).unwrap();
         let (written, log, dials, closed) = Default::default();
-        let mut world = World { edge, now: BEGIN, written, log, dials, closed, next: 0 };
-        world.poll();
-        world
+        let mut front = TestFront { edge, now: BEGIN, written, log, dials, closed, last_client: 0 };
+        front.poll();
+        front
     }
 
-    /// With every server linked.
-    pub fn linked(servers: u16) -> (World, Vec<ConnectionId>) {
-        let mut world = World::new(servers);
-        let links = (0..servers).map(|cell| world.link(cell)).collect();
-        (world, links)
+    /// The same with a link to every server.
+    pub fn with_links(servers: u16) -> (TestFront, Vec<ConnectionId>) {
+        let mut front = TestFront::new(servers);
+        let links = (0..servers).map(|cell| front.bring_up_link(cell)).collect();
+        (front, links)
     }
 
     pub fn poll(&mut self) {
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Lets time pass, turning whenever the front wants to.
-    pub fn pass(&mut self, seconds: f64) {
+    /// Advances the clock and polls whenever the front asks for it.
+    pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.edge.wake_at() <= until {
             self.now = self.edge.wake_at().max(self.now + 1e-6);
@@ -111,27 +111,27 @@
         self.poll();
     }
 
-    /// The dial to a server's address that is under way.
-    pub fn dialled(&mut self, cell: u16) -> ConnectionId {
-        let place = self.dials.iter().position(|d| d.1 == 6000 + cell);
-        self.dials.remove(place.unwrap_or_else(|| panic!("pool {cell} is not dialled"))).0
+    /// Takes the pending dial to a server's address.
+    pub fn take_dial(&mut self, cell: u16) -> ConnectionId {
+        let position = self.dials.iter().position(|d| d.1 == 6000 + cell);
+        self.dials.remove(position.unwrap_or_else(|| panic!("pool {cell} is not dialled"))).0
     }
 
-    pub fn dialled_feed(&mut self, port: u16) -> ConnectionId {
-        let place = self.dials.iter().rposition(|d| d.1 == port).expect("the feed is not dialled");
-        self.dials.remove(place).0
+    pub fn take_feed_dial(&mut self, port: u16) -> ConnectionId {
+        let position = self.dials.iter().rposition(|d| d.1 == port).expect("the feed is not dialled");
+        self.dials.remove(position).0
     }
 
-    /// Makes the link that is being dialled and has the server say its state.
-    pub fn link(&mut self, cell: u16) -> ConnectionId {
-        let connection = self.dialled(cell);
+    /// Completes the pending dial to a server, which then sends its state.
+    pub fn bring_up_link(&mut self, cell: u16) -> ConnectionId {
+        let connection = self.take_dial(cell);
         self.edge.connected(self.now, connection);
-        self.say(connection, STATE);
+        self.send_line(connection, STATE);
         connection
     }
 
-    /// A server's line.
-    pub fn say(&mut self, connection: ConnectionId, line: &str) {
+    /// Receives a line from a server.
+    pub fn send_line(&mut self, connection: ConnectionId, line: &str) {
         self.bytes(connection, format!("{line}\n").as_bytes());
     }
 
@@ -140,37 +140,37 @@
         self.poll();
     }
 
-    pub fn lose(&mut self, connection: ConnectionId, loss: Loss) {
+    pub fn lose_connection(&mut self, connection: ConnectionId, loss: Loss) {
         self.edge.lost(self.now, connection, loss);
         self.poll();
     }
 
-    /// A caller's connection.
+    /// Opens a client connection.
     pub fn client(&mut self) -> ConnectionId {
-        self.next += 2;
-        self.edge.accepted(self.now, self.next);
+        self.last_client += 2;
+        self.edge.accepted(self.now, self.last_client);
         self.poll();
-        self.next
+        self.last_client
     }
 
-    /// A caller's connection on which a call stands, confirmed.
-    pub fn caller(&mut self, link: ConnectionId, call: u64) -> ConnectionId {
+    /// Opens a client connection and establishes a confirmed call on it.
+    pub fn establish_call(&mut self, link: ConnectionId, call: u64) -> ConnectionId {
         let client = self.client();
         self.bytes(client, invite(call, 0).as_bytes());
-        self.say(link, &answer(call));
+        self.send_line(link, &answer(call));
         self.bytes(client, request("ACK", call).as_bytes());
-        self.took(client);
+        self.take_written(client);
         client
     }
 
-    /// All that was written to a connection since it was last asked.
-    pub fn took(&mut self, connection: ConnectionId) -> String {
+    /// Takes everything written to a connection since the last call.
+    pub fn take_written(&mut self, connection: ConnectionId) -> String {
         String::from_utf8(self.written.remove(&connection).unwrap_or_default()).unwrap()
     }
 
-    /// The statuses (or methods) of the SIP messages written to a caller, with their Call-IDs.
-    pub fn answers(&mut self, connection: ConnectionId) -> Vec<(String, String)> {
-        let text = self.took(connection);
+    /// Takes the SIP messages written to a client: status or method, and Call-ID.
+    pub fn take_answers(&mut self, connection: ConnectionId) -> Vec<(String, String)> {
+        let text = self.take_written(connection);
         let mut framer = shalespindle_signalling::Framer::default();
         framer.push(text.as_bytes());
         let mut out = Vec::new();
@@ -186,8 +186,8 @@
         out
     }
 
-    pub fn first(&mut self, connection: ConnectionId) -> String {
-        self.answers(connection).first().map_or(String::new(), |a| a.0.clone())
+    pub fn first_answer(&mut self, connection: ConnectionId) -> String {
+        self.take_answers(connection).first().map_or(String::new(), |a| a.0.clone())
     }
 }
 
--- a/crates/platform/tests/rules.rs
+++ b/crates/platform/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Seeded random runs of a front among peers that fail in every way, with the five rules checked on what it
-//! wrote; and each rule's check shown failing on a planted fault.
+//! Seeded random runs of a front with peers that fail in every way. The platform's five rules are checked on
+//! what the front wrote, and each check is shown to detect a planted violation.
 
 mod common;
 #[path = "common/rules.rs"]
@@ -8,38 +8,38 @@
 use common::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rules::{broken, Seen, GRACE, GUARD};
+use rules::{first_violation, WireEvent, GRACE, GUARD};
 use serde_json::Value;
 use shalespindle_platform::{ConnectionId, Loss};
 use shalespindle_signalling::{Framer, Message, Method, Start};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A server's word that is under way.
-struct Word {
+/// A line that a server will send.
+struct PendingLine {
     at: f64,
     connection: ConnectionId,
     line: String,
-    over: Option<(u64, bool)>,
+    ends_try: Option<(u64, bool)>,
 }
 
 struct Run {
-    w: World,
+    front: TestFront,
     rng: ChaCha8Rng,
-    /// When what is looked at just now passed.
-    at: f64,
-    seen: Vec<(f64, Seen)>,
+    /// Time of the event being processed.
+    event_time: f64,
+    observed: Vec<(f64, WireEvent)>,
     clients: BTreeMap<ConnectionId, Framer>,
-    /// Links and the port they were dialled to.
+    /// Links and the port each was dialled to.
     links: BTreeMap<ConnectionId, u16>,
-    /// Which server has a port, and whether the feed calls it up.
+    /// The server at each port, and whether the feed lists it as up.
     servers: BTreeMap<u16, (u64, bool)>,
-    words: Vec<Word>,
-    /// Tries out: their link.
-    out: BTreeMap<u64, ConnectionId>,
-    open: BTreeSet<u64>,
-    homes: BTreeMap<u64, ConnectionId>,
+    pending_lines: Vec<PendingLine>,
+    /// Setup tries that are out, and their links.
+    tries_out: BTreeMap<u64, ConnectionId>,
+    pending_calls: BTreeSet<u64>,
+    client_of_call: BTreeMap<u64, ConnectionId>,
     feed: Option<ConnectionId>,
-    events: u64,
+    event_count: u64,
     next_call: u64,
     next_server: u64,
 }
@@ -47,100 +47,106 @@
 impl Run {
     fn new(seed: u64) -> Run {
         let mut run = Run {
-            w: World::new(3),
+            front: TestFront::new(3),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            at: BEGIN,
-            seen: Vec::new(),
+            event_time: BEGIN,
+            observed: Vec::new(),
             clients: BTreeMap::new(),
             links: BTreeMap::new(),
             servers: (0..3).map(|n| (6000 + n, (u64::from(n), true))).collect(),
-            words: Vec::new(),
-            out: BTreeMap::new(),
-            open: BTreeSet::new(),
-            homes: BTreeMap::new(),
+            pending_lines: Vec::new(),
+            tries_out: BTreeMap::new(),
+            pending_calls: BTreeSet::new(),
+            client_of_call: BTreeMap::new(),
             feed: None,
-            events: 1,
+            event_count: 1,
             next_call: 0,
             next_server: 3,
         };
-        run.look();
+        run.observe();
         run
     }
 
-    fn note(&mut self, what: Seen) {
-        self.seen.push((self.at, what));
+    fn record(&mut self, what: WireEvent) {
+        self.observed.push((self.event_time, what));
     }
 
     fn chance(&mut self, of: f64) -> bool {
         self.rng.random::<f64>() < of
     }
 
-    fn over(&mut self, id: u64, unsure: bool) {
-        if self.out.remove(&id).is_some() {
-            self.note(Seen::Over { id, unsure });
+    fn try_ended(&mut self, id: u64, uncertain: bool) {
+        if self.tries_out.remove(&id).is_some() {
+            self.record(WireEvent::TryEnded { id, uncertain });
         }
     }
 
-    /// Takes in what the front has done, until it has done nothing more.
-    fn look(&mut self) {
+    /// Processes the front's outputs until there are none left.
+    fn observe(&mut self) {
         loop {
-            let dials = std::mem::take(&mut self.w.dials);
-            let log = std::mem::take(&mut self.w.log);
+            let dials = std::mem::take(&mut self.front.dials);
+            let log = std::mem::take(&mut self.front.log);
             if dials.is_empty() && log.is_empty() {
                 return;
             }
             for (at, connection, bytes) in log {
-                self.at = at;
+                self.event_time = at;
                 match bytes {
-                    None => self.wire_gone(connection),
+                    None => self.connection_closed(connection),
                     Some(bytes) if self.links.contains_key(&connection) => {
                         let text = String::from_utf8(bytes).unwrap();
                         text.lines().for_each(|line| self.line(connection, line));
                     }
-                    Some(bytes) if self.clients.contains_key(&connection) => self.answers(connection, &bytes),
+                    Some(bytes) if self.clients.contains_key(&connection) => {
+                        self.handle_answers(connection, &bytes)
+                    }
                     Some(_) => {}
                 }
             }
-            self.at = self.w.now;
+            self.event_time = self.front.now;
             for (connection, port) in dials {
                 self.dial(connection, port);
             }
         }
     }
 
-    fn wire_gone(&mut self, connection: ConnectionId) {
+    fn connection_closed(&mut self, connection: ConnectionId) {
         self.clients.remove(&connection);
         if self.links.remove(&connection).is_some() {
-            let cut: Vec<u64> = self.out.iter().filter(|o| *o.1 == connection).map(|o| *o.0).collect();
-            cut.into_iter().for_each(|id| self.over(id, true));
-            self.words.retain(|w| w.connection != connection);
+            let cut: Vec<u64> = self.tries_out.iter().filter(|o| *o.1 == connection).map(|o| *o.0).collect();
+            cut.into_iter().for_each(|id| self.try_ended(id, true));
+            self.pending_lines.retain(|m| m.connection != connection);
         }
         if self.feed == Some(connection) {
             self.feed = None;
         }
-        let left: Vec<u64> =
-            self.open.iter().filter(|id| self.homes.get(id) == Some(&connection)).copied().collect();
+        let left: Vec<u64> = self
+            .pending_calls
+            .iter()
+            .filter(|id| self.client_of_call.get(id) == Some(&connection))
+            .copied()
+            .collect();
         for id in left {
-            self.open.remove(&id);
-            self.note(Seen::Left { id });
+            self.pending_calls.remove(&id);
+            self.record(WireEvent::CallerLeft { id });
         }
     }
 
     fn dial(&mut self, connection: ConnectionId, port: u16) {
         if port == 4222 {
             self.feed = Some(connection);
-            self.w.edge.connected(self.w.now, connection);
-            self.w.bytes(connection, b"HTTP/1.1 200 OK\r\n\r\n");
+            self.front.edge.connected(self.front.now, connection);
+            self.front.bytes(connection, b"HTTP/1.1 200 OK\r\n\r\n");
             return;
         }
         match self.rng.random_range(0..20) {
-            0 => self.w.lose(connection, Loss::Refused),
+            0 => self.front.lose_connection(connection, Loss::Refused),
             1 => {}
             _ => {
                 self.links.insert(connection, port);
-                self.w.edge.connected(self.w.now, connection);
+                self.front.edge.connected(self.front.now, connection);
                 let state = r#"{"type":"state","id":"","fields":{"load":"x0:40;x1:40"}}"#;
-                self.w.say(connection, state);
+                self.front.send_line(connection, state);
             }
         }
     }
@@ -148,41 +154,42 @@
     fn line(&mut self, connection: ConnectionId, line: &str) {
         let value: Value = serde_json::from_str(line).unwrap();
         let id = u64::from_str_radix(value["id"].as_str().unwrap(), 16).unwrap();
-        let mut later = self.w.now + self.rng.random_range(0.005..0.06);
+        let mut send_at = self.front.now + self.rng.random_range(0.005..0.06);
         match value["type"].as_str().unwrap() {
             "setup" => {
                 let server = self.servers[&self.links[&connection]].0;
-                self.note(Seen::Tried { id, server });
-                self.out.insert(id, connection);
-                let (line, over) = match self.rng.random_range(0..150) {
+                self.record(WireEvent::TrySent { id, server });
+                self.tries_out.insert(id, connection);
+                let (line, ends_try) = match self.rng.random_range(0..150) {
                     0..=119 => (answer(id), Some((id, false))),
                     120 => (release(id, 34, r#""note":"throttled""#), Some((id, false))),
                     121..=124 => (release(id, 47, ""), Some((id, false))),
                     125..=129 => (release(id, 41, ""), Some((id, true))),
                     130..=134 => {
-                        later += self.rng.random_range(0.0..4.0);
+                        send_at += self.rng.random_range(0.0..4.0);
                         (answer(id), Some((id, false)))
                     }
                     135..=137 => ("noise".into(), None),
                     138..=142 => (format!("{}\n{}", answer(id ^ 1 << 60), answer(id)), Some((id, false))),
                     _ => return,
                 };
-                self.words.push(Word { at: later, connection, line, over });
+                self.pending_lines.push(PendingLine { at: send_at, connection, line, ends_try });
             }
             "release" => {
-                self.over(id, true);
-                self.words.retain(|w| w.over.is_none_or(|o| o.0 != id) || w.connection != connection);
+                self.try_ended(id, true);
+                self.pending_lines
+                    .retain(|m| m.ends_try.is_none_or(|o| o.0 != id) || m.connection != connection);
             }
             "ping" => {
                 let line =
                     line.replace("ping", "pong").replace("{}", r#"{"load":"x0:40;x1:40;latency_ms:2"}"#);
-                self.words.push(Word { at: later, connection, line, over: None });
+                self.pending_lines.push(PendingLine { at: send_at, connection, line, ends_try: None });
             }
             _ => {}
         }
     }
 
-    fn answers(&mut self, connection: ConnectionId, bytes: &[u8]) {
+    fn handle_answers(&mut self, connection: ConnectionId, bytes: &[u8]) {
         let Some(mut framer) = self.clients.remove(&connection) else { return };
         framer.push(bytes);
         let mut finals = Vec::new();
@@ -195,23 +202,28 @@
         }
         self.clients.insert(connection, framer);
         for id in finals {
-            if self.open.remove(&id) || !self.homes.contains_key(&id) {
-                self.note(Seen::Final { id });
-                self.w.edge.bytes(self.w.now, self.w.now, connection, request("ACK", id).as_bytes());
-            } else if self.seen.iter().any(|s| s.1 == Seen::Final { id }) {
-                self.note(Seen::Final { id });
+            if self.pending_calls.remove(&id) || !self.client_of_call.contains_key(&id) {
+                self.record(WireEvent::FinalAnswer { id });
+                self.front.edge.bytes(
+                    self.front.now,
+                    self.front.now,
+                    connection,
+                    request("ACK", id).as_bytes(),
+                );
+            } else if self.observed.iter().any(|s| s.1 == WireEvent::FinalAnswer { id }) {
+                self.record(WireEvent::FinalAnswer { id });
             }
         }
     }
 
-    fn tell(&mut self, member: String, out: Option<u64>) {
+    fn send_feed_event(&mut self, member: String, out: Option<u64>) {
         let Some(feed) = self.feed else { return };
-        self.events += 1;
-        let event = event(self.events, false, &[member]);
+        self.event_count += 1;
+        let event = event(self.event_count, false, &[member]);
         if let Some(server) = out {
-            self.note(Seen::Out { server });
+            self.record(WireEvent::OutOfService { server });
         }
-        self.w.bytes(feed, format!("data: {event}\n\n").as_bytes());
+        self.front.bytes(feed, format!("data: {event}\n\n").as_bytes());
     }
 
     fn name(server: u64) -> String {
@@ -220,46 +232,46 @@
 
     fn step(&mut self) {
         let pause = self.rng.random_range(0.001..0.02);
-        self.w.pass(pause);
-        self.look();
-        let now = self.w.now;
-        self.at = now;
-        let (due, later) = std::mem::take(&mut self.words).into_iter().partition(|w| w.at <= now);
-        self.words = later;
-        for word in due {
-            let Word { connection, line, over, .. }: Word = word;
+        self.front.advance(pause);
+        self.observe();
+        let now = self.front.now;
+        self.event_time = now;
+        let (due, send_at) = std::mem::take(&mut self.pending_lines).into_iter().partition(|m| m.at <= now);
+        self.pending_lines = send_at;
+        for pending in due {
+            let PendingLine { connection, line, ends_try, .. }: PendingLine = pending;
             if !self.links.contains_key(&connection) {
                 continue;
             }
-            if let Some((id, unsure)) = over {
-                self.over(id, unsure);
+            if let Some((id, uncertain)) = ends_try {
+                self.try_ended(id, uncertain);
             }
-            self.w.say(connection, &line);
-            self.look();
+            self.front.send_line(connection, &line);
+            self.observe();
         }
         if self.chance(0.5) {
-            self.ask();
-            self.look();
+            self.send_set_up();
+            self.observe();
         }
         match self.rng.random_range(0..400) {
             0..=2 => {
                 if let Some(connection) = self.links.keys().next().copied() {
-                    self.wire_gone(connection);
-                    self.w.lose(connection, Loss::Broken);
+                    self.connection_closed(connection);
+                    self.front.lose_connection(connection, Loss::Broken);
                 }
             }
             3 => {
                 if let Some(connection) = self.clients.keys().next().copied() {
-                    self.wire_gone(connection);
-                    self.w.lose(connection, Loss::Broken);
+                    self.connection_closed(connection);
+                    self.front.lose_connection(connection, Loss::Broken);
                 }
             }
             4..=8 => {
-                let id = self.open.iter().next().copied();
-                if let Some((id, connection)) = id.and_then(|id| Some((id, *self.homes.get(&id)?))) {
-                    self.open.remove(&id);
-                    self.note(Seen::Left { id });
-                    self.w.bytes(connection, request("CANCEL", id).as_bytes());
+                let id = self.pending_calls.iter().next().copied();
+                if let Some((id, connection)) = id.and_then(|id| Some((id, *self.client_of_call.get(&id)?))) {
+                    self.pending_calls.remove(&id);
+                    self.record(WireEvent::CallerLeft { id });
+                    self.front.bytes(connection, request("CANCEL", id).as_bytes());
                 }
             }
             9 if self.chance(0.3) => {
@@ -273,17 +285,17 @@
             }
             17..=26 => {
                 if let Some(feed) = self.feed {
-                    self.w.bytes(feed, b": tick\n\n");
+                    self.front.bytes(feed, b": tick\n\n");
                 }
             }
             _ => {}
         }
-        self.look();
+        self.observe();
     }
 
-    fn ask(&mut self) {
+    fn send_set_up(&mut self) {
         if self.clients.len() < 4 {
-            let client = self.w.client();
+            let client = self.front.client();
             self.clients.insert(client, Framer::default());
         }
         let place = self.rng.random_range(0..self.clients.len());
@@ -291,54 +303,57 @@
         self.next_call += 1;
         let id = self.next_call;
         let patience: u32 = self.rng.random_range(300..3000);
-        self.note(Seen::Asked { id, until: self.w.now + f64::from(patience) / 1000.0 });
-        self.open.insert(id);
-        self.homes.insert(id, connection);
+        self.record(WireEvent::SetUpReceived {
+            id,
+            patience_ends_at: self.front.now + f64::from(patience) / 1000.0,
+        });
+        self.pending_calls.insert(id);
+        self.client_of_call.insert(id, connection);
         let dest = self.rng.random_range(0..3);
         let lines = format!("X-Setup-Ms: {patience}\r\nX-Route: dest:{dest};width:1;via:-1\r\n");
-        self.w.bytes(connection, invite_with(id, &lines, "9d41\r\n").as_bytes());
+        self.front.bytes(connection, invite_with(id, &lines, "9d41\r\n").as_bytes());
     }
 
-    /// One server drains, or is replaced by a new and cold one at its address.
+    /// Drains a server, or replaces a draining one by a new, cold one at its address.
     fn replace(&mut self, port: u16) {
         let cell = port - 6000;
         let (old, up) = self.servers[&port];
         if up {
             self.servers.insert(port, (old, false));
-            self.tell(member(&Run::name(old), cell, "draining", 0), Some(old));
+            self.send_feed_event(member(&Run::name(old), cell, "draining", 0), Some(old));
             return;
         }
         if self.feed.is_none() {
             return;
         }
-        self.tell(member(&Run::name(old), cell, "removed", 0), Some(old));
-        let gone: Vec<ConnectionId> = self.links.iter().filter(|l| *l.1 == port).map(|l| *l.0).collect();
-        for connection in gone {
-            self.wire_gone(connection);
-            self.w.lose(connection, Loss::Broken);
+        self.send_feed_event(member(&Run::name(old), cell, "removed", 0), Some(old));
+        let closed: Vec<ConnectionId> = self.links.iter().filter(|l| *l.1 == port).map(|l| *l.0).collect();
+        for connection in closed {
+            self.connection_closed(connection);
+            self.front.lose_connection(connection, Loss::Broken);
         }
         let new = self.next_server;
         self.next_server += 1;
         self.servers.insert(port, (new, true));
-        // All attaches come through this one front: its predecessor bore at most all of them.
-        self.note(Seen::Cold { server: new, most: 2.0 * 45.0 });
-        let unix = UNIX + (self.w.now - BEGIN);
-        self.tell(member(&Run::name(new), cell, "up", (unix * 1000.0) as u64), None);
+        // All attaches come through this front, so the predecessor had at most all of the load.
+        self.record(WireEvent::ColdStart { server: new, max_per_second: 2.0 * 45.0 });
+        let unix = UNIX + (self.front.now - BEGIN);
+        self.send_feed_event(member(&Run::name(new), cell, "up", (unix * 1000.0) as u64), None);
     }
 
-    fn finish(mut self) -> (Vec<(f64, Seen)>, f64, World) {
+    fn finish(mut self) -> (Vec<(f64, WireEvent)>, f64, TestFront) {
         for _ in 0..4000 {
-            if self.open.is_empty() {
+            if self.pending_calls.is_empty() {
                 break;
             }
-            self.w.pass(0.01);
-            self.look();
+            self.front.advance(0.01);
+            self.observe();
         }
-        (self.seen, self.w.now + 1.0, self.w)
+        (self.observed, self.front.now + 1.0, self.front)
     }
 }
 
-fn run(seed: u64) -> (Vec<(f64, Seen)>, f64, World) {
+fn run(seed: u64) -> (Vec<(f64, WireEvent)>, f64, TestFront) {
     let mut run = Run::new(seed);
     for _ in 0..3000 {
         run.step();
@@ -347,13 +362,13 @@
 }
 
 #[test]
-fn the_rules_hold_whatever_the_peers_do() {
+fn the_rules_hold_in_random_runs_with_faulty_peers() {
     for seed in 0..12 {
-        let (seen, end, world) = run(seed);
-        assert_eq!(broken(&seen, end), None, "seed {seed}");
-        let counters = world.edge.counters();
+        let (observed, end, front) = run(seed);
+        assert_eq!(first_violation(&observed, end), None, "seed {seed}");
+        let counters = front.edge.counters();
         assert!(counters.stood > 150 && counters.cut > 10 && counters.cancelled > 0, "{counters:?}");
-        assert_eq!(world.edge.gauges()[0], 0, "seed {seed}: nothing is left in hand");
+        assert_eq!(front.edge.gauges()[0], 0, "seed {seed}: no attach is pending");
     }
 }
 
@@ -363,33 +378,33 @@
 }
 
 #[test]
-fn each_rule_is_found_broken_when_a_fault_is_planted() {
-    let (seen, end, _) = run(1);
-    let place = |wanted: &dyn Fn(&Seen) -> bool| seen.iter().position(|s| wanted(&s.1)).unwrap();
-    let rule = |seen: &[(f64, Seen)]| broken(seen, end).map(|b| b.0);
-    let with = |at: usize, extra: (f64, Seen)| {
-        let mut seen = seen.clone();
-        seen.insert(at + 1, extra);
-        rule(&seen)
+fn each_rule_check_detects_a_planted_violation() {
+    let (observed, end, _) = run(1);
+    let place = |wanted: &dyn Fn(&WireEvent) -> bool| observed.iter().position(|s| wanted(&s.1)).unwrap();
+    let rule = |observed: &[(f64, WireEvent)]| first_violation(observed, end).map(|b| b.0);
+    let with = |at: usize, extra: (f64, WireEvent)| {
+        let mut observed = observed.clone();
+        observed.insert(at + 1, extra);
+        rule(&observed)
     };
-    let last = place(&|s| matches!(s, Seen::Final { .. }));
-    assert_eq!(with(last, seen[last]), Some(1), "a second answer");
-    let mut without = seen.clone();
+    let last = place(&|s| matches!(s, WireEvent::FinalAnswer { .. }));
+    assert_eq!(with(last, observed[last]), Some(1), "a second answer");
+    let mut without = observed.clone();
     without.remove(last);
     assert_eq!(rule(&without), Some(1), "no answer");
-    let tried = place(&|s| matches!(s, Seen::Tried { .. }));
-    assert_eq!(with(tried, seen[tried]), Some(2), "two tries out");
-    let Seen::Tried { id, server } = seen[tried].1 else { unreachable!() };
-    let told = (seen[tried].0 - GRACE - 0.01, Seen::Out { server });
-    let mut early = seen.clone();
+    let tried = place(&|s| matches!(s, WireEvent::TrySent { .. }));
+    assert_eq!(with(tried, observed[tried]), Some(2), "two tries out");
+    let WireEvent::TrySent { id, server } = observed[tried].1 else { unreachable!() };
+    let told = (observed[tried].0 - GRACE - 0.01, WireEvent::OutOfService { server });
+    let mut early = observed.clone();
     early.insert(tried, told);
-    assert_eq!(rule(&early), Some(3), "a try past the grace");
-    let mut cold = seen.clone();
-    cold.insert(0, (BEGIN, Seen::Cold { server, most: 0.0 }));
+    assert_eq!(rule(&early), Some(3), "a try after the grace period");
+    let mut cold = observed.clone();
+    cold.insert(0, (BEGIN, WireEvent::ColdStart { server, max_per_second: 0.0 }));
     assert_eq!(rule(&cold), Some(4), "too much for a cold server");
-    let mut soon = seen[..=tried].to_vec();
-    let at = seen[tried].0;
-    soon.push((at, Seen::Over { id, unsure: true }));
-    soon.push((at + GUARD - 0.01, Seen::Tried { id, server }));
+    let mut soon = observed[..=tried].to_vec();
+    let at = observed[tried].0;
+    soon.push((at, WireEvent::TryEnded { id, uncertain: true }));
+    soon.push((at + GUARD - 0.01, WireEvent::TrySent { id, server }));
     assert_eq!(rule(&soon), Some(5), "a try within the guard");
 }
