--- a/crates/platform-service/src/readers.rs
+++ b/crates/platform-service/src/readers.rs
@@ -74,22 +74,22 @@
     mailbox: &Mailbox<OwnerEvent>,
     ground: &Ground,
 ) {
-    let (mailbox_of_dial, ground) = (mailbox.clone(), ground.clone());
+    let (dial_mailbox, ground) = (mailbox.clone(), ground.clone());
     let started = start(SMALL_STACK, move || {
         let loss = match TcpStream::connect_timeout(&to, timeout) {
             Ok(stream) => {
                 let _ = stream.set_nodelay(true);
                 let (mut reading, writing) = share(stream);
-                if mailbox_of_dial.send(OwnerEvent::Connected { connection, writing }).is_err() {
+                if dial_mailbox.send(OwnerEvent::Connected { connection, writing }).is_err() {
                     return;
                 }
-                read(&mut reading, connection, &mailbox_of_dial, &ground);
+                read(&mut reading, connection, &dial_mailbox, &ground);
                 Loss::Broken
             }
             Err(why) if why.kind() == io::ErrorKind::ConnectionRefused => Loss::Refused,
             Err(_) => Loss::Broken,
         };
-        let _ = mailbox_of_dial.send(OwnerEvent::Lost { connection, loss });
+        let _ = dial_mailbox.send(OwnerEvent::Lost { connection, loss });
     });
     if started.is_err() {
         let _ = mailbox.send_urgent(OwnerEvent::Lost { connection, loss: Loss::Broken });
--- a/crates/platform/src/callers.rs
+++ b/crates/platform/src/callers.rs
@@ -260,7 +260,7 @@
     }
 
     pub(crate) fn send_release(&mut self, now: f64, own_connection: ConnectionId, id: u64, cause: u16) {
-        self.releases.owe(now, id, cause, own_connection);
+        self.releases.add(now, id, cause, own_connection);
         self.send_releases(now);
     }
 
--- a/crates/platform/src/edge.rs
+++ b/crates/platform/src/edge.rs
@@ -56,16 +56,24 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     pub attaches: u64,
+    /// Calls established.
     pub stood: u64,
+    /// Attaches refused by `Control`.
     pub refused: u64,
+    /// Attaches aborted by `Control` because no time was left.
     pub aborted: u64,
+    /// Attaches whose caller left before the final answer.
     pub left: u64,
     /// Attaches answered by the front itself because it shut down or closed the connection to free a
     /// descriptor.
     pub given_up: u64,
+    /// Malformed requests.
     pub bad_form: u64,
+    /// Messages whose bytes could not be parsed.
     pub unreadable: u64,
+    /// Set-ups and handovers not accepted because a limit was reached or the front shuts down.
     pub no_place: u64,
+    /// Setup tries, and below them those that ended without an answer, by reason.
     pub tries: u64,
     pub unreached: u64,
     pub throttled: u64,
@@ -73,17 +81,23 @@
     pub timed_out: u64,
     pub cut: u64,
     pub cancelled: u64,
+    /// Links dropped because of an unreadable line.
     pub links_spoilt: u64,
+    /// Links lost after they had come up.
     pub links_lost: u64,
+    /// Answers to setup tries that had ended.
     pub late_answers: u64,
     /// Established calls ended because their server fell silent.
     pub calls_at_silent_servers: u64,
     /// Calls released normally by their server before the answer arrived.
     pub ended_before_answer: u64,
+    /// Client connections closed to free a descriptor.
     pub clients_evicted: u64,
+    /// Client connections closed because a time limit had passed.
     pub clients_overdue: u64,
     /// Links not dialled because no descriptor was available.
     pub no_descriptor: u64,
+    /// Probes sent to servers.
     pub tests: u64,
     /// Releases written to callers, repeated on another connection, confirmed, and never confirmed.
     pub byes: u64,
@@ -102,7 +116,7 @@
     /// The time limit for a link to come up.
     LinkTimeout(ConnectionId),
     /// A connected link on which the server has not sent its state is probed.
-    LinkSilent(ConnectionId),
+    ProbeNewLink(ConnectionId),
     /// The next dial to a server after a pause.
     Redial(PoolId),
     /// Calls still established at a removed server are ended.
@@ -122,6 +136,7 @@
 /// Fraction of the memory limit that the descriptions of pending attaches may fill.
 const DESCRIPTION_MEMORY_SHARE: f64 = 0.125;
 
+/// The state of one front.
 pub struct Edge {
     pub(crate) control: Control,
     pub(crate) report_layout: ReportLayout,
@@ -164,9 +179,9 @@
         let startup = file.settings.into_startup()?;
         let mut deployment = startup.deployment;
         deployment.release_guard += SOCKET_SLACK;
-        let longest = deployment.procedures.iter().map(|p| p.t_timer);
+        let t_timers = deployment.procedures.iter().map(|p| p.t_timer);
         let probe_method = if deployment.may_probe { ProbeMethod::Test } else { ProbeMethod::Dial };
-        let procedures = startup.host.procedure_names.into_iter().zip(longest).collect();
+        let procedures = startup.host.procedure_names.into_iter().zip(t_timers).collect();
         let mut edge = Edge {
             control: Control::new(file.seed, deployment, now),
             report_layout: startup.report_layout,
@@ -208,7 +223,7 @@
         self.feed.last_event = self.feed.last_event.max(n);
     }
 
-    // ---- what the host tells ----
+    // ---- inputs from the host ----
 
     /// The host accepted a connection from a client.
     pub fn accepted(&mut self, now: f64, connection: ConnectionId) {
@@ -280,7 +295,7 @@
         self.feed.address_changed(now, file.feed);
     }
 
-    // ---- what it does ----
+    // ---- polling and outputs ----
 
     /// The latest time at which [`Edge::poll`] must be called.
     pub fn wake_at(&self) -> f64 {
@@ -314,7 +329,7 @@
         let is_blocked = |link| self.servers.links.get(&link).is_some_and(|l| l.blocked);
         let is_waiting =
             |ue: &UeId| self.calls.is_unsent(*ue) || self.calls.link_of_try(*ue).is_some_and(is_blocked);
-        let has_unsent = |d: &ClientConnection| d.open.iter().any(is_waiting);
+        let has_unsent = |c: &ClientConnection| c.open.iter().any(is_waiting);
         let (mut connections, mut sends) = (Vec::new(), false);
         for (connection, client) in &self.clients.all {
             let is_unsent = has_unsent(client);
@@ -369,7 +384,7 @@
                 }
             }
             TimerEvent::LinkTimeout(connection) => self.link_timed_out(now, connection),
-            TimerEvent::LinkSilent(connection) => self.new_link_silent(now, connection),
+            TimerEvent::ProbeNewLink(connection) => self.new_link_silent(now, connection),
             TimerEvent::Redial(pool) => self.redial(now, pool),
             TimerEvent::RemovalGraceOver(pool) => self.removal_expired(now, pool),
             TimerEvent::AnswerAllPending => self.answer_all_pending(now),
--- a/crates/platform/src/handover.rs
+++ b/crates/platform/src/handover.rs
@@ -47,7 +47,7 @@
             return self.send_release(now, client, id, NORMAL_CLEARING);
         }
         match self.servers.named(server) {
-            Some(pool) => self.hold_established(now, client, id, pool),
+            Some(pool) => self.add_established(now, client, id, pool),
             None => {
                 let timeout = if self.feed.is_up() { FOLLOWED_LIST_TIMEOUT } else { UNFOLLOWED_LIST_TIMEOUT };
                 let (server, expires_at) = (server.to_string(), now + timeout);
@@ -63,7 +63,7 @@
         self.send_releases(now);
     }
 
-    fn hold_established(&mut self, now: f64, client: ConnectionId, id: u64, pool: PoolId) {
+    fn add_established(&mut self, now: f64, client: ConnectionId, id: u64, pool: PoolId) {
         let ue = self.calls.add(
             id,
             client,
@@ -83,7 +83,7 @@
         for handed in std::mem::take(&mut self.unresolved_handovers) {
             match (self.servers.named(&handed.server), handed.released_cause) {
                 (Some(pool), Some(cause)) => self.release_to(now, pool, handed.id, cause),
-                (Some(pool), None) => self.hold_established(now, handed.client, handed.id, pool),
+                (Some(pool), None) => self.add_established(now, handed.client, handed.id, pool),
                 (None, _) => self.unresolved_handovers.push(handed),
             }
         }
--- a/crates/platform/src/link.rs
+++ b/crates/platform/src/link.rs
@@ -62,10 +62,12 @@
         }
     }
 
+    /// Records that a request was sent which expects a response.
     pub fn request_sent(&mut self, now: f64) {
         self.awaiting_since.get_or_insert(now);
     }
 
+    /// Records a probe that was sent.
     pub fn probe_sent(&mut self, now: f64, id: u64) {
         self.request_sent(now);
         if self.probes.len() == MAX_PROBES {
@@ -98,6 +100,7 @@
         self.awaiting_since.is_some_and(|at| now - at > timeout)
     }
 
+    /// Whether new set-ups may be sent on the link.
     fn is_usable(&self, now: f64, timeout: f64) -> bool {
         self.state == LinkState::Up && !self.retired && !self.blocked && !self.is_suspect(now, timeout)
     }
@@ -107,6 +110,7 @@
     pub id: String,
     pub pool: PoolId,
     pub address: SocketAddr,
+    /// Pool number in the deployment, which a successor keeps.
     pub number: u16,
     pub started_at: f64,
     pub phase: Phase,
@@ -114,10 +118,10 @@
     /// Setup tries that wait for a link.
     pub waiting: VecDeque<UeId>,
     /// The server has announced its state unprompted on a connected link.
-    pub announces_state: bool,
+    pub has_announced_state: bool,
     /// The server has not announced its state on any link: its next links count as up once they are
     /// connected.
-    pub never_announced: bool,
+    pub does_not_announce: bool,
     /// A probe waits for a link.
     pub probe_pending: bool,
     /// Releases that wait for a link, as call id and cause.
@@ -125,6 +129,7 @@
     /// Pause before the next dial, seconds; doubles with each failed dial.
     pub pause: f64,
     pub liveness: Liveness,
+    /// Number of calls established at the server.
     pub established: usize,
     /// When the server was removed from the list.
     pub removed_at: f64,
@@ -163,8 +168,8 @@
             phase: Phase::Up,
             links: Vec::new(),
             waiting: VecDeque::new(),
-            announces_state: false,
-            never_announced: false,
+            has_announced_state: false,
+            does_not_announce: false,
             probe_pending: false,
             queued_releases: VecDeque::new(),
             pause: 0.0,
--- a/crates/platform/src/releases.rs
+++ b/crates/platform/src/releases.rs
@@ -21,7 +21,7 @@
 /// Time that a front in shutdown waits for the confirmation of a release, seconds.
 const SHUTDOWN_CONFIRM_TIMEOUT: f64 = 2.0;
 
-struct OwedRelease {
+struct PendingRelease {
     cause: u16,
     own_connection: ConnectionId,
     /// The connections on which it was sent, the latest last.
@@ -44,16 +44,17 @@
 /// Releases by call id.
 #[derive(Default)]
 pub struct Releases {
-    owed: BTreeMap<u64, OwedRelease>,
+    owed: BTreeMap<u64, PendingRelease>,
 }
 
 impl Releases {
-    pub fn owe(&mut self, now: f64, id: u64, cause: u16, own_connection: ConnectionId) {
+    /// Records a release that is owed to the caller of a call.
+    pub fn add(&mut self, now: f64, id: u64, cause: u16, own_connection: ConnectionId) {
         if self.owed.len() >= MAX_RELEASES {
             let oldest = self.owed.iter().min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|o| *o.0);
             oldest.map(|id| self.owed.remove(&id));
         }
-        self.owed.entry(id).or_insert(OwedRelease {
+        self.owed.entry(id).or_insert(PendingRelease {
             cause,
             own_connection,
             tried: Vec::new(),
@@ -64,8 +65,8 @@
 
     /// Removes a release confirmed by the caller; true if it was owed and had been sent.
     pub fn confirm(&mut self, id: u64) -> bool {
-        let went_out = self.owed.get(&id).is_some_and(|o| !o.tried.is_empty());
-        went_out && self.owed.remove(&id).is_some()
+        let was_sent = self.owed.get(&id).is_some_and(|o| !o.tried.is_empty());
+        was_sent && self.owed.remove(&id).is_some()
     }
 
     /// Releases last sent on a lost connection are sent again without waiting for a confirmation.
@@ -77,7 +78,7 @@
 
     /// Returns the releases to write now and records that they are sent.
     pub fn take_due(&mut self, now: f64, clients: &ClientConnections) -> Vec<Release> {
-        let due = |o: &OwedRelease| o.next_send_at <= now && o.tried.len() < MAX_CONNECTIONS_TRIED;
+        let due = |o: &PendingRelease| o.next_send_at <= now && o.tried.len() < MAX_CONNECTIONS_TRIED;
         if !self.owed.values().any(due) {
             return Vec::new();
         }
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -24,19 +24,19 @@
 pub(crate) const MAX_QUEUED_RELEASES: usize = 4096;
 
 impl Edge {
-    // ---- the list ----
+    // ---- server list ----
 
     pub(crate) fn list_event(&mut self, now: f64, event: Event) {
-        let Some(members) = event.members else { return };
+        let Some(update) = event.members else { return };
         let mut entries = Vec::new();
-        if members.complete {
-            let named: HashSet<&str> = members.members.iter().map(|m| m.id.as_str()).collect();
+        if update.complete {
+            let named: HashSet<&str> = update.members.iter().map(|m| m.id.as_str()).collect();
             let unlisted = self.servers.all.values().filter(|s| !named.contains(s.id.as_str()));
             for pool in unlisted.map(|s| s.pool).collect::<Vec<_>>() {
                 self.set_phase(now, pool, Phase::Removed);
             }
         }
-        for member in members.members {
+        for member in update.members {
             let phase = match member.phase.as_str() {
                 "up" => Phase::Up,
                 "removed" => Phase::Removed,
@@ -71,7 +71,7 @@
             self.log_info("server listed", &member.id, reason);
             self.set_phase(now, pool, phase);
         }
-        self.control.pools_listed(now, &entries, members.complete);
+        self.control.pools_listed(now, &entries, update.complete);
         self.resolve_handovers(now);
     }
 
@@ -106,9 +106,9 @@
             }
             // Removes dials that the host has not started: a server sends some messages only once, and one
             // that accepted this connection would send them there.
-            let begins_it =
+            let is_its_dial =
                 |o: &Output| matches!(o, Output::Dial { connection: dialled, .. } if *dialled == connection);
-            self.outputs.retain(|output| !begins_it(output));
+            self.outputs.retain(|output| !is_its_dial(output));
             self.drop_link(now, connection, "not up when its server was removed");
         }
     }
@@ -218,11 +218,11 @@
     pub(crate) fn link_connected(&mut self, now: f64, connection: ConnectionId) {
         let Some(link) = self.servers.links.get_mut(&connection) else { return };
         link.state = LinkState::Made;
-        if self.servers.all.get(&link.pool).is_some_and(|s| s.never_announced) {
+        if self.servers.all.get(&link.pool).is_some_and(|s| s.does_not_announce) {
             self.link_up(now, connection);
         } else {
             self.timers
-                .set(now + self.dial_timeout * UNPROMPTED_STATE_SHARE, TimerEvent::LinkSilent(connection));
+                .set(now + self.dial_timeout * UNPROMPTED_STATE_SHARE, TimerEvent::ProbeNewLink(connection));
         }
     }
 
@@ -235,7 +235,7 @@
         if let Some(server) = self.servers.all.get_mut(&link.pool) {
             // A server that has announced its state before hangs or is late: an established connection alone
             // proves nothing.
-            server.never_announced = !server.announces_state;
+            server.does_not_announce = !server.has_announced_state;
         }
         self.probe_link(now, connection);
     }
@@ -373,7 +373,7 @@
         let pool = link.pool;
         if link.state != LinkState::Up {
             if let Some(server) = self.servers.all.get_mut(&pool).filter(|_| line.kind == Kind::State) {
-                (server.announces_state, server.never_announced) = (true, false);
+                (server.has_announced_state, server.does_not_announce) = (true, false);
             }
             self.link_up(now, connection);
         }
--- a/crates/platform/tests/common/rules.rs
+++ b/crates/platform/tests/common/rules.rs
@@ -23,9 +23,13 @@
     ColdStart { server: u64, max_per_second: f64 },
 }
 
+/// Time by which a final answer may exceed the caller's patience, seconds.
 pub const SLACK: f64 = 0.07;
+/// Time in which a try may still go to a server after it went out of service, seconds.
 pub const GRACE: f64 = 0.25;
+/// Pause before another try after an uncertain end, seconds.
 pub const GUARD: f64 = 0.5;
+/// Time over which set-ups to a cold server are counted, seconds.
 const WINDOW: f64 = 1.0;
 
 #[derive(Default)]
@@ -55,7 +59,7 @@
                     return Some((
                         1,
                         format!(
-                            "{id:x} at {at}: {} final_answers, until {}",
+                            "{id:x} at {at}: {} final answers, until {}",
                             call.final_answers, call.patience_ends_at
                         ),
                     ));
