--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -251,8 +251,8 @@
     /// Drops a link with a reset, so that unsent bytes do not arrive.
     pub(crate) fn drop_link(&mut self, now: f64, connection: ConnectionId, reason: &'static str) {
         if let Some(link) = self.servers.links.get(&connection) {
-            let of = self.servers.all.get(&link.pool).map_or(String::new(), |s| s.id.clone());
-            self.log_info("link dropped", of, format!("connection {connection}: {reason}"));
+            let id = self.servers.all.get(&link.pool).map_or(String::new(), |s| s.id.clone());
+            self.log_info("link dropped", id, format!("connection {connection}: {reason}"));
             self.outputs.push_back(Output::Close { connection, reset: true });
             self.link_lost(now, connection, Loss::Broken);
         }
@@ -284,7 +284,7 @@
             self.end_try(now, ue, EndReason::Cut, Report::default());
         }
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
-        server.links.retain(|w| *w != connection);
+        server.links.retain(|c| *c != connection);
         let id = server.id.clone();
         let refused = !was_up && loss == Loss::Refused;
         let dead = refused && server.liveness.connection_refused(now);
--- a/crates/platform/tests/releases.rs
+++ b/crates/platform/tests/releases.rs
@@ -135,8 +135,8 @@
     front.take_written(client);
     front.lose_connection(second, Loss::Broken);
     for _ in 0..10 {
-        if let Some(place) = front.dials.iter().position(|d| d.1 == 6000) {
-            let dialled = front.dials.remove(place).0;
+        if let Some(position) = front.dials.iter().position(|d| d.1 == 6000) {
+            let dialled = front.dials.remove(position).0;
             front.lose_connection(dialled, Loss::Refused);
         }
         front.advance(0.5);
--- a/crates/platform/tests/rules.rs
+++ b/crates/platform/tests/rules.rs
@@ -71,8 +71,8 @@
         self.observed.push((self.event_time, what));
     }
 
-    fn chance(&mut self, of: f64) -> bool {
-        self.rng.random::<f64>() < of
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random::<f64>() < probability
     }
 
     fn try_ended(&mut self, id: u64, uncertain: bool) {
@@ -95,7 +95,7 @@
                     None => self.connection_closed(connection),
                     Some(bytes) if self.links.contains_key(&connection) => {
                         let text = String::from_utf8(bytes).unwrap();
-                        text.lines().for_each(|line| self.line(connection, line));
+                        text.lines().for_each(|line| self.handle_line(connection, line));
                     }
                     Some(bytes) if self.clients.contains_key(&connection) => {
                         self.handle_answers(connection, &bytes)
@@ -151,7 +151,7 @@
         }
     }
 
-    fn line(&mut self, connection: ConnectionId, line: &str) {
+    fn handle_line(&mut self, connection: ConnectionId, line: &str) {
         let value: Value = serde_json::from_str(line).unwrap();
         let id = u64::from_str_radix(value["id"].as_str().unwrap(), 16).unwrap();
         let mut send_at = self.front.now + self.rng.random_range(0.005..0.06);
@@ -216,11 +216,11 @@
         }
     }
 
-    fn send_feed_event(&mut self, member: String, out: Option<u64>) {
+    fn send_feed_event(&mut self, member: String, out_of_service: Option<u64>) {
         let Some(feed) = self.feed else { return };
         self.event_count += 1;
         let event = event(self.event_count, false, &[member]);
-        if let Some(server) = out {
+        if let Some(server) = out_of_service {
             self.record(WireEvent::OutOfService { server });
         }
         self.front.bytes(feed, format!("data: {event}\n\n").as_bytes());
@@ -236,10 +236,10 @@
         self.observe();
         let now = self.front.now;
         self.event_time = now;
-        let (due, send_at) = std::mem::take(&mut self.pending_lines).into_iter().partition(|m| m.at <= now);
-        self.pending_lines = send_at;
-        for pending in due {
-            let PendingLine { connection, line, ends_try, .. }: PendingLine = pending;
+        let (due, remaining) = std::mem::take(&mut self.pending_lines).into_iter().partition(|m| m.at <= now);
+        self.pending_lines = remaining;
+        for pending_line in due {
+            let PendingLine { connection, line, ends_try, .. }: PendingLine = pending_line;
             if !self.links.contains_key(&connection) {
                 continue;
             }
@@ -298,8 +298,8 @@
             let client = self.front.client();
             self.clients.insert(client, Framer::default());
         }
-        let place = self.rng.random_range(0..self.clients.len());
-        let connection = *self.clients.keys().nth(place).unwrap();
+        let index = self.rng.random_range(0..self.clients.len());
+        let connection = *self.clients.keys().nth(index).unwrap();
         self.next_call += 1;
         let id = self.next_call;
         let patience: u32 = self.rng.random_range(300..3000);
@@ -380,19 +380,19 @@
 #[test]
 fn each_rule_check_detects_a_planted_violation() {
     let (observed, end, _) = run(1);
-    let place = |wanted: &dyn Fn(&WireEvent) -> bool| observed.iter().position(|s| wanted(&s.1)).unwrap();
+    let position = |wanted: &dyn Fn(&WireEvent) -> bool| observed.iter().position(|s| wanted(&s.1)).unwrap();
     let rule = |observed: &[(f64, WireEvent)]| first_violation(observed, end).map(|b| b.0);
     let with = |at: usize, extra: (f64, WireEvent)| {
         let mut observed = observed.clone();
         observed.insert(at + 1, extra);
         rule(&observed)
     };
-    let last = place(&|s| matches!(s, WireEvent::FinalAnswer { .. }));
+    let last = position(&|s| matches!(s, WireEvent::FinalAnswer { .. }));
     assert_eq!(with(last, observed[last]), Some(1), "a second answer");
     let mut without = observed.clone();
     without.remove(last);
     assert_eq!(rule(&without), Some(1), "no answer");
-    let tried = place(&|s| matches!(s, WireEvent::TrySent { .. }));
+    let tried = position(&|s| matches!(s, WireEvent::TrySent { .. }));
     assert_eq!(with(tried, observed[tried]), Some(2), "two tries out");
     let WireEvent::TrySent { id, server } = observed[tried].1 else { unreachable!() };
     let told = (observed[tried].0 - GRACE - 0.01, WireEvent::OutOfService { server });
--- a/crates/platform/tests/server_list.rs
+++ b/crates/platform/tests/server_list.rs
@@ -7,7 +7,7 @@
 use shalespindle_platform::{read_file, Loss};
 
 /// A front with a connected feed: the front, its links and the feed's connection.
-fn followed(servers: u16) -> (TestFront, Vec<u64>, u64) {
+fn with_feed(servers: u16) -> (TestFront, Vec<u64>, u64) {
     let (mut front, links) = TestFront::with_links(servers);
     let feed = front.take_feed_dial(4222);
     front.edge.connected(front.now, feed);
@@ -15,13 +15,13 @@
     (front, links, feed)
 }
 
-fn tell(front: &mut TestFront, feed: u64, n: u64, members: &[String]) {
-    let news = event(n, false, members);
-    front.bytes(feed, format!("id: {n}\ndata: {news}\n\n").as_bytes());
+fn send_feed_event(front: &mut TestFront, feed: u64, n: u64, members: &[String]) {
+    let update = event(n, false, members);
+    front.bytes(feed, format!("id: {n}\ndata: {update}\n\n").as_bytes());
 }
 
 /// A client connection with an established call.
-fn standing(front: &mut TestFront, link: u64) -> u64 {
+fn client_with_call(front: &mut TestFront, link: u64) -> u64 {
     let client = front.establish_call(link, 1);
     front.take_written(link);
     client
@@ -29,12 +29,12 @@
 
 #[test]
 fn a_server_removed_twice_gets_the_full_grace_period() {
-    let (mut front, links, feed) = followed(1);
-    let client = standing(&mut front, links[0]);
-    tell(&mut front, feed, 2, &[member("s0", 0, "removed", 0)]);
+    let (mut front, links, feed) = with_feed(1);
+    let client = client_with_call(&mut front, links[0]);
+    send_feed_event(&mut front, feed, 2, &[member("s0", 0, "removed", 0)]);
     front.advance(0.4);
-    tell(&mut front, feed, 3, &[member("s0", 0, "up", 0)]);
-    tell(&mut front, feed, 4, &[member("s0", 0, "removed", 0)]);
+    send_feed_event(&mut front, feed, 3, &[member("s0", 0, "up", 0)]);
+    send_feed_event(&mut front, feed, 4, &[member("s0", 0, "removed", 0)]);
     // Half a second after the first removal, a tenth after the second.
     front.advance(0.2);
     assert_eq!(front.take_written(client), "", "ended within the grace period");
@@ -50,10 +50,10 @@
         vec![member("s0", 0, "removed", 0), member("s0", 0, "up", 1_700_000_000_000 + 500)],
         vec![member("s0", 0, "up", 1_700_000_000_000 + 500)],
     ] {
-        let (mut front, links, feed) = followed(1);
+        let (mut front, links, feed) = with_feed(1);
         front.advance(1.0);
-        let client = standing(&mut front, links[0]);
-        tell(&mut front, feed, 2, &members);
+        let client = client_with_call(&mut front, links[0]);
+        send_feed_event(&mut front, feed, 2, &members);
         assert!(front.closed.contains(&(links[0], true)), "{members:?}");
         assert!(front.take_written(client).contains("Q.850;cause=41"), "{members:?}");
         // The new server has a link of its own, and set-ups go only there.
@@ -67,9 +67,9 @@
 
 #[test]
 fn a_new_server_at_the_address_of_a_removed_one_is_kept_apart() {
-    let (mut front, links, feed) = followed(1);
-    let client = standing(&mut front, links[0]);
-    tell(&mut front, feed, 2, &[member("s0", 0, "removed", 0), member("t0", 0, "up", 0)]);
+    let (mut front, links, feed) = with_feed(1);
+    let client = client_with_call(&mut front, links[0]);
+    send_feed_event(&mut front, feed, 2, &[member("s0", 0, "removed", 0), member("t0", 0, "up", 0)]);
     let new = front.bring_up_link(0);
     let other = front.client();
     front.bytes(other, invite(2, 0).as_bytes());
@@ -100,8 +100,8 @@
 
 #[test]
 fn a_feed_that_repeats_old_events_changes_nothing() {
-    let (mut front, links, feed) = followed(1);
-    tell(&mut front, feed, 2, &[member("s0", 0, "draining", 0)]);
+    let (mut front, links, feed) = with_feed(1);
+    send_feed_event(&mut front, feed, 2, &[member("s0", 0, "draining", 0)]);
     front.lose_connection(feed, Loss::Broken);
     front.advance(0.5);
     let again = front.take_feed_dial(4222);
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -221,7 +221,7 @@
         let text = String::from_utf8_lossy(front.log.iter().find(|e| e.1 == client).and_then(|e| e.2.as_ref()).unwrap()).to_string();
         let pause = text.split("Retry-After-Ms: ").nth(1).and_then(|t| t.split("\r\n").next()?.parse::<f64>().ok());
         let max_pause = if deployment.flags[3] { 1000.0 * deployment.max_pause } else { 0.0 };
-        prop_assert!(pause.unwrap_or(0.0) <= max_pause.ceil(), "pause {pause:?}, longest {max_pause}");
+        prop_assert!(pause.unwrap_or(0.0) <= max_pause.ceil(), "pause {pause:?}, limit {max_pause}");
     }
 
     /// With one invalid value: either the front starts and runs, or the error names the field and what is
@@ -229,8 +229,8 @@
     #[test]
     fn a_bad_value_is_reported_with_its_field_and_remedy(deployment in deployment(), key in 0usize..KEYS.len(), bad in 0usize..BAD_VALUES.len()) {
         let mut value = deployment.value(&PLAIN);
-        let (place, name) = KEYS[key];
-        *value.pointer_mut(place).unwrap() = serde_json::from_str(BAD_VALUES[bad]).unwrap();
+        let (path, name) = KEYS[key];
+        *value.pointer_mut(path).unwrap() = serde_json::from_str(BAD_VALUES[bad]).unwrap();
         let text = value.to_string();
         match read_file(text.as_bytes()) {
             Ok(_) => {
@@ -292,10 +292,10 @@
         fields: vec!["free", "size"],
     };
     let mut accepted = Vec::new();
-    for (place, name) in KEYS {
+    for (path, name) in KEYS {
         for bad in BAD_VALUES {
             let mut value = deployment.value(&PLAIN);
-            *value.pointer_mut(place).unwrap() = serde_json::from_str(bad).unwrap();
+            *value.pointer_mut(path).unwrap() = serde_json::from_str(bad).unwrap();
             let text = value.to_string();
             let Ok(file) = read_file(text.as_bytes()) else { continue };
             accepted.push((name, bad));
--- a/crates/platform/tests/signalling.rs
+++ b/crates/platform/tests/signalling.rs
@@ -360,8 +360,8 @@
     front.advance(1.0);
     let feed = front.take_feed_dial(4222);
     front.edge.connected(front.now, feed);
-    let news = event(2, false, &[member("s1", 1, "up", 0)]);
-    let stream = format!("HTTP/1.1 200 OK\r\n\r\nid: 2\ndata: {news}\n\n");
+    let update = event(2, false, &[member("s1", 1, "up", 0)]);
+    let stream = format!("HTTP/1.1 200 OK\r\n\r\nid: 2\ndata: {update}\n\n");
     front.bytes(feed, stream.as_bytes());
     let link = front.bring_up_link(1);
     // One call is released at its server because its caller ended it; the other stays established.
--- a/crates/platform/tests/silent_servers.rs
+++ b/crates/platform/tests/silent_servers.rs
@@ -23,8 +23,8 @@
     let until = front.now + seconds;
     while front.now < until {
         front.advance(0.1);
-        while let Some(place) = front.dials.iter().position(|d| d.1 == 6000) {
-            let dialled = front.dials.remove(place).0;
+        while let Some(position) = front.dials.iter().position(|d| d.1 == 6000) {
+            let dialled = front.dials.remove(position).0;
             front.lose_connection(dialled, loss);
         }
     }
@@ -172,8 +172,8 @@
     front.lose_connection(link, Loss::Broken);
     for _ in 0..20 {
         front.advance(0.1);
-        while let Some(place) = front.dials.iter().position(|d| d.1 == 6000) {
-            let dialled = front.dials.remove(place).0;
+        while let Some(position) = front.dials.iter().position(|d| d.1 == 6000) {
+            let dialled = front.dials.remove(position).0;
             front.edge.connected(front.now, dialled);
             front.poll();
         }
