--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -13,4 +13,4 @@
 pub use log::log_event;
 pub use names::resolver_input;
 pub use service::Service;
-pub use shalespindle_console::Snapshot;
+pub use shalespindle_console::FrontStatus;
