--- a/crates/platform/src/handover.rs
+++ b/crates/platform/src/handover.rs
@@ -41,13 +41,13 @@
             return;
         }
         self.clients.used(now, client, Usage::Requests);
-        self.log_info("call handed over", call_subject(id), format!("it stands at {server}"));
+        self.log_info("call handed over", call_subject(id), format!("established at {server}"));
         // A server repeats its releases on the first connection from a front, which may precede the handover.
         if self.early_releases.take(now, id) {
             return self.send_release(now, client, id, NORMAL_CLEARING);
         }
         match self.servers.named(server) {
-            Some(pool) => self.hold_established(now, client, id, pool),
+            Some(pool) => self.add_established(now, client, id, pool),
             None => {
                 let timeout = if self.feed.is_up() { FOLLOWED_LIST_TIMEOUT } else { UNFOLLOWED_LIST_TIMEOUT };
                 let (server, expires_at) = (server.to_string(), now + timeout);
@@ -63,7 +63,7 @@
         self.send_releases(now);
     }
 
-    fn hold_established(&mut self, now: f64, client: ConnectionId, id: u64, pool: PoolId) {
+    fn add_established(&mut self, now: f64, client: ConnectionId, id: u64, pool: PoolId) {
         let ue = self.calls.add(
             id,
             client,
@@ -83,7 +83,7 @@
         for handed in std::mem::take(&mut self.unresolved_handovers) {
             match (self.servers.named(&handed.server), handed.released_cause) {
                 (Some(pool), Some(cause)) => self.release_to(now, pool, handed.id, cause),
-                (Some(pool), None) => self.hold_established(now, handed.client, handed.id, pool),
+                (Some(pool), None) => self.add_established(now, handed.client, handed.id, pool),
                 (None, _) => self.unresolved_handovers.push(handed),
             }
         }
@@ -112,9 +112,9 @@
         self.unresolved_handovers = remaining;
         for handed in expired.into_iter().filter(|h| h.released_cause.is_none()) {
             self.log_info(
-                "call over",
+                "call ended",
                 call_subject(handed.id),
-                format!("no list names its server {}", handed.server),
+                format!("its server {} is not listed", handed.server),
             );
             self.send_release(now, handed.client, handed.id, TEMPORARY_FAILURE);
         }
--- a/crates/platform/src/servers.rs
+++ b/crates/platform/src/servers.rs
@@ -24,19 +24,19 @@
 pub(crate) const MAX_QUEUED_RELEASES: usize = 4096;
 
 impl Edge {
-    // ---- the list ----
+    // ---- server list ----
 
     pub(crate) fn list_event(&mut self, now: f64, event: Event) {
-        let Some(members) = event.members else { return };
+        let Some(update) = event.members else { return };
         let mut entries = Vec::new();
-        if members.complete {
-            let named: HashSet<&str> = members.members.iter().map(|m| m.id.as_str()).collect();
+        if update.complete {
+            let named: HashSet<&str> = update.members.iter().map(|m| m.id.as_str()).collect();
             let unlisted = self.servers.all.values().filter(|s| !named.contains(s.id.as_str()));
             for pool in unlisted.map(|s| s.pool).collect::<Vec<_>>() {
                 self.set_phase(now, pool, Phase::Removed);
             }
         }
-        for member in members.members {
+        for member in update.members {
             let phase = match member.phase.as_str() {
                 "up" => Phase::Up,
                 "removed" => Phase::Removed,
@@ -71,7 +71,7 @@
             self.log_info("server listed", &member.id, reason);
             self.set_phase(now, pool, phase);
         }
-        self.control.pools_listed(now, &entries, members.complete);
+        self.control.pools_listed(now, &entries, update.complete);
         self.resolve_handovers(now);
     }
 
@@ -106,10 +106,10 @@
             }
             // Removes dials that the host has not started: a server sends some messages only once, and one
             // that accepted this connection would send them there.
-            let begins_it =
+            let is_its_dial =
                 |o: &Output| matches!(o, Output::Dial { connection: dialled, .. } if *dialled == connection);
-            self.outputs.retain(|output| !begins_it(output));
-            self.drop_link(now, connection, "not up, and its server was removed");
+            self.outputs.retain(|output| !is_its_dial(output));
+            self.drop_link(now, connection, "not up when its server was removed");
         }
     }
 
@@ -124,9 +124,9 @@
     fn server_restarted(&mut self, now: f64, pool: PoolId) {
         let Some(server) = self.servers.all.get(&pool) else { return };
         for connection in server.links.clone() {
-            self.drop_link(now, connection, "its server started anew");
+            self.drop_link(now, connection, "its server was restarted");
         }
-        self.process_ended(now, pool, "its server started anew");
+        self.process_ended(now, pool, "its server was restarted");
     }
 
     /// Removes a server, and ends its calls, once the grace period after its removal has passed.
@@ -187,7 +187,7 @@
         let count = self.servers.all.get(&pool).map_or(MAX_LINKS, |s| s.links.len());
         if count >= MAX_LINKS {
             match self.servers.replaceable_link(now, pool, self.dial_timeout) {
-                Some(connection) => self.drop_link(now, connection, "silent, another takes its place"),
+                Some(connection) => self.drop_link(now, connection, "silent, replaced by another link"),
                 None => return,
             }
         }
@@ -218,11 +218,11 @@
     pub(crate) fn link_connected(&mut self, now: f64, connection: ConnectionId) {
         let Some(link) = self.servers.links.get_mut(&connection) else { return };
         link.state = LinkState::Made;
-        if self.servers.all.get(&link.pool).is_some_and(|s| s.never_announced) {
+        if self.servers.all.get(&link.pool).is_some_and(|s| s.does_not_announce) {
             self.link_up(now, connection);
         } else {
             self.timers
-                .set(now + self.dial_timeout * UNPROMPTED_STATE_SHARE, TimerEvent::LinkSilent(connection));
+                .set(now + self.dial_timeout * UNPROMPTED_STATE_SHARE, TimerEvent::ProbeNewLink(connection));
         }
     }
 
@@ -235,7 +235,7 @@
         if let Some(server) = self.servers.all.get_mut(&link.pool) {
             // A server that has announced its state before hangs or is late: an established connection alone
             // proves nothing.
-            server.never_announced = !server.announces_state;
+            server.does_not_announce = !server.has_announced_state;
         }
         self.probe_link(now, connection);
     }
@@ -251,8 +251,8 @@
     /// Drops a link with a reset, so that unsent bytes do not arrive.
     pub(crate) fn drop_link(&mut self, now: f64, connection: ConnectionId, reason: &'static str) {
         if let Some(link) = self.servers.links.get(&connection) {
-            let of = self.servers.all.get(&link.pool).map_or(String::new(), |s| s.id.clone());
-            self.log_info("link given up", of, format!("connection {connection}: {reason}"));
+            let id = self.servers.all.get(&link.pool).map_or(String::new(), |s| s.id.clone());
+            self.log_info("link dropped", id, format!("connection {connection}: {reason}"));
             self.outputs.push_back(Output::Close { connection, reset: true });
             self.link_lost(now, connection, Loss::Broken);
         }
@@ -269,7 +269,7 @@
     /// unsent and must not arrive after its end, so the whole link is dropped.
     pub(crate) fn release_try(&mut self, now: f64, connection: ConnectionId, id: u64) {
         if self.servers.links.get(&connection).is_some_and(|l| l.blocked) {
-            self.drop_link(now, connection, "blocked, with a set-up that was given up");
+            self.drop_link(now, connection, "blocked with an abandoned set-up");
         } else {
             self.outputs.push_back(Output::Write { connection, bytes: lines::release(id, NORMAL_CLEARING) });
         }
@@ -284,7 +284,7 @@
             self.end_try(now, ue, EndReason::Cut, Report::default());
         }
         let Some(server) = self.servers.all.get_mut(&pool) else { return };
-        server.links.retain(|w| *w != connection);
+        server.links.retain(|c| *c != connection);
         let id = server.id.clone();
         let refused = !was_up && loss == Loss::Refused;
         let dead = refused && server.liveness.connection_refused(now);
@@ -301,7 +301,7 @@
         }
         self.log_info("link down", id, format!("connection {connection}: {:?}, {loss:?}", link.state));
         if dead {
-            self.process_ended(now, pool, "its server's address refuses connections");
+            self.process_ended(now, pool, "its server refuses connections");
         }
         if pause > 0.0 {
             self.timers.set(now + pause, TimerEvent::Redial(pool));
@@ -355,7 +355,7 @@
             };
             let Some(line) = line else {
                 self.counters.links_spoilt += 1;
-                return self.drop_link(now, connection, "a line that cannot be read");
+                return self.drop_link(now, connection, "unreadable line");
             };
             self.line(now, connection, &line);
             match self.servers.links.get_mut(&connection) {
@@ -373,7 +373,7 @@
         let pool = link.pool;
         if link.state != LinkState::Up {
             if let Some(server) = self.servers.all.get_mut(&pool).filter(|_| line.kind == Kind::State) {
-                (server.announces_state, server.never_announced) = (true, false);
+                (server.has_announced_state, server.does_not_announce) = (true, false);
             }
             self.link_up(now, connection);
         }
@@ -423,7 +423,7 @@
         let Some((_, _, pending)) = self.calls.pending(ue) else { return };
         let bytes = sip::answer(&pending.head, &line.description);
         self.counters.stood += 1;
-        self.log_debug("call stands", call_subject(id), self.server_name(pool).to_string());
+        self.log_debug("call established", call_subject(id), self.server_name(pool).to_string());
         self.control.attach_established(now, ue, pool, now - setup_try.sent_at);
         self.calls.establish(ue, pool, connection);
         if let Some(server) = self.servers.all.get_mut(&pool) {
@@ -467,7 +467,7 @@
                 let ended = if line.cause == NORMAL_CLEARING { EndReason::Released } else { EndReason::Cut };
                 self.control.try_ended(now, ue, pool, ended, true, report);
                 self.outputs.push_back(Output::Write { connection, bytes: lines::released(id) });
-                self.end_established_call(now, ue, pool, line.cause, "its server's word");
+                self.end_established_call(now, ue, pool, line.cause, "released by its server");
             }
             Some(_) => self.control.pool_reported(now, pool, false, report),
             None => {
@@ -485,7 +485,7 @@
     fn ended_before_answer(&mut self, now: f64, ue: UeId, report: Report) {
         self.counters.ended_before_answer += 1;
         self.end_try(now, ue, EndReason::Released, report);
-        self.send_final_answer(now, ue, 504, None, "it ended before its answer came");
+        self.send_final_answer(now, ue, 504, None, "released before its answer arrived");
         self.control.client_left(now, ue);
     }
 
