--- a/crates/sockets/src/clock.rs
+++ b/crates/sockets/src/clock.rs
@@ -1,29 +1,30 @@
-//! The clock of one process, and when it stood still.
+//! A monotonic clock that detects when its process was stalled.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Where the clock begins, seconds: far enough from 0, which means 'long ago' to the decision module.
-const BEGIN: f64 = 1e6;
-/// Time between two ticks of the watch.
-const TICK: Duration = Duration::from_millis(10);
-/// A gap between ticks from which the process is taken to have stood still.
-const STILL: f64 = 0.1;
-/// So long after it goes on, what is read may have come while it stood.
-const SETTLE: f64 = 0.02;
+/// Reading of a new clock, seconds: far enough from 0, which the decision module reads as 'long ago'.
+const START: f64 = 1e6;
+/// Interval at which the watchdog thread records the time.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// A gap between two ticks above which the process is considered to have been stalled, seconds.
+const STALL_THRESHOLD: f64 = 0.1;
+/// Time after a stall during which bytes that are read may have arrived while it lasted, seconds.
+const CATCH_UP: f64 = 0.02;
 
+/// Times on the clock, each stored as the bits of an f64 in seconds.
 struct Inner {
     base: Instant,
-    /// Bits of f64 seconds.
-    tick: AtomicU64,
-    from: AtomicU64,
-    until: AtomicU64,
+    last_tick: AtomicU64,
+    stall_start: AtomicU64,
+    stall_end: AtomicU64,
 }
 
-/// A monotonic clock in seconds with a watch over it. A process that was stopped for a while (by its
-/// machine, or on purpose) finds bytes in its sockets that came long ago; [`MonotonicClock::earliest_arrival`] says since
-/// when at the earliest, so that a caller's patience is never taken for longer than it is.
+/// A monotonic clock in seconds with a watchdog thread. A process that was stopped for a while (by its
+/// machine, or on purpose) finds bytes in its sockets that arrived long ago;
+/// [`MonotonicClock::earliest_arrival`] gives the earliest possible time, so that the remaining time of a
+/// caller is never overestimated.
 #[derive(Clone)]
 pub struct MonotonicClock(Arc<Inner>);
 
@@ -42,57 +43,58 @@
 }
 
 impl MonotonicClock {
-    /// Starts a clock and its watch, a thread that ends with the last handle.
+    /// Starts a clock and its watchdog thread, which ends after the last handle is dropped.
     pub fn new() -> MonotonicClock {
         let cell = |v: f64| AtomicU64::new(v.to_bits());
-        let ground = MonotonicClock(Arc::new(Inner {
+        let clock = MonotonicClock(Arc::new(Inner {
             base: Instant::now(),
-            tick: cell(BEGIN),
-            from: cell(0.0),
-            until: cell(0.0),
+            last_tick: cell(START),
+            stall_start: cell(0.0),
+            stall_end: cell(0.0),
         }));
-        let watched = Arc::downgrade(&ground.0);
+        let watched = Arc::downgrade(&clock.0);
         std::thread::spawn(move || loop {
-            std::thread::sleep(TICK);
+            std::thread::sleep(TICK_INTERVAL);
             let Some(inner) = watched.upgrade() else { return };
-            MonotonicClock(inner).ticked();
+            MonotonicClock(inner).tick();
         });
-        ground
+        clock
     }
 
     /// Seconds on this clock.
     pub fn now(&self) -> f64 {
-        BEGIN + self.0.base.elapsed().as_secs_f64()
+        START + self.0.base.elapsed().as_secs_f64()
     }
 
-    fn ticked(&self) {
-        let (now, last) = (self.now(), load(&self.0.tick));
-        if now - last > STILL {
-            store(&self.0.from, last);
-            store(&self.0.until, now);
+    /// Records the time, and a stall if the last tick was too long ago.
+    fn tick(&self) {
+        let (now, last) = (self.now(), load(&self.0.last_tick));
+        if now - last > STALL_THRESHOLD {
+            store(&self.0.stall_start, last);
+            store(&self.0.stall_end, now);
         }
-        store(&self.0.tick, now);
+        store(&self.0.last_tick, now);
     }
 
-    /// The earliest time at which what is read now can have come.
+    /// The earliest time at which bytes that are read now can have arrived.
     pub fn earliest_arrival(&self) -> f64 {
-        let (now, tick) = (self.now(), load(&self.0.tick));
-        if now - tick > STILL {
-            return tick;
+        let (now, last) = (self.now(), load(&self.0.last_tick));
+        if now - last > STALL_THRESHOLD {
+            return last;
         }
-        if now - load(&self.0.until) < SETTLE {
-            return load(&self.0.from);
+        if now - load(&self.0.stall_end) < CATCH_UP {
+            return load(&self.0.stall_start);
         }
         now
     }
 
-    /// It went on only just now: readers have not yet read all that came meanwhile.
+    /// Whether a stall has ended so recently that readers may not yet have read all that arrived during it.
     pub fn just_resumed(&self) -> bool {
-        self.earliest_arrival() < self.now() - STILL
+        self.earliest_arrival() < self.now() - STALL_THRESHOLD
     }
 
-    /// How long to wait for a due time; nothing when it is past, at most a second.
-    pub fn duration_until(&self, due: f64) -> Duration {
-        Duration::from_secs_f64((due - self.now()).clamp(0.0, 1.0))
+    /// Time left until a deadline on this clock: zero if it has passed, one second at most.
+    pub fn duration_until(&self, deadline: f64) -> Duration {
+        Duration::from_secs_f64((deadline - self.now()).clamp(0.0, 1.0))
     }
 }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,5 +1,6 @@
-//! What coroutines share on sockets: a bounded mailbox, streams that never block their writer, and a clock
-//! that knows when its process stood still. Nothing here knows SIP or decides anything.
+//! Socket utilities for `may` coroutines: a bounded mailbox, stream writers that never block, sockets for
+//! single queries, and a monotonic clock with stall detection. This crate knows no protocol and makes no
+//! routing decisions.
 
 pub mod clock;
 pub mod mailbox;
@@ -13,24 +14,25 @@
 pub use split::{split, ReadHalf, WriteHalf};
 pub use stream::{StreamWriter, WriteStatus};
 
-/// Stack of a coroutine that only carries bytes, in machine words.
+/// Stack size of a coroutine that only reads or writes a socket, in machine words.
 pub const SMALL_STACK: usize = 8 * 1024;
-/// Stack of a coroutine that owns a core, in machine words.
+/// Stack size of a coroutine that owns a protocol core, in machine words.
 pub const LARGE_STACK: usize = 64 * 1024;
-/// Bytes read at once; on the heap.
+/// Size of a read buffer, bytes; the buffer is allocated on the heap.
 pub const READ_SIZE: usize = 16 * 1024;
 
 /// A handle on a coroutine.
 pub type Handle = may::coroutine::JoinHandle<()>;
 
-/// Hands on what is read, `size` bytes at most at once, until the end or until nobody wants it.
-pub fn read_all(stream: &mut impl std::io::Read, size: usize, mut hand_on: impl FnMut(Vec<u8>) -> bool) {
+/// Reads `stream` in chunks of at most `size` bytes and passes each to `deliver`, until the stream ends or
+/// fails, or until `deliver` returns false.
+pub fn read_all(stream: &mut impl std::io::Read, size: usize, mut deliver: impl FnMut(Vec<u8>) -> bool) {
     let mut buffer = vec![0; size];
     loop {
         match stream.read(&mut buffer) {
             Ok(0) => return,
             Ok(n) => {
-                if !hand_on(buffer[..n].to_vec()) {
+                if !deliver(buffer[..n].to_vec()) {
                     return;
                 }
             }
@@ -40,15 +42,16 @@
     }
 }
 
-/// Starts a coroutine with a stack of that many words.
+/// Starts a coroutine with a stack of `stack` machine words.
 pub fn start(stack: usize, run: impl FnOnce() + Send + 'static) -> std::io::Result<Handle> {
     may::go_with!(stack, run)
 }
 
-/// Ends a coroutine that waits on a socket or a timer, and waits until it has ended.
+/// Cancels a coroutine that waits on a socket or a timer, and waits until it has ended.
 pub fn end(handle: Handle) {
-    // SAFETY: only for coroutines that hold sockets, buffers and mailboxes, all safe to drop at any wait.
+    // SAFETY: called only for coroutines that hold sockets, buffers and mailboxes, all of which are safe to
+    // drop at any point where the coroutine waits.
     unsafe { handle.coroutine().cancel() };
-    // Cancelling is reported as a panic of the coroutine; there is nothing else to learn from it.
+    // `may` reports a cancellation as a panic of the coroutine; the result carries no other information.
     let _ = handle.join();
 }
--- a/crates/sockets/src/mailbox.rs
+++ b/crates/sockets/src/mailbox.rs
@@ -1,89 +1,92 @@
-//! A bounded channel between coroutines: senders wait while it is full, so that a slow owner slows its
-//! readers and, through them, the peers' own sockets.
+//! A bounded channel between coroutines. Senders wait while it is full, so that a slow receiver slows down
+//! the socket readers and, through TCP flow control, the peers.
 
 use may::sync::{mpsc, Semphore};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The receiving side has gone.
+/// The receiving side has been dropped.
 #[derive(Debug)]
 pub struct MailboxClosed;
 
-struct Room {
+/// Number of free slots, shared by both sides.
+struct Capacity {
     free: Semphore,
     closed: AtomicBool,
 }
 
-/// The sending side; clones share its room.
+/// The sending side; clones share its capacity.
 pub struct Mailbox<T> {
     tx: mpsc::Sender<T>,
-    room: Arc<Room>,
+    capacity: Arc<Capacity>,
 }
 
 impl<T> Clone for Mailbox<T> {
     fn clone(&self) -> Mailbox<T> {
-        Mailbox { tx: self.tx.clone(), room: self.room.clone() }
+        Mailbox { tx: self.tx.clone(), capacity: self.capacity.clone() }
     }
 }
 
-/// The receiving side; dropping it lets every waiting sender go.
+/// The receiving side; dropping it wakes every waiting sender with an error.
 pub struct MailboxReceiver<T> {
     rx: mpsc::Receiver<T>,
-    room: Arc<Room>,
+    capacity: Arc<Capacity>,
 }
 
-/// A mailbox for at most `room` letters.
-pub fn mailbox<T>(room: usize) -> (Mailbox<T>, MailboxReceiver<T>) {
+/// Creates a mailbox for at most `capacity` messages.
+pub fn mailbox<T>(capacity: usize) -> (Mailbox<T>, MailboxReceiver<T>) {
     let (tx, rx) = mpsc::channel();
-    let room = Arc::new(Room { free: Semphore::new(room), closed: AtomicBool::new(false) });
-    (Mailbox { tx, room: room.clone() }, MailboxReceiver { rx, room })
+    let capacity = Arc::new(Capacity { free: Semphore::new(capacity), closed: AtomicBool::new(false) });
+    (Mailbox { tx, capacity: capacity.clone() }, MailboxReceiver { rx, capacity })
 }
 
 impl<T> Mailbox<T> {
-    /// Waits for room, then sends.
-    pub fn send(&self, letter: T) -> Result<(), MailboxClosed> {
-        self.room.free.wait();
-        if self.room.closed.load(Ordering::Acquire) {
-            // Passes the place on to the next sender that waits.
-            self.room.free.post();
+    /// Waits for a free slot, then sends.
+    pub fn send(&self, message: T) -> Result<(), MailboxClosed> {
+        self.capacity.free.wait();
+        if self.capacity.closed.load(Ordering::Acquire) {
+            // Passes the slot on, so that the next waiting sender wakes too.
+            self.capacity.free.post();
             return Err(MailboxClosed);
         }
-        self.tx.send(letter).map_err(|_| MailboxClosed)
+        self.tx.send(message).map_err(|_| MailboxClosed)
     }
 
-    /// Sends past the bound: for the few letters of the owner's own making, never for what peers send.
-    pub fn send_unbounded(&self, letter: T) -> Result<(), MailboxClosed> {
-        self.room.free.post();
-        self.send(letter)
+    /// Adds a slot, which stays after the message is received, then sends. Only for the few messages that the
+    /// process itself generates, never for data from peers.
+    pub fn send_unbounded(&self, message: T) -> Result<(), MailboxClosed> {
+        self.capacity.free.post();
+        self.send(message)
     }
 }
 
 impl<T> MailboxReceiver<T> {
+    /// Takes the next message without waiting.
     pub fn try_recv(&self) -> Option<T> {
-        let letter = self.rx.try_recv().ok()?;
-        self.room.free.post();
-        Some(letter)
+        let message = self.rx.try_recv().ok()?;
+        self.capacity.free.post();
+        Some(message)
     }
 
-    /// The next letter, if one comes in that time.
-    pub fn recv_timeout(&self, time: Duration) -> Option<T> {
-        if time.is_zero() {
+    /// Takes the next message, waiting for it at most `timeout`.
+    pub fn recv_timeout(&self, timeout: Duration) -> Option<T> {
+        if timeout.is_zero() {
             return self.try_recv();
         }
-        // Guards against waits without end: `may` keeps time-outs in whole milliseconds, cuts the rest off,
-        // takes 0 for 'for ever', and begins the whole wait anew when it wakes short of the deadline.
-        let whole = Duration::from_millis(time.as_nanos().div_ceil(1_000_000) as u64);
-        let letter = self.rx.recv_timeout(whole).ok()?;
-        self.room.free.post();
-        Some(letter)
+        // Rounds up to whole milliseconds to prevent waits without end: `may` truncates timeouts to
+        // milliseconds, treats 0 as no timeout, and restarts the whole wait if it wakes before the deadline.
+        let whole = Duration::from_millis(timeout.as_nanos().div_ceil(1_000_000) as u64);
+        let message = self.rx.recv_timeout(whole).ok()?;
+        self.capacity.free.post();
+        Some(message)
     }
 }
 
 impl<T> Drop for MailboxReceiver<T> {
     fn drop(&mut self) {
-        self.room.closed.store(true, Ordering::Release);
-        self.room.free.post();
+        self.capacity.closed.store(true, Ordering::Release);
+        self.capacity.free.post();
     }
 }
 
--- a/crates/sockets/src/queries.rs
+++ b/crates/sockets/src/queries.rs
@@ -1,4 +1,4 @@
-//! Sockets of single questions, over UDP or TCP: one for each, so that each has a port of its own.
+//! Sockets for single queries over UDP or TCP: one socket for each query, so that each has its own port.
 
 use crate::{end, start, Handle, READ_SIZE, SMALL_STACK};
 use may::net::{TcpStream, UdpSocket};
@@ -7,57 +7,50 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// QuerySockets out at once.
-const MOST: usize = 1024;
+/// Maximum number of open queries.
+const MAX_QUERIES: usize = 1024;
 
-/// The questions that are out.
+/// The open queries, by ticket; dropping it closes them all.
 #[derive(Default)]
 pub struct QuerySockets(HashMap<u64, Handle>);
 
-/// What became of a question.
+/// What happened to a query. The ticket is the caller's number for the query.
 #[derive(Debug)]
 pub enum QueryEvent {
-    Datagram {
-        ticket: u64,
-        from: SocketAddr,
-        bytes: Vec<u8>,
-    },
-    /// Bytes of a stream, in any parts.
-    Bytes {
-        ticket: u64,
-        bytes: Vec<u8>,
-    },
-    /// Its socket could not be opened or has ended.
-    Failed {
-        ticket: u64,
-    },
+    /// A datagram came in on the query's socket, from any sender.
+    Datagram { ticket: u64, from: SocketAddr, bytes: Vec<u8> },
+    /// Bytes came in on the query's TCP connection, split at any point.
+    Bytes { ticket: u64, bytes: Vec<u8> },
+    /// The socket could not be opened, or has failed or ended.
+    Failed { ticket: u64 },
 }
 
 impl QuerySockets {
-    /// Sends a question and reports what comes until it is closed; `report` is called from a coroutine, or
-    /// at once, and says whether it wants more.
+    /// Sends a query on a new socket and passes what happens to `report` until the query is closed or
+    /// `report` returns false. `report` is called from a coroutine; if none can be started, it is called
+    /// before this returns.
     pub fn send(
         &mut self,
         ticket: u64,
         to: SocketAddr,
         tcp: bool,
         bytes: Vec<u8>,
-        within: Duration,
+        connect_timeout: Duration,
         report: impl Fn(QueryEvent) -> bool + Clone + Send + 'static,
     ) {
-        let own = report.clone();
-        let started = if self.0.len() >= MOST {
+        let coroutine_report = report.clone();
+        let started = if self.0.len() >= MAX_QUERIES {
             Err(io::ErrorKind::QuotaExceeded.into())
         } else {
             start(SMALL_STACK, move || {
-                let asked = if tcp {
-                    stream(ticket, to, &bytes, within, &own)
+                let result = if tcp {
+                    query_tcp(ticket, to, &bytes, connect_timeout, &coroutine_report)
                 } else {
-                    datagram(ticket, to, &bytes, &own)
+                    query_udp(ticket, to, &bytes, &coroutine_report)
                 };
-                // Whatever the error, the resolver asks again or elsewhere.
-                if asked.is_err() {
-                    own(QueryEvent::Failed { ticket });
+                // The kind of error does not matter: the resolver retries, or asks another server.
+                if result.is_err() {
+                    coroutine_report(QueryEvent::Failed { ticket });
                 }
             })
         };
@@ -71,6 +64,7 @@
         }
     }
 
+    /// Closes the socket of a query; nothing more is reported of it.
     pub fn close(&mut self, ticket: u64) {
         if let Some(handle) = self.0.remove(&ticket) {
             end(handle);
@@ -86,17 +80,17 @@
     }
 }
 
-fn datagram(
+fn query_udp(
     ticket: u64,
     to: SocketAddr,
     bytes: &[u8],
     report: &impl Fn(QueryEvent) -> bool,
 ) -> io::Result<()> {
-    let any: SocketAddr = match to {
+    let unspecified: SocketAddr = match to {
         SocketAddr::V4(_) => ([0, 0, 0, 0], 0).into(),
         SocketAddr::V6(_) => ([0u16; 8], 0).into(),
     };
-    let udp = UdpSocket::bind(any)?;
+    let udp = UdpSocket::bind(unspecified)?;
     udp.send_to(bytes, to)?;
     let mut buffer = vec![0; READ_SIZE];
     loop {
@@ -107,14 +101,14 @@
     }
 }
 
-fn stream(
+fn query_tcp(
     ticket: u64,
     to: SocketAddr,
     bytes: &[u8],
-    within: Duration,
+    connect_timeout: Duration,
     report: &impl Fn(QueryEvent) -> bool,
 ) -> io::Result<()> {
-    let mut tcp = TcpStream::connect_timeout(&to, within)?;
+    let mut tcp = TcpStream::connect_timeout(&to, connect_timeout)?;
     tcp.write_all(bytes)?;
     let mut buffer = vec![0; READ_SIZE];
     loop {
--- a/crates/sockets/src/split.rs
+++ b/crates/sockets/src/split.rs
@@ -1,5 +1,6 @@
-//! One descriptor for a stream that a coroutine reads and the owner of a core writes. Where descriptors are
-//! scarce a cloned stream costs as much as a second caller.
+//! Splits a TCP stream into a read half, for a coroutine, and a write half, for the owner of a protocol core,
+//! which share one descriptor. Cloning the stream would take a second descriptor, which where descriptors are
+//! scarce means one connection fewer.
 
 use may::net::TcpStream;
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
@@ -11,37 +12,38 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The descriptor, while the reading side holds it open.
-struct Gate(Mutex<Option<RawFd>>);
+/// The descriptor; none once the read half has been dropped.
+struct SharedFd(Mutex<Option<RawFd>>);
 
-impl Gate {
+impl SharedFd {
     fn lock(&self) -> MutexGuard<'_, Option<RawFd>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does something with the stream, if it is still open. Held only for calls that never block.
-    fn with<T>(&self, what: impl FnOnce(&std::net::TcpStream) -> T) -> Option<T> {
-        let held = self.lock();
-        let fd = (*held)?;
+    /// Calls `operation` with the stream if it is still open. The lock is held meanwhile, so `operation` must
+    /// not block.
+    fn with<T>(&self, operation: impl FnOnce(&std::net::TcpStream) -> T) -> Option<T> {
+        let guard = self.lock();
+        let fd = (*guard)?;
         // SAFETY: the descriptor stays open while the lock is held, and is not closed here.
         let stream = ManuallyDrop::new(unsafe { std::net::TcpStream::from_raw_fd(fd) });
-        Some(what(&stream))
+        Some(operation(&stream))
     }
 }
 
-/// The side that reads and owns the descriptor; it belongs to a coroutine.
+/// The half that reads and owns the descriptor; it belongs to a coroutine.
 pub struct ReadHalf {
     stream: TcpStream,
-    gate: Arc<Gate>,
+    fd: Arc<SharedFd>,
 }
 
-/// The side that writes without blocking; dropping it ends the connection.
-pub struct WriteHalf(Arc<Gate>);
+/// The half that writes without blocking; dropping it ends the connection.
+pub struct WriteHalf(Arc<SharedFd>);
 
-/// Splits a stream into its two sides.
+/// Splits a stream into its two halves.
 pub fn split(stream: TcpStream) -> (ReadHalf, WriteHalf) {
-    let gate = Arc::new(Gate(Mutex::new(Some(stream.as_raw_fd()))));
-    (ReadHalf { stream, gate: gate.clone() }, WriteHalf(gate))
+    let fd = Arc::new(SharedFd(Mutex::new(Some(stream.as_raw_fd()))));
+    (ReadHalf { stream, fd: fd.clone() }, WriteHalf(fd))
 }
 
 impl Read for ReadHalf {
@@ -52,44 +54,47 @@
 
 impl Drop for ReadHalf {
     fn drop(&mut self) {
-        // Before the stream itself is dropped: the writer must not meet another one under the same number.
-        *self.gate.lock() = None;
+        // Done before the stream is dropped: its descriptor number may be reused, and the write half must not
+        // write to another stream.
+        *self.fd.lock() = None;
     }
 }
 
 impl WriteHalf {
-    /// Writes what fits now; an error where the connection is lost.
+    /// Writes as much as the socket accepts now and returns the number of bytes written; an error if
+    /// the connection is lost.
     pub fn write_some(&self, bytes: &[u8]) -> io::Result<usize> {
-        let written = self.0.with(|mut stream| {
-            let mut from = 0;
-            while from < bytes.len() {
-                match stream.write(&bytes[from..]) {
+        let result = self.0.with(|mut stream| {
+            let mut written = 0;
+            while written < bytes.len() {
+                match stream.write(&bytes[written..]) {
                     Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                    Ok(n) => from += n,
+                    Ok(n) => written += n,
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                     Err(e) => return Err(e),
                 }
             }
-            Ok(from)
+            Ok(written)
         });
-        written.unwrap_or(Err(io::ErrorKind::NotConnected.into()))
+        result.unwrap_or(Err(io::ErrorKind::NotConnected.into()))
     }
 
-    /// Whether something lies unread: bytes, or the peer's close or reset.
+    /// Whether anything is still to be read: bytes, or the peer's close or reset.
     pub fn has_unread(&self) -> bool {
         let unread = self.0.with(|stream| {
-            let mut ask = [PollFd::new(stream.as_fd(), PollFlags::POLLIN)];
-            // An error says nothing of the peer; its reader meets the same one.
-            poll(&mut ask, PollTimeout::ZERO).is_ok_and(|found| found > 0)
+            let mut fds = [PollFd::new(stream.as_fd(), PollFlags::POLLIN)];
+            // An error of `poll` does not mean that anything is unread; the read half gets the same error.
+            poll(&mut fds, PollTimeout::ZERO).is_ok_and(|ready| ready > 0)
         });
         unread.unwrap_or(false)
     }
 
-    /// Ends the connection; its reader sees the end. With `reset` what was not sent is thrown away.
+    /// Ends the connection; the read half gets the end of the stream. With `reset`, unsent bytes are
+    /// discarded.
     pub fn close(self, reset: bool) {
         if reset {
-            // Refused by the socket: nothing else can be done about it.
+            // If the socket refuses the option, the connection is closed without a reset.
             let _ = self.0.with(|stream| SockRef::from(stream).set_linger(Some(Duration::ZERO)));
         }
     }
@@ -97,7 +102,7 @@
 
 impl Drop for WriteHalf {
     fn drop(&mut self) {
-        // Closed already: so much the better.
+        // An error means that the connection is already closed.
         let _ = self.0.with(|stream| stream.shutdown(Shutdown::Both));
     }
 }
--- a/crates/sockets/src/stream.rs
+++ b/crates/sockets/src/stream.rs
@@ -1,5 +1,5 @@
-//! A stream that is written without ever blocking the coroutine that owns a core: what does not fit is
-//! left to a coroutine of its own, which reports when it is through.
+//! Writes to a stream without ever blocking the coroutine that owns a protocol core: bytes that the socket
+//! does not accept at once are written by a separate coroutine, which reports when it has finished.
 
 use crate::SMALL_STACK;
 use may::net::TcpStream;
@@ -8,37 +8,40 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// What became of a write.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteStatus {
+    /// All bytes were written.
     Complete,
-    /// The rest is written in the background; the callback tells when.
+    /// The rest is being written in the background; the callback reports when that is done.
     Pending,
     /// The connection is lost.
     Lost,
 }
 
-/// The writing side of a connection.
+/// Writes to a connection that another coroutine reads.
 pub struct StreamWriter {
     stream: std::net::TcpStream,
 }
 
 impl StreamWriter {
-    /// A writing side beside the coroutine that reads `stream`.
+    /// Clones the descriptor of `stream`, which its coroutine goes on reading.
     pub fn new(stream: &TcpStream) -> io::Result<StreamWriter> {
         Ok(StreamWriter { stream: stream.inner().try_clone()? })
     }
 
-    /// Writes what fits now. When not all does, `through` is called once the rest is written.
-    pub fn write(&mut self, bytes: &[u8], through: impl FnOnce() + Send + 'static) -> WriteStatus {
-        let mut from = 0;
-        while from < bytes.len() {
-            match self.stream.write(&bytes[from..]) {
+    /// Writes as much as the socket accepts now. If that is not all, a coroutine writes the rest and calls
+    /// `on_complete` when it has succeeded. The next write must wait until then, or the bytes would
+    /// interleave.
+    pub fn write(&mut self, bytes: &[u8], on_complete: impl FnOnce() + Send + 'static) -> WriteStatus {
+        let mut written = 0;
+        while written < bytes.len() {
+            match self.stream.write(&bytes[written..]) {
                 Ok(0) => return WriteStatus::Lost,
-                Ok(n) => from += n,
+                Ok(n) => written += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    return self.rest(bytes[from..].to_vec(), through);
+                    return self.write_rest(bytes[written..].to_vec(), on_complete);
                 }
                 Err(_) => return WriteStatus::Lost,
             }
@@ -46,13 +49,13 @@
         WriteStatus::Complete
     }
 
-    fn rest(&self, rest: Vec<u8>, through: impl FnOnce() + Send + 'static) -> WriteStatus {
+    fn write_rest(&self, rest: Vec<u8>, on_complete: impl FnOnce() + Send + 'static) -> WriteStatus {
         let Ok(stream) = self.stream.try_clone() else { return WriteStatus::Lost };
         let started = crate::start(SMALL_STACK, move || {
-            // A std stream again, since only its own coroutine may register it.
-            let Ok(mut stream) = adopt(stream) else { return };
+            // Converted only here, since only the coroutine that uses the stream may register it.
+            let Ok(mut stream) = into_coroutine_stream(stream) else { return };
             if stream.write_all(&rest).is_ok() {
-                through();
+                on_complete();
             }
         });
         match started {
@@ -61,19 +64,19 @@
         }
     }
 
-    /// Ends the connection; its reader sees the end. With `reset` what was not sent is thrown away.
+    /// Ends the connection; its reader gets the end of the stream. With `reset`, unsent bytes are discarded.
     pub fn close(&self, reset: bool) {
         if reset {
-            // Not sent and refused by the socket: nothing else can be done about it.
+            // If the socket refuses the option, the connection is closed without a reset.
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// Makes a coroutine's stream of a plain one.
-fn adopt(stream: std::net::TcpStream) -> io::Result<TcpStream> {
+/// Converts a std stream into one of the coroutine library.
+fn into_coroutine_stream(stream: std::net::TcpStream) -> io::Result<TcpStream> {
     use std::os::fd::{FromRawFd, IntoRawFd};
-    // SAFETY: the descriptor was just given up by its only owner.
+    // SAFETY: `into_raw_fd` gives up the descriptor, so that the new stream is its only owner.
     Ok(unsafe { TcpStream::from_raw_fd(stream.into_raw_fd()) })
 }
