--- a/crates/platform-service/src/owner.rs
+++ b/crates/platform-service/src/owner.rs
@@ -27,8 +27,8 @@
 
 /// What the owner receives.
 pub(crate) enum OwnerEvent {
-    Accepted { connection: ConnectionId, writing: WriteHalf },
-    Connected { connection: ConnectionId, writing: WriteHalf },
+    Accepted { connection: ConnectionId, writer: WriteHalf },
+    Connected { connection: ConnectionId, writer: WriteHalf },
     Bytes { arrived: f64, connection: ConnectionId, bytes: Vec<u8> },
     Lost { connection: ConnectionId, loss: Loss },
     Reload(Box<StartFile>),
@@ -36,7 +36,7 @@
 }
 
 struct Peer {
-    writing: WriteHalf,
+    writer: WriteHalf,
     /// Bytes that did not fit into the socket yet.
     waiting: Vec<u8>,
     /// Set once the `Edge` has closed the connection: it is closed when all bytes are written, or at this
@@ -45,16 +45,16 @@
 }
 
 impl Peer {
-    fn new(writing: WriteHalf) -> Peer {
-        Peer { writing, waiting: Vec::new(), closes_at: None }
+    fn new(writer: WriteHalf) -> Peer {
+        Peer { writer, waiting: Vec::new(), closes_at: None }
     }
 }
 
 pub(crate) struct Owner {
     edge: Edge,
-    ground: MonotonicClock,
+    clock: MonotonicClock,
     mailbox: Mailbox<OwnerEvent>,
-    mail: MailboxReceiver<OwnerEvent>,
+    receiver: MailboxReceiver<OwnerEvent>,
     peers: BTreeMap<ConnectionId, Peer>,
     dialled: BTreeSet<ConnectionId>,
     slots: ConnectionSlots,
@@ -66,17 +66,17 @@
 impl Owner {
     pub fn new(
         edge: Edge,
-        ground: MonotonicClock,
+        clock: MonotonicClock,
         mailbox: Mailbox<OwnerEvent>,
-        mail: MailboxReceiver<OwnerEvent>,
+        receiver: MailboxReceiver<OwnerEvent>,
         slots: ConnectionSlots,
     ) -> Owner {
         let (peers, dialled) = Default::default();
         Owner {
             edge,
-            ground,
+            clock,
             mailbox,
-            mail,
+            receiver,
             peers,
             dialled,
             slots,
@@ -89,20 +89,20 @@
     pub fn run(mut self) {
         loop {
             let blocked = self.peers.values().any(|p| !p.waiting.is_empty());
-            let again = if blocked { self.ground.now() + WRITE_RETRY } else { f64::INFINITY };
+            let again = if blocked { self.clock.now() + WRITE_RETRY } else { f64::INFINITY };
             let due = self.edge.wake_at().min(again);
-            let next = self.mail.recv_timeout(self.ground.duration_until(due));
-            if self.ground.just_resumed() {
+            let next = self.receiver.recv_timeout(self.clock.duration_until(due));
+            if self.clock.just_resumed() {
                 // After a stall all input that arrived meanwhile is read before anything is decided: callers
                 // may have left, and servers may have gone out of service (platform rule 3).
                 may::coroutine::sleep(SETTLE_TIME);
             }
-            let now = self.ground.now();
+            let now = self.clock.now();
             if next.is_none() && due.is_finite() {
                 self.max_lateness = self.max_lateness.max(now - due);
             }
             self.receive_events(next);
-            let now = self.ground.now();
+            let now = self.clock.now();
             self.edge.poll(now);
             self.slots.set_max(self.edge.max_clients() + UNCOUNTED_CONNECTIONS);
             if blocked {
@@ -122,19 +122,19 @@
     /// before the next poll, so events in the mailbox, with a reader that waits for space in it, and unread
     /// in a socket are all included.
     fn receive_events(&mut self, first: Option<OwnerEvent>) {
-        let until = self.ground.now() + MAX_INTAKE;
+        let until = self.clock.now() + MAX_INTAKE;
         let mut next = first;
         loop {
             while let Some(event) = next {
                 self.handle_event(event);
-                next = if self.ground.now() < until { self.mail.try_recv() } else { None };
+                next = if self.clock.now() < until { self.receiver.try_recv() } else { None };
             }
             // Lets readers that were woken or wait for mailbox space run first, on the same worker.
             may::coroutine::yield_now();
-            if self.ground.now() >= until {
+            if self.clock.now() >= until {
                 return;
             }
-            next = self.mail.try_recv();
+            next = self.receiver.try_recv();
             if next.is_none() {
                 if !self.has_unread_input() {
                     return;
@@ -145,20 +145,20 @@
     }
 
     fn has_unread_input(&self) -> bool {
-        let unread = |connection| self.peers.get(connection).is_some_and(|p| p.writing.has_unread());
-        self.edge.connections_to_read_first(self.ground.now()).iter().any(unread)
+        let unread = |connection| self.peers.get(connection).is_some_and(|p| p.writer.has_unread());
+        self.edge.connections_to_read_first(self.clock.now()).iter().any(unread)
     }
 
     fn handle_event(&mut self, event: OwnerEvent) {
-        let now = self.ground.now();
+        let now = self.clock.now();
         match event {
-            OwnerEvent::Accepted { connection, writing } => {
-                self.peers.insert(connection, Peer::new(writing));
+            OwnerEvent::Accepted { connection, writer } => {
+                self.peers.insert(connection, Peer::new(writer));
                 self.edge.accepted(now, connection);
             }
-            OwnerEvent::Connected { connection, writing } => {
+            OwnerEvent::Connected { connection, writer } => {
                 if self.dialled.remove(&connection) {
-                    self.peers.insert(connection, Peer::new(writing));
+                    self.peers.insert(connection, Peer::new(writer));
                     self.edge.connected(now, connection);
                 }
             }
@@ -185,7 +185,7 @@
                 Output::Dial { connection, to, timeout } => {
                     self.dialled.insert(connection);
                     let timeout = Duration::from_secs_f64(timeout);
-                    readers::dial(connection, to, timeout, &self.mailbox, &self.ground);
+                    readers::dial(connection, to, timeout, &self.mailbox, &self.clock);
                 }
                 Output::Write { connection, bytes } => self.write(connection, &bytes),
                 Output::Close { connection, reset } => {
@@ -201,15 +201,15 @@
     fn close(&mut self, connection: ConnectionId, reset: bool) {
         let Some(mut peer) = self.peers.remove(&connection) else { return };
         if reset || peer.waiting.is_empty() {
-            return peer.writing.close(reset);
+            return peer.writer.close(reset);
         }
-        peer.closes_at = Some(self.ground.now() + LINGER);
+        peer.closes_at = Some(self.clock.now() + LINGER);
         self.peers.insert(connection, peer);
     }
 
     fn write(&mut self, connection: ConnectionId, bytes: &[u8]) {
         let Some(peer) = self.peers.get_mut(&connection) else { return };
-        let written = if peer.waiting.is_empty() { peer.writing.write_some(bytes) } else { Ok(0) };
+        let written = if peer.waiting.is_empty() { peer.writer.write_some(bytes) } else { Ok(0) };
         match written {
             Ok(size) => {
                 if peer.waiting.is_empty() && size < bytes.len() {
@@ -229,7 +229,7 @@
 
     /// Writes queued bytes.
     fn flush_waiting(&mut self) {
-        let now = self.ground.now();
+        let now = self.clock.now();
         // A partly written set-up is held back while there is unread input, which may say that its caller has
         // left.
         let holds_links = self.has_unread_input();
@@ -238,7 +238,7 @@
             if holds_links && self.edge.is_link(*connection) {
                 continue;
             }
-            match peer.writing.write_some(&peer.waiting) {
+            match peer.writer.write_some(&peer.waiting) {
                 Ok(size) => {
                     peer.waiting.drain(..size);
                     if peer.waiting.is_empty() {
@@ -253,7 +253,7 @@
         }
         for connection in closed {
             if let Some(peer) = self.peers.remove(&connection) {
-                peer.writing.close(!peer.waiting.is_empty());
+                peer.writer.close(!peer.waiting.is_empty());
             }
         }
         lost.into_iter().for_each(|connection| self.abort(connection));
@@ -261,8 +261,8 @@
 
     fn abort(&mut self, connection: ConnectionId) {
         if let Some(peer) = self.peers.remove(&connection) {
-            peer.writing.close(true);
-            self.edge.lost(self.ground.now(), connection, Loss::Broken);
+            peer.writer.close(true);
+            self.edge.lost(self.clock.now(), connection, Loss::Broken);
         }
     }
 
--- a/crates/platform-service/src/readers.rs
+++ b/crates/platform-service/src/readers.rs
@@ -18,7 +18,7 @@
 pub(crate) fn accept(
     listener: TcpListener,
     mailbox: Mailbox<OwnerEvent>,
-    ground: MonotonicClock,
+    clock: MonotonicClock,
     slots: ConnectionSlots,
 ) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
@@ -37,14 +37,14 @@
             // An error here means that the socket has ended, which its reader reports.
             let _ = stream.set_nodelay(true);
             let connection = last;
-            let (reader_mailbox, ground) = (mailbox.clone(), ground.clone());
-            let (mut reading, writing) = split(stream);
-            if mailbox.send(OwnerEvent::Accepted { connection, writing }).is_err() {
+            let (reader_mailbox, clock) = (mailbox.clone(), clock.clone());
+            let (mut reader, writer) = split(stream);
+            if mailbox.send(OwnerEvent::Accepted { connection, writer }).is_err() {
                 return;
             }
             let started = start(SMALL_STACK, move || {
-                read(&mut reading, connection, &reader_mailbox, &ground);
-                drop(reading);
+                read(&mut reader, connection, &reader_mailbox, &clock);
+                drop(reader);
                 drop(slot);
                 let _ = reader_mailbox.send(OwnerEvent::Lost { connection, loss: Loss::Broken });
             });
@@ -56,13 +56,13 @@
 }
 
 fn read(
-    reading: &mut shalespindle_sockets::ReadHalf,
+    reader: &mut shalespindle_sockets::ReadHalf,
     connection: ConnectionId,
     mailbox: &Mailbox<OwnerEvent>,
-    ground: &MonotonicClock,
+    clock: &MonotonicClock,
 ) {
-    read_all(reading, READ_SIZE, |bytes| {
-        mailbox.send(OwnerEvent::Bytes { arrived: ground.earliest_arrival(), connection, bytes }).is_ok()
+    read_all(reader, READ_SIZE, |bytes| {
+        mailbox.send(OwnerEvent::Bytes { arrived: clock.earliest_arrival(), connection, bytes }).is_ok()
     });
 }
 
@@ -72,18 +72,18 @@
     to: SocketAddr,
     timeout: Duration,
     mailbox: &Mailbox<OwnerEvent>,
-    ground: &MonotonicClock,
+    clock: &MonotonicClock,
 ) {
-    let (dial_mailbox, ground) = (mailbox.clone(), ground.clone());
+    let (dial_mailbox, clock) = (mailbox.clone(), clock.clone());
     let started = start(SMALL_STACK, move || {
         let loss = match TcpStream::connect_timeout(&to, timeout) {
             Ok(stream) => {
                 let _ = stream.set_nodelay(true);
-                let (mut reading, writing) = split(stream);
-                if dial_mailbox.send(OwnerEvent::Connected { connection, writing }).is_err() {
+                let (mut reader, writer) = split(stream);
+                if dial_mailbox.send(OwnerEvent::Connected { connection, writer }).is_err() {
                     return;
                 }
-                read(&mut reading, connection, &dial_mailbox, &ground);
+                read(&mut reader, connection, &dial_mailbox, &clock);
                 Loss::Broken
             }
             Err(why) if why.kind() == io::ErrorKind::ConnectionRefused => Loss::Refused,
--- a/crates/platform-service/src/service.rs
+++ b/crates/platform-service/src/service.rs
@@ -34,16 +34,16 @@
 impl Service {
     /// Applies the known list of servers, then listens and starts.
     pub fn start(file: StartFile) -> io::Result<Service> {
-        let ground = MonotonicClock::new();
+        let clock = MonotonicClock::new();
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let listen = file.listen;
-        let edge = Edge::new(file, ground.now(), unix.as_secs_f64()).map_err(io::Error::other)?;
+        let edge = Edge::new(file, clock.now(), unix.as_secs_f64()).map_err(io::Error::other)?;
         let listener = bind(listen)?;
         let address = listener.local_addr()?;
-        let (mailbox, mail) = mailbox(MAILBOX_CAPACITY);
+        let (mailbox, receiver) = mailbox(MAILBOX_CAPACITY);
         let slots = ConnectionSlots::new(edge.max_clients() + UNCOUNTED_CONNECTIONS);
-        let accepting = readers::accept(listener, mailbox.clone(), ground.clone(), slots.clone())?;
-        let owner = Owner::new(edge, ground, mailbox.clone(), mail, slots);
+        let accepting = readers::accept(listener, mailbox.clone(), clock.clone(), slots.clone())?;
+        let owner = Owner::new(edge, clock, mailbox.clone(), receiver, slots);
         let owner = start(LARGE_STACK, move || owner.run())?;
         Ok(Service { address, mailbox, accepting: Some(accepting), owner: Some(owner) })
     }
--- a/crates/platform/src/link.rs
+++ b/crates/platform/src/link.rs
@@ -78,8 +78,8 @@
 
     /// Removes an answered probe and those before it; false if the probe is unknown.
     pub fn take_probe(&mut self, id: u64) -> bool {
-        let Some(place) = self.probes.iter().position(|t| *t == id) else { return false };
-        self.probes.drain(..=place);
+        let Some(position) = self.probes.iter().position(|t| *t == id) else { return false };
+        self.probes.drain(..=position);
         true
     }
 
