--- a/crates/transport/src/answers.rs
+++ b/crates/transport/src/answers.rs
@@ -1,4 +1,4 @@
-//! What a front and its host answer to operators' questions.
+//! Answers operators' questions to a front.
 
 use hdrhistogram::Histogram;
 use shalespindle_console::{Ask, LevelState, MemberState, Members, NameState, Reply, Snapshot};
@@ -6,13 +6,14 @@
 use shalespindle_membership::table::row;
 use shalespindle_membership::{Member, StatusReason};
 
-/// The longest pin, seconds: one that is forgotten must not outlive a day.
-const LONGEST_PIN: f64 = 86_400.0;
+/// Maximum duration of a pin, seconds: a forgotten pin must end within a day.
+const MAX_PIN: f64 = 86_400.0;
 
-/// What the host knows beside the front.
+/// Statistics of the host process that the front itself does not have.
 pub(crate) struct Host<'a> {
-    /// How late the owner was, microseconds.
+    /// Delay before the owner handled an event or a timer, microseconds.
     pub lag: &'a Histogram<u64>,
+    /// Datagrams that could not be sent.
     pub datagrams_dropped: u64,
 }
 
@@ -21,17 +22,17 @@
         Ask::Status => Reply::Status(Box::new(snapshot(front, now, host))),
         Ask::Members => Reply::Members(Box::new(members(front, now))),
         Ask::PinLevel { level, seconds } => {
-            if !(seconds > 0.0 && seconds <= LONGEST_PIN) {
-                return Reply::Bad { why: format!("a pin lasts more than 0 and at most {LONGEST_PIN} s") };
+            if !(seconds > 0.0 && seconds <= MAX_PIN) {
+                return Reply::Bad { why: format!("a pin lasts more than 0 and at most {MAX_PIN} s") };
             }
             match front.pin_level(now, Some((level, seconds))) {
                 true => Reply::Done { what: format!("level {level} is held for {seconds} s") },
-                false => Reply::Bad { why: levels_there(front) },
+                false => Reply::Bad { why: available_levels(front) },
             }
         }
-        // Answered where the fleet is known.
+        // These questions are answered by the service, which has the connection to the fleet.
         Ask::Fleet | Ask::PinFleet { .. } | Ask::Site { .. } => {
-            Reply::Bad { why: "not a question to a front alone".into() }
+            Reply::Bad { why: "this question is not answered by a single front".into() }
         }
         Ask::UnpinLevel => match front.pin_level(now, None) {
             true => Reply::Done { what: "the pin has ended".into() },
@@ -40,7 +41,7 @@
     }
 }
 
-fn levels_there(front: &Front) -> String {
+fn available_levels(front: &Front) -> String {
     match front.deepest_level() {
         0 => "levels of reduced service are off".into(),
         deepest => format!("levels are 0 to {deepest}"),
@@ -96,12 +97,12 @@
 
 fn member(member: &Member, now: f64) -> MemberState {
     let (list, dns) = member.source_statuses();
-    // Of several names the one whose answer is good for longest.
-    let named = member.dns_reports().max_by(|a, b| a.2.total_cmp(&b.2));
-    let because = match member.reason() {
+    // If several names have this address: the one whose answer stays valid for longest.
+    let dns_report = member.dns_reports().max_by(|a, b| a.2.total_cmp(&b.2));
+    let reason = match member.reason() {
         StatusReason::Row => row(list, dns).reason,
-        StatusReason::Flapping => "it came and went too often of late",
-        StatusReason::LastResort => "the last resort: nothing else is left",
+        StatusReason::Flapping => "it came and went too often recently",
+        StatusReason::LastResort => "the last resort: no other server is left",
     };
     MemberState {
         address: member.address(),
@@ -111,10 +112,10 @@
         list: list.to_string(),
         list_age: member.list_report().map(|l| now - l.1),
         dns: dns.to_string(),
-        dns_age: named.map(|n| now - n.1),
-        dns_left: named.map(|n| n.2 - now),
+        dns_age: dns_report.map(|n| now - n.1),
+        dns_left: dns_report.map(|n| n.2 - now),
         rank: member.rank(),
-        because: because.into(),
+        because: reason.into(),
         warned: member.needs_attention(),
     }
 }
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -1,6 +1,6 @@
-//! A front's place among others, and what its list told in their words.
+//! Connects a front to the other fronts of its fleet, and converts its list entries for them.
 
-use crate::owner::Letter;
+use crate::owner::OwnerEvent;
 use shalespindle_membership::ListEntry;
 use shalespindle_peer_service::{Fronts, Keep, Saying, Start};
 use shalespindle_replica::ServerRecord;
@@ -9,13 +9,13 @@
 use shalespindle_sockets::{Mailbox, MonotonicClock};
 use std::io;
 
-/// Opens the socket between fronts; what others make known goes to the front's owner.
-pub(crate) fn fronts(
+/// Starts the exchange with the other fronts; what they report is sent to the front's owner.
+pub(crate) fn start_fronts(
     settings: &FleetSettings,
     sites: Option<(SitesParams, SiteTable)>,
     seed: u64,
-    ground: MonotonicClock,
-    to: Mailbox<Letter>,
+    clock: MonotonicClock,
+    owner: Mailbox<OwnerEvent>,
 ) -> io::Result<Fronts> {
     let keep = |file: &std::path::PathBuf| Keep { file: file.clone(), every: settings.keep_every.seconds() };
     let start = Start {
@@ -28,14 +28,14 @@
         keep: settings.keep_file.as_ref().map(keep),
         sites,
     };
-    // An owner that has ended has no use for news.
-    Fronts::start(start, ground, move |heard| drop(to.send_unbounded(Letter::Fleet(heard))))
+    // An error means that the owner has ended; the report is dropped.
+    Fronts::start(start, clock, move |event| drop(owner.send_unbounded(OwnerEvent::Fleet(event))))
 }
 
-/// What this front's list told, for others.
-pub(crate) fn saying(now: f64, listed: &ListEntry) -> Saying {
-    // 0 means long ago.
+/// Converts an entry of this front's list into a report for the other fronts.
+pub(crate) fn server_report(now: f64, listed: &ListEntry) -> Saying {
+    // A start of 0 means long ago: no age is reported.
     let age = (listed.started > 0.0).then(|| (now - listed.started).max(0.0));
-    let ListEntry { address, pool, state: told, incarnation, .. } = *listed;
-    Saying::Server { address, word: ServerRecord { pool, incarnation, reported: told, age } }
+    let ListEntry { address, pool, state, incarnation, .. } = *listed;
+    Saying::Server { address, word: ServerRecord { pool, incarnation, reported: state, age } }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,10 +1,10 @@
-//! Carries frames between sockets and a front on `may` coroutines. One coroutine owns the front; readers
-//! send it what comes over one bounded mailbox; it writes without blocking. No decision is made here.
+//! Runs a front on `may` coroutines and sockets. One coroutine owns the front and writes without blocking;
+//! reader coroutines send it what arrives over one bounded mailbox. This crate makes no routing decisions.
 
 mod answers;
 mod fleet;
 mod log;
-mod memory;
+mod member_store;
 mod names;
 mod owner;
 mod readers;
--- a/crates/transport/src/owner.rs
+++ b/crates/transport/src/owner.rs
@@ -1,8 +1,8 @@
-//! The coroutine that owns a front: letters in, turns, outputs out.
+//! The coroutine that owns a front: passes it events in batches, runs its turns and carries out its outputs.
 
 use crate::answers::{answer, Host};
-use crate::fleet::saying;
-use crate::memory::Memory;
+use crate::fleet::server_report;
+use crate::member_store::MemberStore;
 use crate::names::resolver_input;
 use crate::readers;
 use hdrhistogram::Histogram;
@@ -21,23 +21,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Letters handled before the front decides.
-const BATCH: usize = 256;
-/// Bytes that may wait for a caller that does not read.
+/// Maximum number of events handled before the front decides.
+const MAX_BATCH: usize = 256;
+/// Maximum number of bytes that wait for a caller that does not read.
 const CALLER_BACKLOG: usize = 256 * 1024;
-/// What readers get to read what came while the process stood still.
-const SETTLE: Duration = Duration::from_millis(10);
+/// Time that readers get after a stall to read what arrived during it.
+const CATCH_UP: Duration = Duration::from_millis(10);
 
-/// What reaches the owner.
-pub(crate) enum Letter {
+/// An event sent to the owner. `arrived` is the earliest time at which the bytes can have arrived, in seconds
+/// on the process's clock; `stream` is the number of a caller's connection.
+pub(crate) enum OwnerEvent {
     Datagram {
         arrived: f64,
         from: SocketAddr,
         bytes: Vec<u8>,
     },
-    Caller {
+    CallerConnected {
         stream: u64,
-        outgoing: StreamWriter,
+        writer: StreamWriter,
     },
     CallerBytes {
         arrived: f64,
@@ -47,13 +48,15 @@
     CallerClosed {
         stream: u64,
     },
-    CallerThrough {
+    /// The rest of a write to a caller has been written.
+    CallerWritable {
         stream: u64,
     },
-    Connected {
+    LinkConnected {
         id: LinkId,
-        outgoing: StreamWriter,
+        writer: StreamWriter,
     },
+    /// The connection to a server was lost or could not be made.
     LinkLost {
         id: LinkId,
     },
@@ -62,7 +65,8 @@
         id: LinkId,
         bytes: Vec<u8>,
     },
-    Through {
+    /// The rest of a write to a server has been written.
+    LinkWritable {
         id: LinkId,
     },
     FeedConnected,
@@ -70,242 +74,253 @@
         bytes: Vec<u8>,
     },
     FeedLost,
-    /// What became of a question to a name server.
-    Name(QueryEvent),
-    /// What other fronts made known.
+    /// An event of a DNS query's socket.
+    Dns(QueryEvent),
+    /// A report of other fronts.
     Fleet(Heard),
-    /// An operator's question.
+    /// An operator's question, and where the reply goes.
     Console(Ask, mpsc::Sender<Reply>),
-    End,
+    /// Ends the front in order: it admits no new attaches and waits for its calls.
+    Shutdown,
+    /// Ends the owner at once.
     Stop,
 }
 
+/// A caller's connection.
 struct Caller {
-    outgoing: StreamWriter,
-    /// Bytes that wait while the rest of an earlier write is under way.
+    writer: StreamWriter,
+    /// Bytes that wait until the rest of an earlier write has been written.
     waiting: Vec<u8>,
     busy: bool,
 }
 
-/// A hook for each event, beside the log.
+/// Called with each event of the front, in addition to the log.
 pub(crate) type Hook = Box<dyn FnMut(&Event) + Send>;
 
+/// The front, its sockets and their state.
 pub(crate) struct Owner {
     pub front: Front,
-    pub ground: MonotonicClock,
+    pub clock: MonotonicClock,
     pub udp: UdpSocket,
-    pub mailbox: Mailbox<Letter>,
-    pub mail: MailboxReceiver<Letter>,
+    pub mailbox: Mailbox<OwnerEvent>,
+    pub receiver: MailboxReceiver<OwnerEvent>,
     pub hook: Hook,
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     pub connections: Arc<AtomicUsize>,
-    pub memory: Option<Memory>,
-    /// Tells other fronts, where there are any.
+    pub member_store: Option<MemberStore>,
+    /// Sends to the other fronts; none if this front has no fleet.
     pub teller: Option<Teller>,
-    /// What it is to be told at the end of this turn.
-    sayings: Vec<Saying>,
-    /// The members changed since they were last offered.
-    unkept: bool,
-    questions: QuerySockets,
+    /// Messages to be sent to the other fronts at the end of this turn.
+    fleet_messages: Vec<Saying>,
+    /// Whether members changed since they were last stored.
+    members_changed: bool,
+    queries: QuerySockets,
     callers: HashMap<u64, Caller>,
     links: HashMap<LinkId, StreamWriter>,
-    /// Asked for and not yet there.
+    /// Connections that are being made.
     connecting: HashMap<LinkId, ()>,
-    /// How late the owner was, microseconds.
+    /// Delay before the owner handled an event or a timer, microseconds.
     lag: Histogram<u64>,
-    dropped: u64,
+    /// Datagrams that could not be sent.
+    datagrams_dropped: u64,
 }
 
 impl Owner {
     #[allow(clippy::too_many_arguments)]
+    /// Creates an owner; none if the histogram cannot be created.
     pub fn new(
         front: Front,
-        ground: MonotonicClock,
+        clock: MonotonicClock,
         udp: UdpSocket,
-        mailbox: Mailbox<Letter>,
-        mail: MailboxReceiver<Letter>,
+        mailbox: Mailbox<OwnerEvent>,
+        receiver: MailboxReceiver<OwnerEvent>,
         hook: Hook,
-        connect_within: Duration,
+        connect_timeout: Duration,
         connections: Arc<AtomicUsize>,
-        memory: Option<Memory>,
+        member_store: Option<MemberStore>,
         teller: Option<Teller>,
     ) -> Option<Owner> {
-        // 1 us to 100 s, two figures: enough to tell a millisecond from two.
+        // 1 us to 100 s with two significant digits, enough to distinguish one millisecond from two.
         let lag = Histogram::new_with_bounds(1, 100_000_000, 2).ok()?;
         Some(Owner {
             front,
-            ground,
+            clock,
             udp,
             mailbox,
-            mail,
+            receiver,
             hook,
-            connect_within,
+            connect_timeout,
             connections,
-            memory,
+            member_store,
             teller,
-            sayings: Vec::new(),
-            unkept: false,
-            questions: QuerySockets::default(),
+            fleet_messages: Vec::new(),
+            members_changed: false,
+            queries: QuerySockets::default(),
             callers: HashMap::new(),
             links: HashMap::new(),
             connecting: HashMap::new(),
             lag,
-            dropped: 0,
+            datagrams_dropped: 0,
         })
     }
 
-    /// Runs until it is stopped, or until it was asked to end and nothing is left.
+    /// Runs until it is stopped, or until a shutdown has finished.
     pub fn run(mut self) {
         loop {
-            let due = self.front.wake_at();
-            let first = self.mail.recv_timeout(self.ground.duration_until(due));
-            if self.ground.just_resumed() {
-                // Guards rule 3 and callers' patience: all that came meanwhile is known before it decides.
-                may::coroutine::sleep(SETTLE);
+            let deadline = self.front.wake_at();
+            let first = self.receiver.recv_timeout(self.clock.duration_until(deadline));
+            if self.clock.just_resumed() {
+                // After a stall the front must know all that arrived meanwhile before it decides: a server
+                // may have begun to drain (rule 3), and callers' deadlines may have passed.
+                may::coroutine::sleep(CATCH_UP);
             }
-            let now = self.ground.now();
-            if first.is_none() && due.is_finite() && now > due {
-                self.late(now - due);
+            let now = self.clock.now();
+            if first.is_none() && deadline.is_finite() && now > deadline {
+                self.record_lag(now - deadline);
             }
             let mut next = first;
-            let mut taken = 0;
-            while let Some(letter) = next {
-                if !self.take(letter) {
+            let mut handled = 0;
+            while let Some(event) = next {
+                if !self.handle(event) {
                     return;
                 }
-                taken += 1;
-                next = if taken < BATCH { self.mail.try_recv() } else { None };
+                handled += 1;
+                next = if handled < MAX_BATCH { self.receiver.try_recv() } else { None };
             }
-            let now = self.ground.now();
+            let now = self.clock.now();
             self.front.turn(now);
-            self.carry(now);
-            self.keep();
+            self.process_outputs(now);
+            self.store_members();
             if self.front.is_done() {
                 return;
             }
-            // Readers woken on this worker wait behind its owner: without this they wait for an idle moment.
+            // Readers woken on this worker thread run only when the owner yields; without this they
+            // would wait until it is idle.
             may::coroutine::yield_now();
         }
     }
 
-    /// Offers the last known members to be written, once a change.
-    fn keep(&mut self) {
-        if std::mem::take(&mut self.unkept) {
-            if let Some(memory) = &self.memory {
-                memory.offer(self.front.remember());
+    /// Stores the members if any changed in this turn.
+    fn store_members(&mut self) {
+        if std::mem::take(&mut self.members_changed) {
+            if let Some(member_store) = &self.member_store {
+                member_store.offer(self.front.remember());
             }
         }
     }
 
-    fn late(&mut self, seconds: f64) {
+    fn record_lag(&mut self, seconds: f64) {
         self.lag.saturating_record((seconds * 1e6) as u64);
     }
 
-    fn take(&mut self, letter: Letter) -> bool {
-        let now = self.ground.now();
+    /// Handles one event; false if the owner must stop.
+    fn handle(&mut self, event: OwnerEvent) -> bool {
+        let now = self.clock.now();
         let front = &mut self.front;
-        match letter {
-            Letter::Datagram { arrived, from, bytes } => {
+        match event {
+            OwnerEvent::Datagram { arrived, from, bytes } => {
                 self.lag.saturating_record(((now - arrived) * 1e6) as u64);
                 front.take(now, arrived, Input::Datagram { from, bytes: &bytes });
             }
-            Letter::Caller { stream, outgoing } => {
-                self.callers.insert(stream, Caller { outgoing, waiting: Vec::new(), busy: false });
+            OwnerEvent::CallerConnected { stream, writer } => {
+                self.callers.insert(stream, Caller { writer, waiting: Vec::new(), busy: false });
             }
-            Letter::CallerBytes { arrived, stream, bytes } => {
+            OwnerEvent::CallerBytes { arrived, stream, bytes } => {
                 front.take(now, arrived, Input::CallerBytes { stream, bytes: &bytes });
             }
-            Letter::CallerClosed { stream } => {
+            OwnerEvent::CallerClosed { stream } => {
                 self.callers.remove(&stream);
                 front.take(now, now, Input::CallerClosed { stream });
             }
-            Letter::CallerThrough { stream } => {
+            OwnerEvent::CallerWritable { stream } => {
                 if let Some(caller) = self.callers.get_mut(&stream) {
                     caller.busy = false;
                     let waiting = std::mem::take(&mut caller.waiting);
                     self.write_caller(stream, waiting);
                 }
             }
-            Letter::Connected { id, outgoing } => {
+            OwnerEvent::LinkConnected { id, writer } => {
                 if self.connecting.remove(&id).is_none() {
-                    outgoing.close(false);
+                    writer.close(false);
                     return true;
                 }
-                self.links.insert(id, outgoing);
+                self.links.insert(id, writer);
                 front.take(now, now, Input::Connected { id });
             }
-            Letter::LinkLost { id } => {
+            OwnerEvent::LinkLost { id } => {
                 self.connecting.remove(&id);
                 self.links.remove(&id);
                 front.take(now, now, Input::LinkLost { id });
             }
-            Letter::LinkBytes { arrived, id, bytes } => {
+            OwnerEvent::LinkBytes { arrived, id, bytes } => {
                 self.lag.saturating_record(((now - arrived) * 1e6) as u64);
                 front.take(now, arrived, Input::LinkBytes { id, bytes: &bytes });
             }
-            Letter::Through { id } => front.take(now, now, Input::Writable { id }),
-            Letter::FeedConnected => front.take(now, now, Input::FeedConnected),
-            Letter::FeedBytes { bytes } => front.take(now, now, Input::FeedBytes { bytes: &bytes }),
-            Letter::FeedLost => front.take(now, now, Input::FeedLost),
-            Letter::Name(report) => front.take(now, now, Input::Dns(resolver_input(&report))),
-            Letter::Fleet(Heard::Found { ticket, known, word }) => {
+            OwnerEvent::LinkWritable { id } => front.take(now, now, Input::Writable { id }),
+            OwnerEvent::FeedConnected => front.take(now, now, Input::FeedConnected),
+            OwnerEvent::FeedBytes { bytes } => front.take(now, now, Input::FeedBytes { bytes: &bytes }),
+            OwnerEvent::FeedLost => front.take(now, now, Input::FeedLost),
+            OwnerEvent::Dns(event) => front.take(now, now, Input::Dns(resolver_input(&event))),
+            OwnerEvent::Fleet(Heard::Found { ticket, known, word }) => {
                 front.take(now, now, Input::FindCallResult { ticket, known, call: word });
             }
-            Letter::Fleet(Heard::Narrowed(narrowing)) => {
-                front.take(now, now, Input::SiteRestriction(narrowing));
+            OwnerEvent::Fleet(Heard::Narrowed(restrictions)) => {
+                front.take(now, now, Input::SiteRestriction(restrictions));
             }
-            Letter::Fleet(Heard::News(FleetEvent::Server(warning))) => {
+            OwnerEvent::Fleet(Heard::News(FleetEvent::Server(warning))) => {
                 front.take(now, now, Input::ServerWarning(warning));
             }
-            Letter::Fleet(Heard::News(FleetEvent::CallEnded { call })) => {
+            OwnerEvent::Fleet(Heard::News(FleetEvent::CallEnded { call })) => {
                 front.take(now, now, Input::CallReleased { call });
             }
-            Letter::Fleet(Heard::News(FleetEvent::Release { record, .. })) => {
+            OwnerEvent::Fleet(Heard::News(FleetEvent::Release { record, .. })) => {
                 front.take(now, now, Input::ReleaseCall(record));
             }
-            Letter::Fleet(Heard::News(FleetEvent::Level { level, until, .. })) => {
-                // False where this front has no such level: its own settings stand.
+            OwnerEvent::Fleet(Heard::News(FleetEvent::Level { level, until, .. })) => {
+                // The result is false if this front has no such level; its level then stays as it is.
                 front.pin_level(now, level.map(|level| (usize::from(level), until - now)));
             }
-            Letter::Console(ask, to) => {
-                let host = Host { lag: &self.lag, datagrams_dropped: self.dropped };
-                // Whoever asked may have gone; there is nobody to tell then.
-                let _ = to.send(answer(front, now, &ask, &host));
+            OwnerEvent::Console(question, reply_to) => {
+                let host = Host { lag: &self.lag, datagrams_dropped: self.datagrams_dropped };
+                // An error means that the operator's connection has ended; the reply is dropped.
+                let _ = reply_to.send(answer(front, now, &question, &host));
             }
-            Letter::End => front.take(now, now, Input::Shutdown),
-            Letter::Stop => return false,
+            OwnerEvent::Shutdown => front.take(now, now, Input::Shutdown),
+            OwnerEvent::Stop => return false,
         }
         true
     }
 
-    fn carry(&mut self, now: f64) {
+    /// Carries out the front's outputs of this turn.
+    fn process_outputs(&mut self, now: f64) {
         while let Some(output) = self.front.next_output(now) {
             match output {
-                // A datagram that does not fit is lost like any other; its sender repeats it.
+                // A datagram that the socket does not accept is treated as lost; SIP retransmits it.
                 Output::Datagram { to, bytes } => {
                     if self.udp.inner().send_to(&bytes, to).is_err() {
-                        self.dropped += 1;
+                        self.datagrams_dropped += 1;
                     }
                 }
                 Output::ToCaller { stream, bytes } => self.write_caller(stream, bytes),
                 Output::CloseCaller { stream } => {
                     if let Some(caller) = self.callers.remove(&stream) {
-                        caller.outgoing.close(false);
+                        caller.writer.close(false);
                     }
                 }
                 Output::Connect { id, to } => {
                     self.connecting.insert(id, ());
-                    readers::connect(id, to, self.connect_within, self.mailbox.clone(), self.ground.clone());
+                    readers::connect(id, to, self.connect_timeout, self.mailbox.clone(), self.clock.clone());
                 }
                 Output::ToServer { id, bytes } => {
                     let mailbox = self.mailbox.clone();
-                    let Some(outgoing) = self.links.get_mut(&id) else { continue };
-                    let through = move || {
-                        let _ = mailbox.send_unbounded(Letter::Through { id });
+                    let Some(writer) = self.links.get_mut(&id) else { continue };
+                    let on_complete = move || {
+                        let _ = mailbox.send_unbounded(OwnerEvent::LinkWritable { id });
                     };
-                    match outgoing.write(&bytes, through) {
+                    match writer.write(&bytes, on_complete) {
                         WriteStatus::Complete => {}
-                        // Of a loss the reader reports; until then nothing more is tried.
+                        // A lost connection is reported by its reader; the front must not write until
+                        // then.
                         WriteStatus::Pending | WriteStatus::Lost => {
                             self.front.take(now, now, Input::Blocked { id })
                         }
@@ -313,45 +328,47 @@
                 }
                 Output::CloseLink { id, reset } => {
                     self.connecting.remove(&id);
-                    if let Some(outgoing) = self.links.remove(&id) {
-                        outgoing.close(reset);
+                    if let Some(writer) = self.links.remove(&id) {
+                        writer.close(reset);
                     }
                 }
                 Output::DnsQuery { ticket, to, tcp, bytes } => {
                     let mailbox = self.mailbox.clone();
-                    // A loss is reported once, by the owner itself at times; what peers send waits for room.
-                    let report = move |report| match report {
-                        QueryEvent::Failed { .. } => mailbox.send_unbounded(Letter::Name(report)).is_ok(),
-                        _ => mailbox.send(Letter::Name(report)).is_ok(),
+                    // A failure is reported once, at times by this coroutine itself, which must not wait for
+                    // its own mailbox; data from peers waits for capacity.
+                    let report = move |event| match event {
+                        QueryEvent::Failed { .. } => mailbox.send_unbounded(OwnerEvent::Dns(event)).is_ok(),
+                        _ => mailbox.send(OwnerEvent::Dns(event)).is_ok(),
                     };
-                    self.questions.send(ticket, to, tcp, bytes, self.connect_within, report);
+                    self.queries.send(ticket, to, tcp, bytes, self.connect_timeout, report);
                 }
-                Output::DnsClose { ticket } => self.questions.close(ticket),
-                Output::ServerListed(listed) => self.sayings.push(saying(now, &listed)),
-                Output::SitesObserved(seen) => self.sayings.push(Saying::Sees(seen)),
+                Output::DnsClose { ticket } => self.queries.close(ticket),
+                Output::ServerListed(listed) => self.fleet_messages.push(server_report(now, &listed)),
+                Output::SitesObserved(sample) => self.fleet_messages.push(Saying::Sees(sample)),
                 Output::CallChanged { call, record } => {
-                    self.sayings.push(Saying::Call { call, word: record })
+                    self.fleet_messages.push(Saying::Call { call, word: record })
                 }
                 Output::FindCall { ticket, name, by_leg } => {
-                    self.sayings.push(Saying::Whose { ticket, name, by_leg })
+                    self.fleet_messages.push(Saying::Whose { ticket, name, by_leg })
                 }
                 Output::Event(event) => {
-                    self.unkept |= matches!(event, Event::ServerChanged { .. });
+                    self.members_changed |= matches!(event, Event::ServerChanged { .. });
                     (self.hook)(&event);
                 }
             }
         }
-        self.say();
+        self.send_to_fleet();
     }
 
-    /// Tells the other fronts, where there are any, all of a turn at once: each letter wakes whoever reads it.
-    fn say(&mut self) {
-        let sayings = std::mem::take(&mut self.sayings);
-        if let Some(teller) = self.teller.as_ref().filter(|_| !sayings.is_empty()) {
-            teller.say(sayings);
+    /// Sends all messages of a turn to the other fronts at once, since each send wakes the receiver.
+    fn send_to_fleet(&mut self) {
+        let messages = std::mem::take(&mut self.fleet_messages);
+        if let Some(teller) = self.teller.as_ref().filter(|_| !messages.is_empty()) {
+            teller.say(messages);
         }
     }
 
+    /// Writes to a caller, or queues the bytes while an earlier write is unfinished.
     fn write_caller(&mut self, stream: u64, bytes: Vec<u8>) {
         let Some(caller) = self.callers.get_mut(&stream) else { return };
         if bytes.is_empty() {
@@ -360,30 +377,30 @@
         if caller.busy {
             caller.waiting.extend_from_slice(&bytes);
             if caller.waiting.len() > CALLER_BACKLOG {
-                // Guards memory against callers that ask and never read.
-                caller.outgoing.close(true);
+                // Limits the memory used by callers that send requests and never read.
+                caller.writer.close(true);
             }
             return;
         }
         let mailbox = self.mailbox.clone();
-        let through = move || {
-            let _ = mailbox.send_unbounded(Letter::CallerThrough { stream });
+        let on_complete = move || {
+            let _ = mailbox.send_unbounded(OwnerEvent::CallerWritable { stream });
         };
-        match caller.outgoing.write(&bytes, through) {
+        match caller.writer.write(&bytes, on_complete) {
             WriteStatus::Complete => {}
             WriteStatus::Pending => caller.busy = true,
-            WriteStatus::Lost => caller.outgoing.close(false),
+            WriteStatus::Lost => caller.writer.close(false),
         }
     }
 }
 
 impl Drop for Owner {
     fn drop(&mut self) {
-        for outgoing in self.links.values() {
-            outgoing.close(false);
+        for writer in self.links.values() {
+            writer.close(false);
         }
         for caller in self.callers.values() {
-            caller.outgoing.close(false);
+            caller.writer.close(false);
         }
         self.connections.store(0, Ordering::Relaxed);
     }
--- a/crates/transport/src/readers.rs
+++ b/crates/transport/src/readers.rs
@@ -1,6 +1,7 @@
-//! Coroutines that read: datagrams, callers' connections, servers' connections, the feed.
+//! Coroutines that read datagrams, callers' and servers' connections and the feed, and send what arrives to
+//! the owner.
 
-use crate::owner::Letter;
+use crate::owner::OwnerEvent;
 use may::net::{TcpListener, TcpStream, UdpSocket};
 use shalespindle_front::LinkId;
 use shalespindle_sockets::{
@@ -12,132 +13,142 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub(crate) fn datagrams(
+/// Reads datagrams until the owner has ended.
+pub(crate) fn read_datagrams(
     udp: UdpSocket,
-    mailbox: Mailbox<Letter>,
-    ground: MonotonicClock,
+    mailbox: Mailbox<OwnerEvent>,
+    clock: MonotonicClock,
 ) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
         let mut buffer = vec![0; 65_536];
         loop {
             let Ok((size, from)) = udp.recv_from(&mut buffer) else { continue };
-            let letter =
-                Letter::Datagram { arrived: ground.earliest_arrival(), from, bytes: buffer[..size].to_vec() };
-            if mailbox.send(letter).is_err() {
+            let event = OwnerEvent::Datagram {
+                arrived: clock.earliest_arrival(),
+                from,
+                bytes: buffer[..size].to_vec(),
+            };
+            if mailbox.send(event).is_err() {
                 return;
             }
         }
     })
 }
 
-pub(crate) fn callers(
+/// Accepts callers' connections until the owner has ended, and starts a reader for each.
+pub(crate) fn accept_callers(
     listener: TcpListener,
-    mailbox: Mailbox<Letter>,
-    ground: MonotonicClock,
-    most: usize,
-    open: Arc<AtomicUsize>,
+    mailbox: Mailbox<OwnerEvent>,
+    clock: MonotonicClock,
+    max_connections: usize,
+    open_connections: Arc<AtomicUsize>,
 ) -> io::Result<Handle> {
     start(LARGE_STACK, move || {
-        let mut next = 0;
+        let mut stream_number = 0;
         loop {
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(_) => {
-                    // Out of descriptors, most likely: waits for some to come back.
+                    // Most likely there are no free descriptors: waits until some are closed.
                     may::coroutine::sleep(Duration::from_millis(20));
                     continue;
                 }
             };
-            if open.load(Ordering::Relaxed) >= most {
-                // Guards descriptors against a flood of connections: dropped, the caller may try again.
+            if open_connections.load(Ordering::Relaxed) >= max_connections {
+                // Limits the descriptors that a flood of connections can use; the caller may reconnect later.
                 drop(stream);
                 continue;
             }
-            let Ok(outgoing) = StreamWriter::new(&stream) else { continue };
-            next += 1;
-            if mailbox.send(Letter::Caller { stream: next, outgoing }).is_err() {
+            let Ok(writer) = StreamWriter::new(&stream) else { continue };
+            stream_number += 1;
+            if mailbox.send(OwnerEvent::CallerConnected { stream: stream_number, writer }).is_err() {
                 return;
             }
-            open.fetch_add(1, Ordering::Relaxed);
-            if caller(stream, next, mailbox.clone(), ground.clone(), open.clone()).is_err() {
-                open.fetch_sub(1, Ordering::Relaxed);
-                let _ = mailbox.send(Letter::CallerClosed { stream: next });
+            open_connections.fetch_add(1, Ordering::Relaxed);
+            if read_caller(stream, stream_number, mailbox.clone(), clock.clone(), open_connections.clone())
+                .is_err()
+            {
+                open_connections.fetch_sub(1, Ordering::Relaxed);
+                let _ = mailbox.send(OwnerEvent::CallerClosed { stream: stream_number });
             }
         }
     })
 }
 
-fn caller(
+/// Reads one caller's connection until it ends.
+fn read_caller(
     mut tcp: TcpStream,
     stream: u64,
-    mailbox: Mailbox<Letter>,
-    ground: MonotonicClock,
-    open: Arc<AtomicUsize>,
+    mailbox: Mailbox<OwnerEvent>,
+    clock: MonotonicClock,
+    open_connections: Arc<AtomicUsize>,
 ) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
-        let sent = |bytes| {
-            let letter = Letter::CallerBytes { arrived: ground.earliest_arrival(), stream, bytes };
-            mailbox.send(letter).is_ok()
+        let deliver = |bytes| {
+            let event = OwnerEvent::CallerBytes { arrived: clock.earliest_arrival(), stream, bytes };
+            mailbox.send(event).is_ok()
         };
-        read_all(&mut tcp, READ_SIZE, sent);
-        open.fetch_sub(1, Ordering::Relaxed);
-        let _ = mailbox.send(Letter::CallerClosed { stream });
+        read_all(&mut tcp, READ_SIZE, deliver);
+        open_connections.fetch_sub(1, Ordering::Relaxed);
+        let _ = mailbox.send(OwnerEvent::CallerClosed { stream });
     })
 }
 
-/// Connects to a server and then reads from it.
+/// Connects to a server and reads the connection until it ends.
 pub(crate) fn connect(
     id: LinkId,
     to: SocketAddr,
-    within: Duration,
-    mailbox: Mailbox<Letter>,
-    ground: MonotonicClock,
+    connect_timeout: Duration,
+    mailbox: Mailbox<OwnerEvent>,
+    clock: MonotonicClock,
 ) {
-    let lost = mailbox.clone();
+    let failure_mailbox = mailbox.clone();
     let started = start(SMALL_STACK, move || {
-        let made = TcpStream::connect_timeout(&to, within).and_then(|stream| {
+        let connected = TcpStream::connect_timeout(&to, connect_timeout).and_then(|stream| {
             stream.set_nodelay(true)?;
             Ok((StreamWriter::new(&stream)?, stream))
         });
-        if let Ok((outgoing, mut stream)) = made {
-            if mailbox.send(Letter::Connected { id, outgoing }).is_err() {
+        if let Ok((writer, mut stream)) = connected {
+            if mailbox.send(OwnerEvent::LinkConnected { id, writer }).is_err() {
                 return;
             }
             read_all(&mut stream, READ_SIZE, |bytes| {
-                let letter = Letter::LinkBytes { arrived: ground.earliest_arrival(), id, bytes };
-                mailbox.send(letter).is_ok()
+                let event = OwnerEvent::LinkBytes { arrived: clock.earliest_arrival(), id, bytes };
+                mailbox.send(event).is_ok()
             });
         }
-        let _ = mailbox.send(Letter::LinkLost { id });
+        let _ = mailbox.send(OwnerEvent::LinkLost { id });
     });
     if started.is_err() {
-        let _ = lost.send_unbounded(Letter::LinkLost { id });
+        let _ = failure_mailbox.send_unbounded(OwnerEvent::LinkLost { id });
     }
 }
 
-/// Follows the feed, connecting again with doubling pauses.
-pub(crate) fn feed(
+/// Reads the feed and reconnects when it is lost, with pauses that double from 1/16 of `max_pause` up to it.
+pub(crate) fn follow_feed(
     to: SocketAddr,
-    within: Duration,
-    longest: Duration,
-    mailbox: Mailbox<Letter>,
+    connect_timeout: Duration,
+    max_pause: Duration,
+    mailbox: Mailbox<OwnerEvent>,
 ) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
-        let first = longest / 16;
-        let mut pause = first;
+        let min_pause = max_pause / 16;
+        let mut pause = min_pause;
         loop {
-            if let Ok(mut stream) = TcpStream::connect_timeout(&to, within) {
-                if mailbox.send(Letter::FeedConnected).is_err() {
+            if let Ok(mut stream) = TcpStream::connect_timeout(&to, connect_timeout) {
+                if mailbox.send(OwnerEvent::FeedConnected).is_err() {
                     return;
                 }
-                pause = first;
-                read_all(&mut stream, READ_SIZE, |bytes| mailbox.send(Letter::FeedBytes { bytes }).is_ok());
-                if mailbox.send(Letter::FeedLost).is_err() {
+                pause = min_pause;
+                read_all(&mut stream, READ_SIZE, |bytes| {
+                    mailbox.send(OwnerEvent::FeedBytes { bytes }).is_ok()
+                });
+                if mailbox.send(OwnerEvent::FeedLost).is_err() {
                     return;
                 }
             }
             may::coroutine::sleep(pause);
-            pause = (pause * 2).min(longest);
+            pause = (pause * 2).min(max_pause);
         }
     })
 }
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -1,9 +1,9 @@
-//! A front in service: its sockets, its coroutines, and the handle that ends them.
+//! A running front: its sockets, its coroutines, and the handle that ends them.
 
 use crate::fleet;
 use crate::log::log_event;
-use crate::memory::{recall, Memory};
-use crate::owner::{Hook, Letter, Owner};
+use crate::member_store::{load, MemberStore};
+use crate::owner::{Hook, Owner, OwnerEvent};
 use crate::readers;
 use may::net::{TcpListener, UdpSocket};
 use miette::Diagnostic;
@@ -21,18 +21,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Letters that may wait for a front.
-const ROOM: usize = 8192;
-/// Asked of the kernel for each front's datagrams: what comes while the process stands still.
+/// Maximum number of events that wait for a front's owner.
+const MAILBOX_CAPACITY: usize = 8192;
+/// Receive buffer requested for the UDP socket, bytes: it holds what arrives while the process is stalled.
 const DATAGRAM_BUFFER: usize = 4 << 20;
 
-/// An owner that does not answer a question within this has ended.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(5);
+/// An owner that does not reply to a question within this time is considered to have ended.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A front in service. Dropping it stops the front at once and leaves nothing running.
+/// A running front. Dropping it stops the front and all its coroutines at once.
 pub struct Service {
     address: SocketAddr,
-    mailbox: Mailbox<Letter>,
+    mailbox: Mailbox<OwnerEvent>,
     readers: Vec<Handle>,
     owner: Option<Handle>,
     feed: Option<Handle>,
@@ -41,52 +41,63 @@
 }
 
 impl Service {
-    /// Opens the sockets and starts the coroutines; the port may be 0 for any free one. Events go to the log.
-    pub fn start(settings: &Settings, seed: u64, ground: MonotonicClock) -> io::Result<Service> {
-        Service::start_with(settings, seed, ground, |_| {})
+    /// Opens the sockets and starts the coroutines; port 0 selects any free port. Events go to the log.
+    pub fn start(settings: &Settings, seed: u64, clock: MonotonicClock) -> io::Result<Service> {
+        Service::start_with(settings, seed, clock, |_| {})
     }
 
-    /// The same, with a hook for each event beside the log.
+    /// Like [`Service::start`], and calls `hook` with each event as well.
     pub fn start_with(
         settings: &Settings,
         seed: u64,
-        ground: MonotonicClock,
+        clock: MonotonicClock,
         mut hook: impl FnMut(&Event) + Send + 'static,
     ) -> io::Result<Service> {
         let (udp, listener) = bind(settings.front.listen)?;
         let address = listener.local_addr()?;
-        // A refusal costs only room for datagrams while the process stands still.
+        // If the kernel refuses, fewer datagrams are held while the process is stalled.
         let _ = SockRef::from(udp.inner()).set_recv_buffer_size(DATAGRAM_BUFFER);
         let mut params = settings.params();
         if settings.front.host.is_none() {
             params.host = address.to_string();
         }
-        let connect_within = Duration::from_secs_f64(params.connect_timeout);
+        let connect_timeout = Duration::from_secs_f64(params.connect_timeout);
         let name = params.host.clone();
-        let mut front = Front::new(params, seed, ground.now());
-        let mut memory = None;
+        let mut front = Front::new(params, seed, clock.now());
+        let mut member_store = None;
         if let Some(path) = &settings.membership.file {
-            if let Some((members, age)) = recall(path) {
-                front.restore(ground.now(), age, &members);
-                // Ruled before anybody can ask.
-                front.turn(ground.now());
+            if let Some((members, age)) = load(path) {
+                front.restore(clock.now(), age, &members);
+                // Decides the members' status before any event is handled.
+                front.turn(clock.now());
             }
-            memory = Some(Memory::start(path.clone())?);
+            member_store = Some(MemberStore::start(path.clone())?);
         }
-        let (outgoing, mail) = mailbox(ROOM);
-        let open = Arc::new(AtomicUsize::new(0));
+        let (mailbox, receiver) = mailbox(MAILBOX_CAPACITY);
+        let open_connections = Arc::new(AtomicUsize::new(0));
         let writer = udp.try_clone()?;
-        let most = settings.limits.caller_connections;
+        let max_connections = settings.limits.caller_connections;
         let readers = vec![
-            readers::datagrams(udp, outgoing.clone(), ground.clone())?,
-            readers::callers(listener, outgoing.clone(), ground.clone(), most, open.clone())?,
+            readers::read_datagrams(udp, mailbox.clone(), clock.clone())?,
+            readers::accept_callers(
+                listener,
+                mailbox.clone(),
+                clock.clone(),
+                max_connections,
+                open_connections.clone(),
+            )?,
         ];
-        let longest = settings.pool_list.reconnect_longest.0;
-        let feed = readers::feed(settings.pool_list.feed, connect_within, longest, outgoing.clone())?;
+        let max_pause = settings.pool_list.reconnect_longest.0;
+        let feed =
+            readers::follow_feed(settings.pool_list.feed, connect_timeout, max_pause, mailbox.clone())?;
         let fronts = match &settings.fleet {
-            Some(fleet) => {
-                Some(fleet::fronts(fleet, settings.sites_params(), seed, ground.clone(), outgoing.clone())?)
-            }
+            Some(fleet) => Some(fleet::start_fronts(
+                fleet,
+                settings.sites_params(),
+                seed,
+                clock.clone(),
+                mailbox.clone(),
+            )?),
             None => None,
         };
         let teller = fronts.as_ref().map(Fronts::teller);
@@ -96,22 +107,22 @@
         });
         let owner = Owner::new(
             front,
-            ground,
+            clock,
             writer,
-            outgoing.clone(),
-            mail,
+            mailbox.clone(),
+            receiver,
             hook,
-            connect_within,
-            open,
-            memory,
+            connect_timeout,
+            open_connections,
+            member_store,
             teller.clone(),
         )
-        .ok_or_else(|| io::Error::other("no histogram of that range"))?;
+        .ok_or_else(|| io::Error::other("cannot create the histogram of delays"))?;
         let owner = start(LARGE_STACK, move || owner.run())?;
-        // From here on an error must end what runs already: dropping the service does.
+        // Built before the console: dropping it on an error from here on ends all coroutines.
         let mut service = Service {
             address,
-            mailbox: outgoing.clone(),
+            mailbox: mailbox.clone(),
             readers,
             owner: Some(owner),
             feed: Some(feed),
@@ -121,18 +132,18 @@
         if let Some(path) = &settings.console.socket {
             let answer = move |question| {
                 let reply = match (question, &teller) {
-                    // Of other fronts the front itself knows nothing: its owner is not kept from its work.
+                    // The fleet is queried directly: the front's owner has no data of other fronts.
                     (Ask::Fleet, Some(teller)) => teller.standing().map(|s| Reply::Fleet(Box::new(s))),
                     (Ask::PinFleet { level, seconds }, Some(teller)) => {
-                        pin_fleet(&outgoing, teller, level, seconds)
+                        pin_fleet(&mailbox, teller, level, seconds)
                     }
                     (Ask::Site { name, order, seconds }, Some(teller)) => {
-                        teller.order(name.clone(), order, seconds).map(|done| ordered(&name, done))
+                        teller.order(name.clone(), order, seconds).map(|result| order_reply(&name, result))
                     }
                     (Ask::Fleet | Ask::PinFleet { .. } | Ask::Site { .. }, None) => {
-                        Some(Reply::Bad { why: "this front knows no others: [fleet] is not set".into() })
+                        Some(Reply::Bad { why: "this front has no fleet: [fleet] is not set".into() })
                     }
-                    (question, _) => ask(&outgoing, question),
+                    (question, _) => query_owner(&mailbox, question),
                 };
                 reply.unwrap_or(Reply::Bad { why: "the front has ended".into() })
             };
@@ -141,25 +152,25 @@
         Ok(service)
     }
 
-    /// Where callers reach it.
+    /// The address at which callers reach this front.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its state now; none once it has ended.
+    /// The front's present state; none once it has ended.
     pub fn snapshot(&self) -> Option<Snapshot> {
-        match ask(&self.mailbox, Ask::Status)? {
+        match query_owner(&self.mailbox, Ask::Status)? {
             Reply::Status(snapshot) => Some(*snapshot),
             _ => None,
         }
     }
 
-    /// How the other fronts stand; none where this front was started without any.
+    /// The state of the other fronts; none if this front was started without a fleet.
     pub fn fleet(&self) -> Option<Standing> {
         self.fronts.as_ref()?.teller().standing()
     }
 
-    /// The list of other fronts changed; false where this front was started without any.
+    /// Replaces the list of other fronts; false if this front was started without a fleet.
     pub fn set_peers(&self, fleet: &FleetSettings) -> bool {
         if let Some(fronts) = &self.fronts {
             fronts.teller().relist(fleet.others());
@@ -167,12 +178,13 @@
         self.fronts.is_some()
     }
 
-    /// Asks for an orderly end: no new attaches, those in hand answered, standing ones waited for.
+    /// Starts an orderly shutdown: new attaches are refused, pending ones are answered, and the front ends
+    /// when its established ones have ended or the grace period has expired.
     pub fn end(&self) {
-        let _ = self.mailbox.send_unbounded(Letter::End);
+        let _ = self.mailbox.send_unbounded(OwnerEvent::Shutdown);
     }
 
-    /// Whether it has ended.
+    /// Whether the front has ended.
     pub fn has_ended(&self) -> bool {
         self.owner.as_ref().is_none_or(|o| o.is_done())
     }
@@ -181,11 +193,11 @@
 impl Drop for Service {
     fn drop(&mut self) {
         self.console = None;
-        // Others are told of the departure before anything else is torn down.
+        // The other fronts are notified of the departure before anything else is shut down.
         self.fronts = None;
-        let _ = self.mailbox.send_unbounded(Letter::Stop);
+        let _ = self.mailbox.send_unbounded(OwnerEvent::Stop);
         if let Some(owner) = self.owner.take() {
-            // A panic in the owner has been reported by its own message.
+            // A panic of the owner has already been reported on standard error.
             let _ = owner.join();
         }
         for reader in self.readers.drain(..).chain(self.feed.take()) {
@@ -194,26 +206,31 @@
     }
 }
 
-/// Pins this front's level, or lets it go, and where that is done tells the others.
-fn pin_fleet(own: &Mailbox<Letter>, teller: &Teller, level: Option<usize>, seconds: f64) -> Option<Reply> {
-    let here = match level {
+/// Pins or unpins this front's level and, if that succeeds, the level of the whole fleet.
+fn pin_fleet(
+    mailbox: &Mailbox<OwnerEvent>,
+    teller: &Teller,
+    level: Option<usize>,
+    seconds: f64,
+) -> Option<Reply> {
+    let local = match level {
         Some(level) => Ask::PinLevel { level, seconds },
         None => Ask::UnpinLevel,
     };
-    let reply = ask(own, here)?;
-    // To let go on all fronts must be possible from one that holds nothing.
+    let reply = query_owner(mailbox, local)?;
+    // The fleet can be unpinned also from a front that has no pin itself.
     if !matches!(reply, Reply::Done { .. }) && level.is_some() {
         return Some(reply);
     }
-    let told = level.and_then(|l| u8::try_from(l).ok());
-    teller.say(vec![Saying::Level { level: told, lasts: if told.is_some() { seconds } else { 0.0 } }]);
-    Some(Reply::Done { what: "told to all fronts".into() })
+    let pinned = level.and_then(|l| u8::try_from(l).ok());
+    teller.say(vec![Saying::Level { level: pinned, lasts: if pinned.is_some() { seconds } else { 0.0 } }]);
+    Some(Reply::Done { what: "sent to all fronts".into() })
 }
 
-/// What became of an order on a site.
-fn ordered(site: &str, done: Result<(), SitesError>) -> Reply {
-    match done {
-        Ok(()) => Reply::Done { what: format!("told to all fronts of the site {site}") },
+/// The reply to an operator's order on a site.
+fn order_reply(site: &str, result: Result<(), SitesError>) -> Reply {
+    match result {
+        Ok(()) => Reply::Done { what: format!("sent to all fronts of the site {site}") },
         Err(fault) => {
             let help = fault.help().map(|help| format!("; {help}")).unwrap_or_default();
             Reply::Bad { why: format!("{fault}{help}") }
@@ -221,14 +238,15 @@
     }
 }
 
-/// Puts a question to the owner and waits, on a thread of its own; none once the owner has ended.
-fn ask(mailbox: &Mailbox<Letter>, question: Ask) -> Option<Reply> {
-    let (to, from) = mpsc::channel();
-    mailbox.send_unbounded(Letter::Console(question, to)).ok()?;
-    from.recv_timeout(ANSWERED_WITHIN).ok()
+/// Sends a question to the owner and waits for the reply on the caller's thread; none once the owner has
+/// ended.
+fn query_owner(mailbox: &Mailbox<OwnerEvent>, question: Ask) -> Option<Reply> {
+    let (reply_to, replies) = mpsc::channel();
+    mailbox.send_unbounded(OwnerEvent::Console(question, reply_to)).ok()?;
+    replies.recv_timeout(REPLY_TIMEOUT).ok()
 }
 
-/// Datagrams and streams on one port; with port 0, tries until one is free for both.
+/// Opens a UDP socket and a TCP listener on one port; for port 0, retries until a port is free for both.
 fn bind(address: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
     let mut tries = 0;
     loop {
