--- a/crates/signalling/benches/message.rs
+++ b/crates/signalling/benches/message.rs
@@ -1,4 +1,5 @@
-//! Cost of a message: `cargo bench -p shalespindle-signalling`. Figures are of the machine at hand.
+//! Measures the time to parse and write a message: `cargo bench -p shalespindle-signalling`. The results
+//! depend on the machine.
 
 use shalespindle_signalling::message::Message;
 use shalespindle_signalling::write::{ResponseHead, Writer};
@@ -12,6 +13,7 @@
     Session-ID: 0123456789abcdef0123456789abcdef;remote=00000000000000000000000000000000\r\nExpires: 3\r\n\
     Resource-Priority: wps.2\r\nContent-Length: 0\r\n\r\n";
 
+/// Prints the shortest mean time of five rounds.
 fn time(what: &str, mut run: impl FnMut()) {
     const ROUNDS: u32 = 200_000;
     let mut best = f64::INFINITY;
--- a/crates/signalling/src/framer.rs
+++ b/crates/signalling/src/framer.rs
@@ -1,21 +1,23 @@
-//! Cuts a TCP stream into messages by Content-Length (RFC 3261 section 18.3, RFC 5626 keep-alives).
+//! Splits a TCP stream into messages by Content-Length (RFC 3261 section 18.3, RFC 5626 keep-alives).
 
 use crate::message::{head_end, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// Why a stream cannot be followed any more; its connection is closed.
+/// Why a stream cannot be split into messages any more; its connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    #[error("a head without end")]
+    #[error("the head is longer than {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
-    #[error("no Content-Length, or one that is no number or too large")]
+    #[error("Content-Length is missing, not a number, or too large")]
     ContentLength,
 }
 
-/// Bytes of one connection that are not yet a whole message. Holds at most one message and one read.
+/// Splits the bytes of one connection into messages. Buffers at most one message and one read.
 #[derive(Debug)]
 pub struct Framer {
     bytes: Vec<u8>,
-    from: usize,
+    /// Start of the bytes that have not been returned yet.
+    start: usize,
+    /// Bytes.
     max_body: usize,
 }
 
@@ -26,32 +28,34 @@
 }
 
 impl Framer {
-    /// For peers that agreed on less: a longer body is refused as soon as its length is read.
+    /// A framer for peers that agreed on a smaller limit, in bytes: a longer body is an error as soon as its
+    /// Content-Length is read.
     pub fn with_max_body(max_body: usize) -> Framer {
-        Framer { bytes: Vec::new(), from: 0, max_body: max_body.min(MAX_BODY_BYTES) }
+        Framer { bytes: Vec::new(), start: 0, max_body: max_body.min(MAX_BODY_BYTES) }
     }
 
+    /// Appends bytes that were read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.from > 0 {
-            self.bytes.drain(..self.from);
-            self.from = 0;
+        if self.start > 0 {
+            self.bytes.drain(..self.start);
+            self.start = 0;
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Bytes held.
+    /// Number of bytes that have not been returned as part of a message.
     pub fn buffered(&self) -> usize {
-        self.bytes.len() - self.from
+        self.bytes.len() - self.start
     }
 
-    /// The next whole message, if there is one.
+    /// Takes the next complete message, if there is one. Line breaks before it (keep-alives) are skipped.
     pub fn next_frame(&mut self) -> Result<Option<&[u8]>, FrameError> {
-        while self.bytes[self.from..].starts_with(b"\r\n") {
-            self.from += 2;
+        while self.bytes[self.start..].starts_with(b"\r\n") {
+            self.start += 2;
         }
-        let rest = &self.bytes[self.from..];
+        let rest = &self.bytes[self.start..];
         let Some(end) = head_end(rest) else {
-            // Guards against a peer that sends a head for ever.
+            // Limits the memory used by a peer that sends an endless head.
             return if rest.len() > MAX_HEAD_BYTES { Err(FrameError::HeadTooLong) } else { Ok(None) };
         };
         let length = content_length(&rest[..end]).ok_or(FrameError::ContentLength)?;
@@ -61,13 +65,14 @@
         if rest.len() < end + length {
             return Ok(None);
         }
-        let from = self.from;
-        self.from += end + length;
-        Ok(Some(&self.bytes[from..from + end + length]))
+        let start = self.start;
+        self.start += end + length;
+        Ok(Some(&self.bytes[start..start + end + length]))
     }
 }
 
-/// Content-Length of a head that need not be well-formed otherwise; on streams it must be there (20.14).
+/// The Content-Length of a head that need not be well-formed otherwise; streams require it (RFC 3261
+/// section 20.14).
 fn content_length(head: &[u8]) -> Option<usize> {
     let mut from = 0;
     for end in memchr::memchr_iter(b'\n', head).chain([head.len()]) {
@@ -90,34 +95,34 @@
     use super::*;
 
     #[test]
-    fn messages_are_cut_out_wherever_reads_end() {
+    fn messages_are_found_wherever_reads_end() {
         let one = b"OPTIONS sip:a SIP/2.0\r\nContent-Length: 3\r\n\r\nabc";
         let stream = [&b"\r\n\r\n"[..], one, b"\r\n", one].concat();
         for step in 1..stream.len() {
             let mut framer = Framer::default();
-            let mut got = 0;
-            for part in stream.chunks(step) {
-                framer.push(part);
+            let mut frames = 0;
+            for read in stream.chunks(step) {
+                framer.push(read);
                 while let Some(frame) = framer.next_frame().unwrap() {
                     assert_eq!(frame, one);
-                    got += 1;
+                    frames += 1;
                 }
             }
-            assert_eq!((got, framer.buffered()), (2, 0), "reads of {step} bytes");
+            assert_eq!((frames, framer.buffered()), (2, 0), "reads of {step} bytes");
         }
     }
 
     #[test]
-    fn endless_heads_and_bad_lengths_end_the_stream() {
-        let fails = |bytes: &[u8]| {
+    fn endless_heads_and_bad_lengths_are_errors() {
+        let next_frame = |bytes: &[u8]| {
             let mut framer = Framer::default();
             framer.push(bytes);
             framer.next_frame().map(|f| f.is_some())
         };
-        assert_eq!(fails(&[b'x'; MAX_HEAD_BYTES + 1]), Err(FrameError::HeadTooLong));
-        assert_eq!(fails(b"BYE sip:a SIP/2.0\r\nA: b\r\n\r\n"), Err(FrameError::ContentLength));
-        assert_eq!(fails(b"BYE sip:a SIP/2.0\r\nl: 99999999\r\n\r\n"), Err(FrameError::ContentLength));
-        assert_eq!(fails(b"BYE sip:a SIP/2.0\r\nl: -1\r\n\r\n"), Err(FrameError::ContentLength));
+        assert_eq!(next_frame(&[b'x'; MAX_HEAD_BYTES + 1]), Err(FrameError::HeadTooLong));
+        assert_eq!(next_frame(b"BYE sip:a SIP/2.0\r\nA: b\r\n\r\n"), Err(FrameError::ContentLength));
+        assert_eq!(next_frame(b"BYE sip:a SIP/2.0\r\nl: 99999999\r\n\r\n"), Err(FrameError::ContentLength));
+        assert_eq!(next_frame(b"BYE sip:a SIP/2.0\r\nl: -1\r\n\r\n"), Err(FrameError::ContentLength));
         let mut small = Framer::with_max_body(2);
         small.push(b"BYE sip:a SIP/2.0\r\nl: 3\r\n\r\n");
         assert_eq!(small.next_frame(), Err(FrameError::ContentLength));
--- a/crates/signalling/src/grammar.rs
+++ b/crates/signalling/src/grammar.rs
@@ -1,5 +1,5 @@
 //! The grammar of a message head on `winnow` combinators (RFC 3261 section 25.1, RFC 4904 section 4).
-//! `rsip` 0.4 was weighed: it refuses a user part with parameters, which is where RFC 4904 puts the trunk
+//! `rsip` 0.4 is not used because it rejects a user part with parameters, where RFC 4904 puts the trunk
 //! group, and copies each header; see docs/design-notes/front.md.
 
 use crate::message::{CalledParty, Header, Method, ParseError, Start, Via, MAX_HEADERS};
@@ -11,8 +11,10 @@
 use winnow::stream::Stream;
 use winnow::token::{any, one_of, take_till, take_while};
 
+/// Result of a combinator.
 type Out<T> = Result<T, ErrMode<ContextError>>;
 
+/// Whether a character may be part of a token.
 fn token_char(c: char) -> bool {
     matches!(c, 'a'..='z' | 'A'..='Z' | '0'..='9' | '-' | '.' | '!' | '%' | '*' | '_' | '+' | '`' | '\'' | '~')
 }
@@ -35,14 +37,14 @@
         .parse_next(input)
 }
 
-/// Up to the line's end, found many bytes at a time.
+/// The text up to the end of the line, searched with SIMD instructions.
 fn line<'a>(input: &mut &'a str) -> Out<&'a str> {
     let end = memchr::memchr2(b'\r', b'\n', input.as_bytes()).unwrap_or(input.len());
     Ok(input.next_slice(end))
 }
 
-/// A value up to its line's end; a line that begins with white space goes on with the one before
-/// (section 7.3.1), the break being part of the slice.
+/// A header value. A line that begins with white space continues the one before (section 7.3.1); the line
+/// break is part of the slice.
 fn value<'a>(input: &mut &'a str) -> Out<&'a str> {
     let folded = (line_ending, one_of([' ', '\t']), line);
     terminated((line, repeat::<_, _, (), _, _>(0.., folded.void())).take(), line_ending).parse_next(input)
@@ -54,10 +56,10 @@
         .parse_next(input)
 }
 
-/// What a head holds: its first line and its header lines.
+/// A parsed head: its first line and its header lines.
 pub(crate) type Head<'a> = (Start<'a>, SmallVec<[Header<'a>; 24]>);
 
-/// The whole head, its empty line included.
+/// Parses a whole head, including its empty line.
 pub(crate) fn head(mut input: &str) -> Result<Head<'_>, ParseError> {
     let input = &mut input;
     let start = terminated(alt((status_line, request_line)), line_ending)
@@ -86,6 +88,7 @@
     FORMS.iter().find(|(long, _)| long.eq_ignore_ascii_case(name)).map(|f| f.1)
 }
 
+/// The topmost Via; none if it is malformed or has no branch.
 pub(crate) fn via(text: &str) -> Option<Via<'_>> {
     fn parts<'a>(input: &mut &'a str) -> Out<(&'a str, &'a str)> {
         let protocol = ("SIP", space0, '/', space0, "2.0", space0, '/', space0);
@@ -99,13 +102,14 @@
     Some(Via { transport, sent_by, branch })
 }
 
+/// The number and the method of a CSeq value.
 pub(crate) fn cseq(mut text: &str) -> Option<(u32, Method)> {
     let number = digit1::<_, ErrMode<ContextError>>.verify_map(|d: &str| d.parse::<u32>().ok());
     let out = (number, space1, token).parse_next(&mut text).ok()?;
     Some((out.0, Method::from_name(out.2)))
 }
 
-/// The value of a `;name=value` parameter.
+/// The value of the first parameter `;name=value` of that name; empty if it has no value.
 pub(crate) fn parameter<'a>(text: &'a str, wanted: &str) -> Option<&'a str> {
     fn one<'a>(input: &mut &'a str) -> Out<(&'a str, &'a str)> {
         let value = alt((
@@ -130,6 +134,7 @@
     None
 }
 
+/// Seconds of a Retry-After value: of its parameter `ms` if there is one, otherwise its whole seconds.
 pub(crate) fn retry_after(text: &str) -> Option<f64> {
     if let Some(ms) = parameter(text, "ms").and_then(|v| v.parse::<u32>().ok()) {
         return Some(f64::from(ms) / 1000.0);
@@ -139,9 +144,10 @@
     seconds.ok()?.parse::<u32>().ok().map(f64::from)
 }
 
+/// The called number and the trunk group of a sip or tel URI.
 pub(crate) fn called_party(uri: &str) -> Option<CalledParty<'_>> {
     let rest = uri.strip_prefix("sip:").or_else(|| uri.strip_prefix("tel:"))?;
-    // RFC 4904: in a sip URI the telephone number's parameters stand in the user part.
+    // RFC 4904: a sip URI has the parameters of the telephone number in its user part.
     let user = rest.split_once('@').map_or(rest, |(user, _)| user);
     let number = user.split(';').next().filter(|n| !n.is_empty())?;
     let trunk_group = parameter(user.get(number.len()..)?, "tgrp").filter(|t| !t.is_empty());
@@ -161,7 +167,7 @@
         Reason: Q.850 ;cause=34;text=\"no, circuit\"\r\nRetry-After: 1;ms=250\r\nl: 4\r\n\r\nbodyextra";
 
     #[test]
-    fn a_message_is_read() {
+    fn a_message_and_its_headers_are_parsed() {
         let m = Message::parse(INVITE.as_bytes()).unwrap();
         assert_eq!(
             m.called_party(),
@@ -178,7 +184,7 @@
     }
 
     #[test]
-    fn broken_messages_are_named() {
+    fn each_defect_of_a_message_has_its_own_error() {
         let parse = |s: &str| Message::parse(s.as_bytes()).map(|_| ()).unwrap_err();
         assert_eq!(parse("INVITE sip:a SIP/2.0\r\n"), ParseError::UnterminatedHead);
         assert_eq!(parse("INVITE sip:a SIP/1.0\r\n\r\n"), ParseError::StartLine);
--- a/crates/signalling/src/lib.rs
+++ b/crates/signalling/src/lib.rs
@@ -1,6 +1,6 @@
-//! SIP (RFC 3261) as far as a call router needs it, without I/O: messages read by `winnow` combinators,
-//! messages written, stream framing by Content-Length, and the server and client transactions as state
-//! machines that take time as an argument. Nothing here decides where an attach goes.
+//! The parts of SIP (RFC 3261) that a call router needs, without I/O: a message parser on `winnow`
+//! combinators, a message writer, stream framing by Content-Length, and server and client transactions as
+//! state machines that take the time as an argument. This crate makes no routing decisions.
 
 pub mod framer;
 pub mod grammar;
--- a/crates/signalling/src/message.rs
+++ b/crates/signalling/src/message.rs
@@ -1,4 +1,4 @@
-//! A SIP message as it is read: borrowed slices of one buffer, and readers for the headers a router uses.
+//! A parsed SIP message, which borrows its buffer, and accessors for the headers that a router uses.
 
 use crate::grammar;
 use memchr::memmem::Finder;
@@ -6,14 +6,14 @@
 use std::fmt;
 use std::sync::LazyLock;
 
-/// Most header lines that a message may have; one with more is refused before it costs memory.
+/// Maximum number of header lines of a message; parsing stops at the limit, so that memory is bounded.
 pub const MAX_HEADERS: usize = 64;
-/// Longest message head, bytes.
+/// Maximum size of a message head, bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Longest body, bytes.
+/// Maximum size of a body, bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Why bytes are no SIP message.
+/// Why bytes are not a valid SIP message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
     #[error("the head is not UTF-8 text")]
@@ -46,6 +46,7 @@
 }
 
 impl Method {
+    /// The method of that name, which is case-sensitive (RFC 3261 section 7.1).
     pub fn from_name(text: &str) -> Method {
         match text {
             "INVITE" => Method::Invite,
@@ -56,6 +57,8 @@
             _ => Method::Other,
         }
     }
+
+    /// The name on the wire; `OTHER` for methods that the router does not act on.
     pub fn name(self) -> &'static str {
         match self {
             Method::Invite => "INVITE",
@@ -74,7 +77,7 @@
     }
 }
 
-/// Request line or status line.
+/// The first line of a message: a request line or a status line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start<'a> {
     Request { method: Method, uri: &'a str },
@@ -88,7 +91,7 @@
     pub value: &'a str,
 }
 
-/// A message that borrows the buffer it was read from.
+/// A parsed message, which borrows the buffer that it was parsed from.
 #[derive(Clone, Debug)]
 pub struct Message<'a> {
     pub start: Start<'a>,
@@ -96,7 +99,7 @@
     pub body: &'a [u8],
 }
 
-/// The topmost Via, as far as transactions are matched by it (RFC 3261 section 17.2.3).
+/// The parts of the topmost Via that match a message to its transaction (RFC 3261 section 17.2.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Via<'a> {
     pub transport: &'a str,
@@ -104,7 +107,7 @@
     pub branch: &'a str,
 }
 
-/// What the Request-URI of an INVITE says: number called, trunk group (RFC 4904).
+/// The called number and the trunk group (RFC 4904) of a Request-URI.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CalledParty<'a> {
     pub number: &'a str,
@@ -112,8 +115,8 @@
 }
 
 impl<'a> Message<'a> {
-    /// Reads one whole message: a datagram, or a frame cut out by [`crate::Framer`]. Bytes past
-    /// Content-Length are ignored as RFC 3261 section 18.3 says of datagrams.
+    /// Parses one whole message: a datagram, or a frame of [`crate::Framer`]. Bytes after Content-Length are
+    /// ignored, as RFC 3261 section 18.3 requires for datagrams.
     pub fn parse(bytes: &'a [u8]) -> Result<Message<'a>, ParseError> {
         let end = head_end(bytes).ok_or(ParseError::UnterminatedHead)?;
         if end > MAX_HEAD_BYTES {
@@ -133,13 +136,14 @@
 
     /// The first header of that name, or of its compact form (RFC 3261 section 7.3.3).
     pub fn header(&self, name: &str) -> Option<&'a str> {
-        let short = grammar::compact(name);
-        let same = |h: &&Header| {
-            h.name.eq_ignore_ascii_case(name) || short.is_some_and(|s| h.name.eq_ignore_ascii_case(s))
+        let compact = grammar::compact(name);
+        let matches = |h: &&Header| {
+            h.name.eq_ignore_ascii_case(name) || compact.is_some_and(|c| h.name.eq_ignore_ascii_case(c))
         };
-        self.headers.iter().find(same).map(|h| h.value)
+        self.headers.iter().find(matches).map(|h| h.value)
     }
 
+    /// The method of a request; none for a response.
     pub fn method(&self) -> Option<Method> {
         match self.start {
             Start::Request { method, .. } => Some(method),
@@ -147,22 +151,27 @@
         }
     }
 
+    /// The topmost Via.
     pub fn via(&self) -> Result<Via<'a>, ParseError> {
         self.header("Via").and_then(grammar::via).ok_or(ParseError::RequiredHeader("Via"))
     }
 
+    /// The number and the method of CSeq.
     pub fn cseq(&self) -> Result<(u32, Method), ParseError> {
         self.header("CSeq").and_then(grammar::cseq).ok_or(ParseError::RequiredHeader("CSeq"))
     }
 
+    /// The Call-ID.
     pub fn call_id(&self) -> Result<&'a str, ParseError> {
         self.header("Call-ID").filter(|v| !v.is_empty()).ok_or(ParseError::RequiredHeader("Call-ID"))
     }
 
+    /// The value of From.
     pub fn from(&self) -> Result<&'a str, ParseError> {
         self.header("From").filter(|v| !v.is_empty()).ok_or(ParseError::RequiredHeader("From"))
     }
 
+    /// The value of To.
     pub fn to(&self) -> Result<&'a str, ParseError> {
         self.header("To").filter(|v| !v.is_empty()).ok_or(ParseError::RequiredHeader("To"))
     }
@@ -172,23 +181,24 @@
         text.parse().map(Some).map_err(|_| ParseError::RequiredHeader("Content-Length"))
     }
 
-    /// Whole seconds of `Expires` (RFC 3261 section 20.19).
+    /// Seconds of Expires (RFC 3261 section 20.19).
     pub fn expires(&self) -> Option<f64> {
         self.header("Expires").and_then(|v| v.parse::<u32>().ok()).map(f64::from)
     }
 
-    /// Milliseconds of one of our own headers, as seconds.
+    /// The value in seconds of one of the router's own headers, which are in milliseconds.
     pub fn millis(&self, name: &str) -> Option<f64> {
         let ms: f64 = self.header(name)?.parse().ok()?;
         (ms.is_finite() && (0.0..=1e9).contains(&ms)).then_some(ms / 1000.0)
     }
 
-    /// A count in one of our own headers.
+    /// The value of one of the router's own headers that hold a count.
     pub fn count(&self, name: &str) -> Option<f64> {
         self.header(name)?.parse::<u32>().ok().map(f64::from)
     }
 
-    /// Seconds of Retry-After (RFC 3261 section 20.33); our parameter `ms` refines the whole seconds.
+    /// Seconds of Retry-After (RFC 3261 section 20.33); the router's own parameter `ms` takes precedence
+    /// over the whole seconds.
     pub fn retry_after(&self) -> Option<f64> {
         self.header("Retry-After").and_then(grammar::retry_after)
     }
@@ -200,14 +210,14 @@
         grammar::parameter(value, "cause")?.parse().ok()
     }
 
-    /// The sender's half of Session-ID (RFC 7989 section 5): the name of an attach on every leg.
+    /// The sender's UUID of Session-ID (RFC 7989 section 5), which identifies an attach on every leg.
     pub fn session_id(&self) -> Option<&'a str> {
         let value = self.header("Session-ID")?;
         let uuid = value.split(';').next()?.trim();
         (uuid.len() == 32 && uuid.bytes().all(|b| b.is_ascii_hexdigit())).then_some(uuid)
     }
 
-    /// The number called and the trunk group of a request's URI.
+    /// The called number and the trunk group of a request's URI.
     pub fn called_party(&self) -> Option<CalledParty<'a>> {
         match self.start {
             Start::Request { uri, .. } => grammar::called_party(uri),
@@ -216,9 +226,9 @@
     }
 }
 
-/// Length of the head with its empty line.
+/// Length of the head including its empty line; none if that is not among the bytes that a head may have.
 pub(crate) fn head_end(bytes: &[u8]) -> Option<usize> {
-    // Looked for only as far as a head may reach: guards against long junk scanned anew each read.
+    // The search stops at the maximum head size, so that long invalid input is not scanned on every read.
     let limit = bytes.len().min(MAX_HEAD_BYTES + 4);
     static EMPTY_LINE: LazyLock<Finder> = LazyLock::new(|| Finder::new("\r\n\r\n"));
     EMPTY_LINE.find(&bytes[..limit]).map(|at| at + 4)
@@ -239,7 +249,7 @@
     Some(&host[..end]).filter(|h| !h.is_empty())
 }
 
-/// The URI inside an address header: between angle brackets, or up to the first parameter.
+/// The URI of an address header: the text in angle brackets, or up to the first parameter.
 pub fn address(value: &str) -> &str {
     match value.split_once('<') {
         Some((_, rest)) => rest.split('>').next().unwrap_or(rest),
--- a/crates/signalling/src/timers.rs
+++ b/crates/signalling/src/timers.rs
@@ -1,4 +1,5 @@
-//! Due times in order. Entries are not taken out when they become void; whoever they name checks.
+//! A timer queue. Timers are not removed when they become obsolete; the code that handles an expired timer
+//! must check whether it still applies.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -6,8 +7,9 @@
 #[derive(Clone, Debug)]
 struct Entry<T> {
     at: f64,
-    order: u64,
-    due: T,
+    /// Orders timers that expire at the same time.
+    sequence: u64,
+    timer: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -23,42 +25,44 @@
 }
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Entry<T>) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
-/// A heap of due times; equal ones come in the order they were set.
+/// A heap of timers; those that expire at the same time are returned in the order in which they were set.
 #[derive(Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
-    order: u64,
+    /// Number of timers set so far.
+    sequence: u64,
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Timers<T> {
-        Timers { heap: BinaryHeap::new(), order: 0 }
+        Timers { heap: BinaryHeap::new(), sequence: 0 }
     }
 }
 
 impl<T> Timers<T> {
-    /// Sets a due time in seconds; an infinite one is never due and takes no place.
-    pub fn set(&mut self, at: f64, due: T) {
+    /// Sets a timer that expires at `at`, in seconds; one with an infinite time never expires and is not
+    /// stored.
+    pub fn set(&mut self, at: f64, timer: T) {
         if at.is_finite() {
-            self.order += 1;
-            self.heap.push(Reverse(Entry { at, order: self.order, due }));
+            self.sequence += 1;
+            self.heap.push(Reverse(Entry { at, sequence: self.sequence, timer }));
         }
     }
 
-    /// The earliest; infinite when there is none.
+    /// Time at which the first timer expires; infinite if there is none.
     pub fn next(&self) -> f64 {
         self.heap.peek().map_or(f64::INFINITY, |e| e.0.at)
     }
 
-    /// Takes the earliest that is due.
+    /// Removes and returns the first timer if it has expired.
     pub fn pop(&mut self, now: f64) -> Option<T> {
         if self.next() > now {
             return None;
         }
-        self.heap.pop().map(|e| e.0.due)
+        self.heap.pop().map(|e| e.0.timer)
     }
 }
--- a/crates/signalling/src/write.rs
+++ b/crates/signalling/src/write.rs
@@ -1,21 +1,21 @@
-//! Writes requests and responses. Values come from parsed messages or from the router itself; line breaks
-//! in them are turned into spaces, so that no peer can smuggle a header through another one's message.
+//! Writes requests and responses. Values come from parsed messages or from the router itself; line breaks in
+//! them are replaced by spaces, so that a peer cannot inject headers into the router's messages.
 
 use crate::message::{tag, Message, Method};
 use std::fmt::Write;
 
 /// The header lines that every response to one request repeats (RFC 3261 section 8.2.6.2): Via, From, To
-/// with the responder's tag, Call-ID and CSeq. Kept in place of the request.
+/// with the responder's tag, Call-ID and CSeq. Stored instead of the request.
 #[derive(Clone, Debug)]
 pub struct ResponseHead(Box<str>);
 
 impl ResponseHead {
-    /// For an answer to what could not be read.
+    /// No header lines, for a response to a request that could not be parsed.
     pub fn empty() -> ResponseHead {
         ResponseHead(Box::default())
     }
 
-    /// `own_tag` is added to a To that has none; empty: none is added.
+    /// The header lines for a request. `own_tag` is added to a To without a tag, unless it is empty.
     pub fn for_request(request: &Message, own_tag: &str) -> ResponseHead {
         let mut out = Writer(String::with_capacity(384));
         for header in &request.headers {
@@ -39,6 +39,7 @@
 pub struct Writer(String);
 
 impl Writer {
+    /// Starts a request.
     pub fn request(method: Method, uri: &str) -> Writer {
         let mut out = String::with_capacity(512);
         out.push_str(method.name());
@@ -48,6 +49,7 @@
         Writer(out)
     }
 
+    /// Starts a response.
     pub fn response(status: u16, head: &ResponseHead) -> Writer {
         let mut out = String::with_capacity(head.0.len() + 160);
         let _ = write!(out, "SIP/2.0 {status} {}\r\n", reason_phrase(status));
@@ -55,6 +57,7 @@
         Writer(out)
     }
 
+    /// Adds a header line; line breaks in the value become spaces.
     pub fn with(mut self, name: &str, value: &str) -> Writer {
         self.0.push_str(name);
         self.0.push_str(": ");
@@ -67,38 +70,41 @@
         self
     }
 
-    /// For values that the router itself makes up.
+    /// Adds a header line with a formatted value, which must not contain line breaks.
     pub fn with_args(mut self, name: &str, value: std::fmt::Arguments<'_>) -> Writer {
         let _ = write!(self.0, "{name}: {value}\r\n");
         self
     }
 
-    /// Whole header lines written by another `Writer`.
+    /// Adds header lines that another `Writer` wrote.
     pub fn with_lines(mut self, lines: &str) -> Writer {
         self.0.push_str(lines);
         self
     }
 
-    /// Header lines alone, for [`Writer::with_lines`].
+    /// Starts a set of header lines without a message, for [`Writer::with_lines`].
     pub fn lines() -> Writer {
         Writer(String::new())
     }
 
+    /// Returns the header lines started by [`Writer::lines`].
     pub fn into_lines(self) -> Box<str> {
         self.0.into_boxed_str()
     }
 
-    /// Retry-After in whole seconds, rounded up, with our parameter `ms` for what lies between
+    /// Adds Retry-After in whole seconds, rounded up, and the exact value in the router's own parameter `ms`
     /// (RFC 3261 section 20.33 allows parameters).
     pub fn retry_after(self, seconds: f64) -> Writer {
         let ms = (seconds * 1000.0).ceil().max(0.0) as u64;
         self.with_args("Retry-After", format_args!("{};ms={ms}", ms.div_ceil(1000).max(1)))
     }
 
+    /// Ends a message without a body.
     pub fn finish(self) -> Vec<u8> {
         self.finish_with(b"")
     }
 
+    /// Ends a message with a body.
     pub fn finish_with(mut self, body: &[u8]) -> Vec<u8> {
         let _ = write!(self.0, "Content-Length: {}\r\n\r\n", body.len());
         let mut bytes = self.0.into_bytes();
@@ -107,7 +113,7 @@
     }
 }
 
-/// The reason phrase of a status (RFC 3261 section 21).
+/// The reason phrase of a status (RFC 3261 section 21); `Status` for statuses that the router does not send.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Trying",
@@ -137,7 +143,7 @@
     use super::*;
 
     #[test]
-    fn no_header_is_smuggled_through_a_folded_value() {
+    fn a_folded_value_cannot_inject_a_header() {
         let text =
             "OPTIONS sip:a SIP/2.0\r\nVia: SIP/2.0/UDP h;branch=z9hG4bKb\r\nFrom: <sip:a>\r\n X-Evil: 1\r\n\
             To: <sip:b>\r\nCall-ID: c\r\nCSeq: 1 OPTIONS\r\n\r\n";
