--- a/crates/transport/src/owner.rs
+++ b/crates/transport/src/owner.rs
@@ -7,9 +7,9 @@
 use crate::readers;
 use hdrhistogram::Histogram;
 use may::net::UdpSocket;
-use shalespindle_console::{Ask, Reply};
+use shalespindle_console::{Reply, Request};
 use shalespindle_front::{Event, Front, Input, LinkId, Output};
-use shalespindle_peer_service::{Heard, Saying, Teller};
+use shalespindle_peer_service::{FleetCommand, FleetHandle, FleetNotice};
 use shalespindle_replica::FleetEvent;
 use shalespindle_sockets::{
     Mailbox, MailboxReceiver, MonotonicClock, QueryEvent, QuerySockets, StreamWriter, WriteStatus,
@@ -76,10 +76,10 @@
     FeedLost,
     /// An event of a DNS query's socket.
     Dns(QueryEvent),
-    /// A report of other fronts.
-    Fleet(Heard),
+    /// A notice of the fleet.
+    Fleet(FleetNotice),
     /// An operator's question, and where the reply goes.
-    Console(Ask, mpsc::Sender<Reply>),
+    Console(Request, mpsc::Sender<Reply>),
     /// Ends the front in order: it admits no new attaches and waits for its calls.
     Shutdown,
     /// Ends the owner at once.
@@ -109,9 +109,9 @@
     pub connections: Arc<AtomicUsize>,
     pub member_store: Option<MemberStore>,
     /// Sends to the other fronts; none if this front has no fleet.
-    pub teller: Option<Teller>,
-    /// Messages to be sent to the other fronts at the end of this turn.
-    fleet_messages: Vec<Saying>,
+    pub fleet_handle: Option<FleetHandle>,
+    /// Commands to be sent to the other fronts at the end of this turn.
+    fleet_commands: Vec<FleetCommand>,
     /// Whether members changed since they were last stored.
     members_changed: bool,
     queries: QuerySockets,
@@ -138,7 +138,7 @@
         connect_timeout: Duration,
         connections: Arc<AtomicUsize>,
         member_store: Option<MemberStore>,
-        teller: Option<Teller>,
+        fleet_handle: Option<FleetHandle>,
     ) -> Option<Owner> {
         // 1 us to 100 s with two significant digits, enough to distinguish one millisecond from two.
         let lag = Histogram::new_with_bounds(1, 100_000_000, 2).ok()?;
@@ -152,8 +152,8 @@
             connect_timeout,
             connections,
             member_store,
-            teller,
-            fleet_messages: Vec::new(),
+            fleet_handle,
+            fleet_commands: Vec::new(),
             members_changed: false,
             queries: QuerySockets::default(),
             callers: HashMap::new(),
@@ -261,22 +261,22 @@
             OwnerEvent::FeedBytes { bytes } => front.take(now, now, Input::FeedBytes { bytes: &bytes }),
             OwnerEvent::FeedLost => front.take(now, now, Input::FeedLost),
             OwnerEvent::Dns(event) => front.take(now, now, Input::Dns(resolver_input(&event))),
-            OwnerEvent::Fleet(Heard::Found { ticket, known, word }) => {
-                front.take(now, now, Input::FindCallResult { ticket, known, call: word });
+            OwnerEvent::Fleet(FleetNotice::CallFound { ticket, known, record }) => {
+                front.take(now, now, Input::FindCallResult { ticket, known, call: record });
             }
-            OwnerEvent::Fleet(Heard::Narrowed(restrictions)) => {
+            OwnerEvent::Fleet(FleetNotice::SitesRestricted(restrictions)) => {
                 front.take(now, now, Input::SiteRestriction(restrictions));
             }
-            OwnerEvent::Fleet(Heard::News(FleetEvent::Server(warning))) => {
+            OwnerEvent::Fleet(FleetNotice::Event(FleetEvent::Server(warning))) => {
                 front.take(now, now, Input::ServerWarning(warning));
             }
-            OwnerEvent::Fleet(Heard::News(FleetEvent::CallEnded { call })) => {
+            OwnerEvent::Fleet(FleetNotice::Event(FleetEvent::CallEnded { call })) => {
                 front.take(now, now, Input::CallReleased { call });
             }
-            OwnerEvent::Fleet(Heard::News(FleetEvent::Release { record, .. })) => {
+            OwnerEvent::Fleet(FleetNotice::Event(FleetEvent::Release { record, .. })) => {
                 front.take(now, now, Input::ReleaseCall(record));
             }
-            OwnerEvent::Fleet(Heard::News(FleetEvent::Level { level, until, .. })) => {
+            OwnerEvent::Fleet(FleetNotice::Event(FleetEvent::Level { level, until, .. })) => {
                 // The result is false if this front has no such level; its level then stays as it is.
                 front.pin_level(now, level.map(|level| (usize::from(level), until - now)));
             }
@@ -343,13 +343,15 @@
                     self.queries.send(ticket, to, tcp, bytes, self.connect_timeout, report);
                 }
                 Output::DnsClose { ticket } => self.queries.close(ticket),
-                Output::ServerListed(listed) => self.fleet_messages.push(server_report(now, &listed)),
-                Output::SitesObserved(sample) => self.fleet_messages.push(Saying::Sees(sample)),
+                Output::ServerListed(listed) => self.fleet_commands.push(server_report(now, &listed)),
+                Output::SitesObserved(sample) => {
+                    self.fleet_commands.push(FleetCommand::SitesObserved(sample))
+                }
                 Output::CallChanged { call, record } => {
-                    self.fleet_messages.push(Saying::Call { call, word: record })
+                    self.fleet_commands.push(FleetCommand::Call { call, record })
                 }
                 Output::FindCall { ticket, name, by_leg } => {
-                    self.fleet_messages.push(Saying::Whose { ticket, name, by_leg })
+                    self.fleet_commands.push(FleetCommand::FindCall { ticket, name, by_leg })
                 }
                 Output::Event(event) => {
                     self.members_changed |= matches!(event, Event::ServerChanged { .. });
@@ -360,11 +362,11 @@
         self.send_to_fleet();
     }
 
-    /// Sends all messages of a turn to the other fronts at once, since each send wakes the receiver.
+    /// Sends all commands of a turn to the other fronts at once, since each send wakes the receiver.
     fn send_to_fleet(&mut self) {
-        let messages = std::mem::take(&mut self.fleet_messages);
-        if let Some(teller) = self.teller.as_ref().filter(|_| !messages.is_empty()) {
-            teller.say(messages);
+        let commands = std::mem::take(&mut self.fleet_commands);
+        if let Some(fleet_handle) = self.fleet_handle.as_ref().filter(|_| !commands.is_empty()) {
+            fleet_handle.publish(commands);
         }
     }
 
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -7,9 +7,9 @@
 use crate::readers;
 use may::net::{TcpListener, UdpSocket};
 use miette::Diagnostic;
-use shalespindle_console::{serve, Ask, Console, Reply, Snapshot};
+use shalespindle_console::{serve, Console, FrontStatus, Reply, Request};
 use shalespindle_front::{Event, Front};
-use shalespindle_peer_service::{Fronts, Saying, Standing, Teller};
+use shalespindle_peer_service::{FleetCommand, FleetHandle, FleetService, FleetStatus};
 use shalespindle_settings::{FleetSettings, Settings};
 use shalespindle_sites::SitesError;
 use shalespindle_sockets::{end, mailbox, start, Handle, Mailbox, MonotonicClock, LARGE_STACK};
@@ -37,7 +37,7 @@
     owner: Option<Handle>,
     feed: Option<Handle>,
     console: Option<Console>,
-    fronts: Option<Fronts>,
+    fleet_service: Option<FleetService>,
 }
 
 impl Service {
@@ -57,7 +57,7 @@
         let address = listener.local_addr()?;
         // If the kernel refuses, fewer datagrams are held while the process is stalled.
         let _ = SockRef::from(udp.inner()).set_recv_buffer_size(DATAGRAM_BUFFER);
-        let mut params = settings.params();
+        let mut params = settings.front_params();
         if settings.front.host.is_none() {
             params.host = address.to_string();
         }
@@ -90,8 +90,8 @@
         let max_pause = settings.pool_list.reconnect_longest.0;
         let feed =
             readers::follow_feed(settings.pool_list.feed, connect_timeout, max_pause, mailbox.clone())?;
-        let fronts = match &settings.fleet {
-            Some(fleet) => Some(fleet::start_fronts(
+        let fleet_service = match &settings.fleet {
+            Some(fleet) => Some(fleet::start_fleet(
                 fleet,
                 settings.sites_params(),
                 seed,
@@ -100,7 +100,7 @@
             )?),
             None => None,
         };
-        let teller = fronts.as_ref().map(Fronts::teller);
+        let fleet_handle = fleet_service.as_ref().map(FleetService::handle);
         let hook: Hook = Box::new(move |event| {
             log_event(&name, event);
             hook(event);
@@ -115,7 +115,7 @@
             connect_timeout,
             open_connections,
             member_store,
-            teller.clone(),
+            fleet_handle.clone(),
         )
         .ok_or_else(|| io::Error::other("cannot create the histogram of delays"))?;
         let owner = start(LARGE_STACK, move || owner.run())?;
@@ -127,20 +127,22 @@
             owner: Some(owner),
             feed: Some(feed),
             console: None,
-            fronts,
+            fleet_service,
         };
         if let Some(path) = &settings.console.socket {
             let answer = move |question| {
-                let reply = match (question, &teller) {
+                let reply = match (question, &fleet_handle) {
                     // The fleet is queried directly: the front's owner has no data of other fronts.
-                    (Ask::Fleet, Some(teller)) => teller.standing().map(|s| Reply::Fleet(Box::new(s))),
-                    (Ask::PinFleet { level, seconds }, Some(teller)) => {
-                        pin_fleet(&mailbox, teller, level, seconds)
+                    (Request::Fleet, Some(fleet_handle)) => {
+                        fleet_handle.status().map(|s| Reply::Fleet(Box::new(s)))
                     }
-                    (Ask::Site { name, order, seconds }, Some(teller)) => {
-                        teller.order(name.clone(), order, seconds).map(|result| order_reply(&name, result))
+                    (Request::PinFleet { level, seconds }, Some(fleet_handle)) => {
+                        pin_fleet(&mailbox, fleet_handle, level, seconds)
                     }
-                    (Ask::Fleet | Ask::PinFleet { .. } | Ask::Site { .. }, None) => {
+                    (Request::Site { name, order, seconds }, Some(fleet_handle)) => fleet_handle
+                        .order(name.clone(), order, seconds)
+                        .map(|result| order_reply(&name, result)),
+                    (Request::Fleet | Request::PinFleet { .. } | Request::Site { .. }, None) => {
                         Some(Reply::Bad { why: "this front has no fleet: [fleet] is not set".into() })
                     }
                     (question, _) => query_owner(&mailbox, question),
@@ -158,24 +160,24 @@
     }
 
     /// The front's present state; none once it has ended.
-    pub fn snapshot(&self) -> Option<Snapshot> {
-        match query_owner(&self.mailbox, Ask::Status)? {
-            Reply::Status(snapshot) => Some(*snapshot),
+    pub fn status(&self) -> Option<FrontStatus> {
+        match query_owner(&self.mailbox, Request::Status)? {
+            Reply::Status(status) => Some(*status),
             _ => None,
         }
     }
 
     /// The state of the other fronts; none if this front was started without a fleet.
-    pub fn fleet(&self) -> Option<Standing> {
-        self.fronts.as_ref()?.teller().standing()
+    pub fn fleet(&self) -> Option<FleetStatus> {
+        self.fleet_service.as_ref()?.handle().status()
     }
 
     /// Replaces the list of other fronts; false if this front was started without a fleet.
-    pub fn set_peers(&self, fleet: &FleetSettings) -> bool {
-        if let Some(fronts) = &self.fronts {
-            fronts.teller().relist(fleet.others());
+    pub fn set_peers(&self, settings: &FleetSettings) -> bool {
+        if let Some(fleet_service) = &self.fleet_service {
+            fleet_service.handle().set_peers(settings.other_fronts());
         }
-        self.fronts.is_some()
+        self.fleet_service.is_some()
     }
 
     /// Starts an orderly shutdown: new attaches are refused, pending ones are answered, and the front ends
@@ -194,7 +196,7 @@
     fn drop(&mut self) {
         self.console = None;
         // The other fronts are notified of the departure before anything else is shut down.
-        self.fronts = None;
+        self.fleet_service = None;
         let _ = self.mailbox.send_unbounded(OwnerEvent::Stop);
         if let Some(owner) = self.owner.take() {
             // A panic of the owner has already been reported on standard error.
@@ -209,13 +211,13 @@
 /// Pins or unpins this front's level and, if that succeeds, the level of the whole fleet.
 fn pin_fleet(
     mailbox: &Mailbox<OwnerEvent>,
-    teller: &Teller,
+    fleet_handle: &FleetHandle,
     level: Option<usize>,
     seconds: f64,
 ) -> Option<Reply> {
     let local = match level {
-        Some(level) => Ask::PinLevel { level, seconds },
-        None => Ask::UnpinLevel,
+        Some(level) => Request::PinLevel { level, seconds },
+        None => Request::UnpinLevel,
     };
     let reply = query_owner(mailbox, local)?;
     // The fleet can be unpinned also from a front that has no pin itself.
@@ -223,7 +225,10 @@
         return Some(reply);
     }
     let pinned = level.and_then(|l| u8::try_from(l).ok());
-    teller.say(vec![Saying::Level { level: pinned, lasts: if pinned.is_some() { seconds } else { 0.0 } }]);
+    fleet_handle.publish(vec![FleetCommand::Level {
+        level: pinned,
+        valid_for: if pinned.is_some() { seconds } else { 0.0 },
+    }]);
     Some(Reply::Done { what: "sent to all fronts".into() })
 }
 
@@ -240,7 +245,7 @@
 
 /// Sends a question to the owner and waits for the reply on the caller's thread; none once the owner has
 /// ended.
-fn query_owner(mailbox: &Mailbox<OwnerEvent>, question: Ask) -> Option<Reply> {
+fn query_owner(mailbox: &Mailbox<OwnerEvent>, question: Request) -> Option<Reply> {
     let (reply_to, replies) = mpsc::channel();
     mailbox.send_unbounded(OwnerEvent::Console(question, reply_to)).ok()?;
     replies.recv_timeout(REPLY_TIMEOUT).ok()
