--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -315,7 +315,7 @@
                     kill(Pid::from_raw(child.id() as i32), Signal::SIGKILL).map_err(io::Error::from)?;
                     child.wait()?;
                 }
-                Running::Inside(service) => snapshots.extend(service.snapshot()),
+                Running::Inside(service) => snapshots.extend(service.status()),
                 Running::Down => {}
             }
         }
--- a/crates/lab/src/throughput.rs
+++ b/crates/lab/src/throughput.rs
@@ -149,7 +149,7 @@
         out.rounds.push([bare, ours, bare_half, ours_half]);
     }
     std::thread::sleep(Duration::from_millis(500));
-    out.snapshot = service.snapshot();
+    out.snapshot = service.status();
 
     drop(service);
     servers.finish();
@@ -230,7 +230,7 @@
         }
     }
     std::thread::sleep(Duration::from_millis(300));
-    let held = service.snapshot().map_or(0, |s| s.pending.max(s.attaches_held));
+    let held = service.status().map_or(0, |s| s.pending.max(s.attaches_held));
     let grown = resident_bytes().saturating_sub(before);
     Ok(grown as f64 / (held.max(1) as f64))
 }
--- a/crates/transport/src/fleet.rs
+++ b/crates/transport/src/fleet.rs
@@ -1,6 +1,6 @@
-//! A front's place among others, and what its list told in their words.
+//! Connects a front to the other fronts of its fleet, and converts its list entries for them.
 
-use crate::owner::Letter;
+use crate::owner::OwnerEvent;
 use shalespindle_membership::ListEntry;
 use shalespindle_peer_service::{FleetCommand, FleetConfig, FleetService, Persistence};
 use shalespindle_replica::ServerRecord;
@@ -9,15 +9,15 @@
 use shalespindle_sockets::{Mailbox, MonotonicClock};
 use std::io;
 
-/// Opens the socket between fronts; what others make known goes to the front's owner.
-pub(crate) fn fronts(
+/// Starts the exchange with the other fronts; what they report is sent to the front's owner.
+pub(crate) fn start_fleet(
     settings: &FleetSettings,
     sites: Option<(SitesParams, SiteTable)>,
     seed: u64,
-    ground: MonotonicClock,
-    to: Mailbox<Letter>,
+    clock: MonotonicClock,
+    owner: Mailbox<OwnerEvent>,
 ) -> io::Result<FleetService> {
-    let keep = |file: &std::path::PathBuf| Persistence {
+    let persistence = |file: &std::path::PathBuf| Persistence {
         file: file.clone(),
         interval: settings.keep_every.seconds(),
     };
@@ -28,17 +28,17 @@
         key: read_key_file(&settings.key_file).map_err(io::Error::other)?,
         params: settings.fleet_params(),
         seed,
-        persistence: settings.keep_file.as_ref().map(keep),
+        persistence: settings.keep_file.as_ref().map(persistence),
         sites,
     };
-    // An owner that has ended has no use for news.
-    FleetService::start(config, ground, move |heard| drop(to.send_unbounded(Letter::Fleet(heard))))
+    // An error means that the owner has ended; the report is dropped.
+    FleetService::start(config, clock, move |event| drop(owner.send_unbounded(OwnerEvent::Fleet(event))))
 }
 
-/// What this front's list told, for others.
-pub(crate) fn saying(now: f64, listed: &ListEntry) -> FleetCommand {
-    // 0 means long ago.
+/// Converts an entry of this front's list into a report for the other fronts.
+pub(crate) fn server_report(now: f64, listed: &ListEntry) -> FleetCommand {
+    // A start of 0 means long ago: no age is reported.
     let age = (listed.started > 0.0).then(|| (now - listed.started).max(0.0));
-    let ListEntry { address, pool, state: told, incarnation, .. } = *listed;
-    FleetCommand::Server { address, record: ServerRecord { pool, incarnation, reported: told, age } }
+    let ListEntry { address, pool, state, incarnation, .. } = *listed;
+    FleetCommand::Server { address, record: ServerRecord { pool, incarnation, reported: state, age } }
 }
