--- a/crates/console/src/client.rs
+++ b/crates/console/src/client.rs
@@ -15,8 +15,8 @@
     Unreadable(#[from] serde_json::Error),
 }
 
-/// Sends one request to the front that listens on `socket` and returns its reply. `timeout` applies to each read
-/// and each write.
+/// Sends one request to the front that listens on `socket` and returns its reply. `timeout` applies to each
+/// read and each write.
 pub fn ask(socket: &Path, request: &Request, timeout: Duration) -> Result<Reply, ConsoleError> {
     let line = serde_json::to_string(request)?;
     let exchange = || -> io::Result<String> {
--- a/crates/console/src/display.rs
+++ b/crates/console/src/display.rs
@@ -96,7 +96,8 @@
         let excluded = if site.excluded_here { "; excluded here" } else { "" };
         writeln!(
             f,
-            "  {:20} {}{step} (epoch {}, {:.1} s{held}); fronts {} of {} alive; of {} outside, {} reach it, {} do not{excluded}",
+            "  {:20} {}{step} (epoch {}, {:.1} s{held}); fronts {} of {} alive; \
+             of {} outside, {} reach it, {} do not{excluded}",
             site.name,
             site.state.name(),
             site.epoch,
@@ -111,7 +112,8 @@
             |rate: Option<f64>| rate.map_or("not known yet".into(), |rate| format!("{rate:.1} a second"));
         writeln!(
             f,
-            "  {:20} establishes {:.1} a second, capacity {}; if it is lost: {:.1} a second required, capacity of the others {}",
+            "  {:20} establishes {:.1} a second, capacity {}; \
+             if it is lost: {:.1} a second required, capacity of the others {}",
             "",
             site.established,
             capacity(site.capacity),
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,5 +1,5 @@
-//! Operators' requests to a running front over a Unix socket: one JSON object per line, one reply per line. The
-//! replies come from the front's owner.
+//! Operators' requests to a running front over a Unix socket: one JSON object per line, one reply per line.
+//! The replies come from the front's owner.
 
 mod client;
 mod display;
@@ -147,7 +147,8 @@
     pub list_age: Option<f64>,
     /// The state that follows from DNS.
     pub dns: String,
-    /// Seconds since a DNS answer last contained it, and until that answer expires (negative: it has expired).
+    /// Seconds since a DNS answer last contained it, and until that answer expires (negative: it has
+    /// expired).
     pub dns_age: Option<f64>,
     pub dns_left: Option<f64>,
     /// Priority and weight (RFC 2782).
--- a/crates/console/src/server.rs
+++ b/crates/console/src/server.rs
@@ -1,7 +1,7 @@
 //! The server of the console: a thread that accepts connections and one thread per connection, up to a limit.
 //!
-//! Threads instead of coroutines: a request waits for its reply with a timeout, and of 25,000 requests in quick
-//! succession such waits of coroutines lost one and crashed the process twice.
+//! Threads instead of coroutines: a request waits for its reply with a timeout, and of 25,000 requests in
+//! quick succession such waits of coroutines lost one and crashed the process twice.
 
 use crate::{Reply, Request, MAX_LINE_BYTES};
 use socket2::SockRef;
@@ -45,11 +45,12 @@
     }
 }
 
-/// Opens the socket, accessible to its owner only, and replies with `answer`, which is called from several threads
-/// and may block.
+/// Opens the socket, accessible to its owner only, and replies with `answer`, which is called from several
+/// threads and may block.
 ///
 /// # Errors
-/// `AddrInUse` if another process accepts connections on the socket. A socket that nobody listens on is replaced.
+/// `AddrInUse` if another process accepts connections on the socket. A socket that nobody listens on is
+/// replaced.
 pub fn serve(path: &Path, answer: impl Fn(Request) -> Reply + Send + Sync + 'static) -> io::Result<Console> {
     remove_stale_socket(path)?;
     let listener = UnixListener::bind(path)?;
--- a/crates/peer-service/src/lib.rs
+++ b/crates/peer-service/src/lib.rs
@@ -1,5 +1,6 @@
-//! Runs a front's part in the fleet over UDP: one socket, a coroutine that reads it and a thread that owns the
-//! state machines (`shalespindle_replica::Fleet` and `shalespindle_sites::Sites`), which make all decisions.
+//! Runs a front's part in the fleet over UDP: one socket, a coroutine that reads it and a thread that owns
+//! the state machines (`shalespindle_replica::Fleet` and `shalespindle_sites::Sites`), which make all
+//! decisions.
 //!
 //! Notices from the fleet go to a callback. Commands of this front arrive over a mailbox whose senders never
 //! block. Only datagrams count against the mailbox's capacity.
@@ -26,8 +27,8 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Capacity of the owner's mailbox for datagrams. When it is full they wait in the socket's buffer, and the kernel
-/// drops what does not fit there.
+/// Capacity of the owner's mailbox for datagrams. When it is full they wait in the socket's buffer, and the
+/// kernel drops what does not fit there.
 const MAILBOX_CAPACITY: usize = 1024;
 /// Timeout of a request to the owner; an owner that exceeds it is treated as ended.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
@@ -50,7 +51,8 @@
     pub sites: Option<(SitesParams, SiteTable)>,
 }
 
-/// A running member of the fleet. Dropping it announces the departure, then ends the thread and the coroutine.
+/// A running member of the fleet. Dropping it announces the departure, then ends the thread and the
+/// coroutine.
 pub struct FleetService {
     address: SocketAddr,
     mailbox: Mailbox<OwnerMessage>,
@@ -65,14 +67,14 @@
 pub struct FleetHandle(Mailbox<OwnerMessage>);
 
 impl FleetHandle {
-    /// Queues commands without blocking. They come from the front itself and from operators, not from peers, so
-    /// the mailbox's capacity does not apply to them.
+    /// Queues commands without blocking. They come from the front itself and from operators, not from peers,
+    /// so the mailbox's capacity does not apply to them.
     pub fn publish(&self, commands: Vec<FleetCommand>) {
         let _ = self.0.send_unbounded(OwnerMessage::Publish(commands));
     }
 
-    /// Applies an operator's order on a site, for all fronts. Blocks the calling thread until the reply; none once
-    /// the owner has ended. `lasts` is in seconds.
+    /// Applies an operator's order on a site, for all fronts. Blocks the calling thread until the reply; none
+    /// once the owner has ended. `lasts` is in seconds.
     pub fn order(&self, site: String, order: Order, lasts: f64) -> Option<Result<(), SitesError>> {
         let (reply_to, reply) = mpsc::channel();
         self.0.send_unbounded(OwnerMessage::SiteOrder { site, order, lasts, reply_to }).ok()?;
@@ -84,8 +86,8 @@
         let _ = self.0.send_unbounded(OwnerMessage::SetPeers(peers));
     }
 
-    /// Returns the state of the fleet as this front knows it. Blocks the calling thread until the reply; none once
-    /// the owner has ended.
+    /// Returns the state of the fleet as this front knows it. Blocks the calling thread until the reply; none
+    /// once the owner has ended.
     pub fn status(&self) -> Option<FleetStatus> {
         let (reply_to, reply) = mpsc::channel();
         self.0.send_unbounded(OwnerMessage::Status(reply_to)).ok()?;
@@ -94,8 +96,8 @@
 }
 
 impl FleetService {
-    /// Opens the socket and starts the threads; port 0 selects any free one. `on_notice` is called on the owner's
-    /// thread.
+    /// Opens the socket and starts the threads; port 0 selects any free one. `on_notice` is called on the
+    /// owner's thread.
     pub fn start(
         config: FleetConfig,
         clock: MonotonicClock,
@@ -133,8 +135,8 @@
             traffic,
             store_sender,
         };
-        // A separate thread instead of a coroutine: a turn over many facts takes long and would delay a front's owner
-        // that shares a coroutine worker with it.
+        // A separate thread instead of a coroutine: a turn over many facts takes long and would delay a
+        // front's owner that shares a coroutine worker with it.
         let owner = match std::thread::Builder::new().name("fleet".into()).spawn(move || owner.run()) {
             Ok(owner) => owner,
             Err(why) => {
--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -41,8 +41,8 @@
     Event(FleetEvent),
     /// The restrictions that follow from the states of the sites.
     SitesRestricted(Restrictions),
-    /// The answer to [`FleetCommand::FindCall`]. `known`: the call is one of the fleet's; a known call without a
-    /// record has been released already.
+    /// The answer to [`FleetCommand::FindCall`]. `known`: the call is one of the fleet's; a known call
+    /// without a record has been released already.
     CallFound { ticket: u64, known: bool, record: Option<Box<CallRecord>> },
 }
 
@@ -143,7 +143,8 @@
         directory
     }
 
-    /// Replaces the addresses. Names of fronts that left the list stay, because facts of theirs may still be shown.
+    /// Replaces the addresses. Names of fronts that left the list stay, because facts of theirs may still be
+    /// shown.
     fn set_peers(&mut self, peers: Vec<(String, SocketAddr)>) {
         self.addresses = peers.iter().map(|(name, address)| (front_id(name), *address)).collect();
         self.names.extend(peers.into_iter().map(|(name, _)| (front_id(&name), name)));
@@ -222,8 +223,8 @@
                     (Ok((from, Body::Sites(message))), Some(sites)) => {
                         sites.core.receive(now, self.fleet.peers(), from, message);
                     }
-                    // Invalid frames, which the codec counts; messages on sites at a front without sites; messages of
-                    // coordinators.
+                    // Invalid frames, which the codec counts; messages on sites at a front without sites;
+                    // messages of coordinators.
                     (Err(_), _) | (Ok((_, Body::Sites(_) | Body::Coordinator(_))), _) => {}
                 }
             }
@@ -313,8 +314,8 @@
             self.traffic.unsent += 1;
             return;
         };
-        // Never blocks: a frame that does not fit into the socket's buffer is lost like any datagram, and its content is
-        // requested again.
+        // Never blocks: a frame that does not fit into the socket's buffer is lost like any datagram, and its
+        // content is requested again.
         match self.udp.inner().send_to(&frame, address) {
             Ok(size) => {
                 (self.traffic.sent, self.traffic.sent_bytes) =
@@ -347,10 +348,11 @@
             }
             Change::Renewed { incarnation } => warn!(
                 target: "shalespindle::fleet", number = incarnation.number,
-                "peers know a later incarnation of this front: its clock was set back, or another process uses its name"
+                "peers know a later incarnation of this front: a clock set back, or another process of its name"
             ),
             Change::Silenced => tracing::error!(
-                target: "shalespindle::fleet", "another process uses this front's name: this one publishes nothing any more"
+                target: "shalespindle::fleet",
+                "another process uses this front's name: this one publishes nothing any more"
             ),
             Change::Isolated(true) => warn!(target: "shalespindle::fleet", "no other front is alive"),
             Change::Isolated(false) => info!(target: "shalespindle::fleet", "other fronts are alive again"),
--- a/crates/peer-service/src/persistence.rs
+++ b/crates/peer-service/src/persistence.rs
@@ -34,8 +34,8 @@
     since.unwrap_or(Duration::ZERO).as_secs_f64()
 }
 
-/// The store and the schedule of its writes. Without a store nothing is persisted, and the front starts without
-/// stored state.
+/// The store and the schedule of its writes. Without a store nothing is persisted, and the front starts
+/// without stored state.
 pub(crate) struct Persister {
     store: Option<Store>,
     schedule: SaveSchedule,
@@ -57,7 +57,10 @@
                 Ok((store, snapshot)) => (Some(store), PersistenceState::Good, snapshot),
                 Err(why) => {
                     let file = settings.file.display();
-                    warn!(target: "shalespindle::fleet", %file, why, "the file of the fleet state cannot be opened: nothing is persisted");
+                    warn!(
+                        target: "shalespindle::fleet", %file, why,
+                        "the file of the fleet state cannot be opened: nothing is persisted"
+                    );
                     (None, PersistenceState::Failing(why), None)
                 }
             },
@@ -82,10 +85,16 @@
         let Restored { incarnations, facts, refused, too_old } = self.restored;
         match too_old {
             true => {
-                warn!(target: "shalespindle::fleet", ago, "the stored state is too old or the wall clock has changed: not restored")
+                warn!(
+                    target: "shalespindle::fleet", ago,
+                    "the stored state is too old or the wall clock has changed: not restored"
+                )
             }
             false => {
-                info!(target: "shalespindle::fleet", ago, lives = incarnations, facts, refused, "the stored state is restored")
+                info!(
+                    target: "shalespindle::fleet", ago, lives = incarnations, facts, refused,
+                    "the stored state is restored"
+                )
             }
         }
     }
@@ -105,7 +114,10 @@
                 }
                 Outcome::Failed(why) => {
                     let pause = self.schedule.failed(now);
-                    warn!(target: "shalespindle::fleet", why, pause, "writing the fleet state failed: the next write contains all of it");
+                    warn!(
+                        target: "shalespindle::fleet", why, pause,
+                        "writing the fleet state failed: the next write contains all of it"
+                    );
                     (self.state, self.failed_writes) =
                         (PersistenceState::Failing(why), self.failed_writes + 1);
                 }
@@ -114,8 +126,8 @@
         if let Some(complete) = self.schedule.start_write(now) {
             let changes = fleet.changes(now, unix_time(), complete);
             if self.schedule.should_write(now, &changes) && !store.offer(changes) {
-                // The store's thread has ended: the changes taken from the fleet are lost, so the next write must be
-                // a complete one.
+                // The store's thread has ended: the changes taken from the fleet are lost, so the next write
+                // must be a complete one.
                 self.schedule.failed(now);
                 self.state = PersistenceState::Failing("the thread that writes the file has ended".into());
             }
@@ -159,7 +171,10 @@
     let opened = Store::open(file, own).map_err(|e| e.to_string())?;
     if let Some((aside, why)) = opened.set_aside {
         let aside = aside.display();
-        warn!(target: "shalespindle::fleet", %aside, why, "the file of the fleet state cannot be read: moved aside, a new one is created");
+        warn!(
+            target: "shalespindle::fleet", %aside, why,
+            "the file of the fleet state cannot be read: moved aside, a new one is created"
+        );
     }
     if opened.corrupt.0 > 0 {
         warn!(target: "shalespindle::fleet", facts = opened.corrupt.0, "stored facts have wrong checksums");
@@ -169,8 +184,8 @@
 
 /// Returns the incarnation of this process, higher than any stored one of this front.
 pub(crate) fn new_incarnation(snapshot: Option<&Snapshot>, own: FrontId, nonce: u64) -> Incarnation {
-    // After the wall clock was set back, peers may know a later incarnation than this one; they report it, and
-    // this front takes a higher number.
+    // After the wall clock was set back, peers may know a later incarnation than this one; they report it,
+    // and this front takes a higher number.
     let proposed = Incarnation { number: (unix_time() * 1000.0) as u64, nonce };
     snapshot.map_or(proposed, |snapshot| snapshot.next_incarnation(own, proposed))
 }
--- a/crates/peer-service/src/sites.rs
+++ b/crates/peer-service/src/sites.rs
@@ -35,10 +35,13 @@
             }
             Output::CutOff(true) => warn!(
                 target: "shalespindle::sites",
-                "this front receives from at most half of the fleet: it declares no site lost and uses its own observations"
+                "this front receives from at most half of the fleet: it declares no site lost and uses only its own view"
             ),
             Output::CutOff(false) => {
-                info!(target: "shalespindle::sites", "this front receives from more than half of the fleet again")
+                info!(
+                    target: "shalespindle::sites",
+                    "this front receives from more than half of the fleet again"
+                )
             }
             Output::Send { .. } | Output::Restrict(_) => {}
         }
--- a/crates/peer-store/src/file.rs
+++ b/crates/peer-store/src/file.rs
@@ -216,7 +216,8 @@
     }
 }
 
-/// The key of an incarnation's row. Its length is fixed, so that the facts of an incarnation are a contiguous range.
+/// The key of an incarnation's row. Its length is fixed, so that the facts of an incarnation are a contiguous
+/// range.
 fn incarnation_name((front, (number, nonce)): IncarnationKey) -> Vec<u8> {
     [front, number, nonce].iter().flat_map(|n| n.to_be_bytes()).collect()
 }
--- a/crates/peer-store/src/thread.rs
+++ b/crates/peer-store/src/thread.rs
@@ -63,8 +63,8 @@
         Ok(Opened { store, snapshot, corrupt, set_aside })
     }
 
-    /// Writes to `file`, and after a failed write to the one that `reopen` returns, because the storage accepts no
-    /// writes after its first error.
+    /// Writes to `file`, and after a failed write to the one that `reopen` returns, because the storage
+    /// accepts no writes after its first error.
     pub fn with_file(
         file: File,
         mut reopen: impl FnMut() -> Result<File, OpenError> + Send + 'static,
--- a/crates/peer-store/tests/file.rs
+++ b/crates/peer-store/tests/file.rs
@@ -131,8 +131,8 @@
     File::with_backend(Disk::with_content(bytes), OWN).map(|(_, snapshot, corrupt)| (snapshot, corrupt))
 }
 
-/// Writes twice. Returns the disk's content before the second write, the operations of the second write, and the
-/// snapshots after each.
+/// Writes twice. Returns the disk's content before the second write, the operations of the second write, and
+/// the snapshots after each.
 fn write_twice() -> (Vec<u8>, Vec<DiskOp>, Snapshot, Snapshot) {
     let disk = Disk::default();
     let mut replicas = replicas();
@@ -172,8 +172,8 @@
     assert_eq!((snapshot.unwrap().incarnations, corrupt), (Vec::new(), CorruptFacts(0)));
 }
 
-/// The last transaction is interrupted after each of its operations, within its writes, and with each single operation
-/// between two syncs lost: what is read is always that transaction or the previous one, complete.
+/// The last transaction is interrupted after each of its operations, within its writes, and with each single
+/// operation between two syncs lost: what is read is always that transaction or the previous one, complete.
 #[test]
 fn an_interrupted_write_leaves_the_new_or_the_previous_state_complete() {
     let (before, ops, first, second) = write_twice();
--- a/crates/peer-store/tests/interleavings.rs
+++ b/crates/peer-store/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! Runs the source of the store's thread on `shuttle`'s threads and channels, which try many interleavings of the owner
-//! and the writing thread, with a disk whose writes sometimes fail.
+//! Runs the source of the store's thread on `shuttle`'s threads and channels, which try many interleavings of
+//! the owner and the writing thread, with a disk whose writes sometimes fail.
 
 #[path = "../src/thread.rs"]
 #[allow(dead_code)]
@@ -58,8 +58,8 @@
 use shalespindle_replica::{Changes, Cursor, SaveSchedule, StoredIncarnation};
 use thread::{Outcome, Store};
 
-/// Runs an owner for `turns` turns on a disk that may fail. With `awaits_outcome` it queues a write only after the
-/// outcome of the previous one.
+/// Runs an owner for `turns` turns on a disk that may fail. With `awaits_outcome` it queues a write only
+/// after the outcome of the previous one.
 fn run_owner(turns: u32, fails: bool, awaits_outcome: bool) {
     let written = Written::default();
     let file = |written: &Written| File { written: written.clone(), fails };
--- a/crates/peer-wire/src/lib.rs
+++ b/crates/peer-wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Frames between fronts: two magic bytes, a version, a keyed hash of the rest (BLAKE3), then the envelope encoded with
-//! postcard.
+//! Frames between fronts: two magic bytes, a version, a keyed hash of the rest (BLAKE3), then the envelope
+//! encoded with postcard.
 //!
-//! A frame that is forged, replayed, too large, of an unknown version or for another receiver is dropped and counted.
-//! The envelope is decoded only after the hash has been verified. docs/wire-fleet.md describes the format.
+//! A frame that is forged, replayed, too large, of an unknown version or for another receiver is dropped and
+//! counted. The envelope is decoded only after the hash has been verified. docs/wire-fleet.md describes the
+//! format.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -14,10 +15,11 @@
 
 /// Version of the frames that all fronts support: heartbeats, digests and deltas.
 pub const VERSION: u8 = 2;
-/// Version of the frames about sites. Older fronts drop and count them. All other frames still use [`VERSION`], so that
-/// older and newer fronts can run side by side.
+/// Version of the frames about sites. Older fronts drop and count them. All other frames still use
+/// [`VERSION`], so that older and newer fronts can run side by side.
 pub const SITES_VERSION: u8 = 3;
-/// Version of the frames between coordinators and their clients. Fronts without support for it drop and count them.
+/// Version of the frames between coordinators and their clients. Fronts without support for it drop and count
+/// them.
 pub const COORDINATOR_VERSION: u8 = 4;
 /// First bytes of every frame.
 const MAGIC: [u8; 2] = *b"sf";
@@ -90,8 +92,8 @@
     message: M,
 }
 
-/// Replay window of one sender: the latest incarnation, its highest sequence number, and a bit map of the received
-/// numbers from the highest one (bit 0) down to 63 below it.
+/// Replay window of one sender: the latest incarnation, its highest sequence number, and a bit map of the
+/// received numbers from the highest one (bit 0) down to 63 below it.
 #[derive(Clone, Copy, Default)]
 struct ReplayWindow {
     incarnation: (u64, u64),
@@ -100,7 +102,8 @@
 }
 
 impl ReplayWindow {
-    /// Records a frame; true if it is new. Frames of earlier incarnations and below the window count as received.
+    /// Records a frame; true if it is new. Frames of earlier incarnations and below the window count as
+    /// received.
     fn accept(&mut self, incarnation: (u64, u64), sequence: u64) -> bool {
         if incarnation < self.incarnation {
             return false;
--- a/crates/peer-wire/tests/frames.rs
+++ b/crates/peer-wire/tests/frames.rs
@@ -122,7 +122,8 @@
     }
 }
 
-/// A sender that has the key may still be faulty, so random bytes with a right hash must not cause a panic either.
+/// A sender that has the key may still be faulty, so random bytes with a right hash must not cause a panic
+/// either.
 #[test]
 fn mutated_frames_are_rejected_without_a_panic() {
     let (mut a, mut b, to) = codecs();
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,5 +1,5 @@
-//! Renders the events of a fleet as a text table: one column per node, one row per event, ordered by time. Times are
-//! rounded, so that a run under virtual time always renders the same text.
+//! Renders the events of a fleet as a text table: one column per node, one row per event, ordered by time.
+//! Times are rounded, so that a run under virtual time always renders the same text.
 
 use std::fmt;
 use tabled::builder::Builder;
@@ -25,7 +25,8 @@
 }
 
 impl Timeline {
-    /// Creates an empty timeline with a column for each of `nodes`; times are rounded to `resolution` seconds.
+    /// Creates an empty timeline with a column for each of `nodes`; times are rounded to `resolution`
+    /// seconds.
     pub fn new(nodes: impl IntoIterator<Item = String>, resolution: f64) -> Timeline {
         Timeline { nodes: nodes.into_iter().collect(), events: Vec::new(), resolution }
     }
@@ -44,8 +45,8 @@
         self.events.is_empty()
     }
 
-    /// The rows of the table: rounded time, global event, event of each node. Consecutive equal events of different nodes
-    /// share a row, which has the time of the first.
+    /// The rows of the table: rounded time, global event, event of each node. Consecutive equal events of
+    /// different nodes share a row, which has the time of the first.
     fn rows(&self) -> Vec<(f64, Option<String>, Vec<Option<String>>)> {
         let mut events = self.events.clone();
         events.sort_by(|a, b| a.at.total_cmp(&b.at));
