--- a/crates/srv/src/resolver.rs
+++ b/crates/srv/src/resolver.rs
@@ -1,13 +1,14 @@
-//! The resolver: look-ups by their schedule, questions by tries over name servers, UDP and then TCP.
+//! The resolver: starts look-ups by their schedule and sends each query in tries over the name servers,
+//! over UDP and, after truncation, over TCP.
 
-use crate::cache::{Cache, Known};
-use crate::chain::End;
-use crate::lookup::{Lookup, Progress, Want};
+use crate::aliases::{self, ChainEnd};
+use crate::cache::{Answer, Cache};
+use crate::lookup::{Lookup, Progress, Question};
 use crate::upstreams::Upstreams;
 use crate::wire::{self, Reply};
 use crate::{
-    chain, Counters, DropReason, Name, Outcome, RecordType, ResolverInput, ResolverOutput, ResolverParams,
-    Step, Target, Ticket,
+    Counters, DropReason, Name, Outcome, RecordType, ResolverInput, ResolverOutput, ResolverParams, Step,
+    Target, Ticket,
 };
 use hickory_proto::op::ResponseCode;
 use hickory_proto::rr::Record;
@@ -16,49 +17,58 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
 
-/// Names and types known at once.
-const MOST_KNOWN: usize = 4096;
-/// Steps kept for who asks; older ones go first.
-const MOST_STEPS: usize = 1024;
-/// The longest message over a stream (RFC 1035 section 4.2.2) with its length.
-const MOST_STREAM: usize = 65_537;
+/// Maximum number of cached answers, one per name and type.
+const MAX_CACHED: usize = 4096;
+/// Maximum number of steps stored until [`Resolver::next_step`] takes them; the oldest are removed first.
+const MAX_STEPS: usize = 1024;
+/// Maximum bytes of a message over TCP with its length prefix (RFC 1035 section 4.2.2).
+const MAX_STREAM_BYTES: usize = 65_537;
 
-/// One question and the try that is out for it.
+/// A query for a question, with its current try.
 #[derive(Clone, Debug)]
 struct Query {
-    want: Want,
+    question: Question,
     ticket: Ticket,
+    /// Id of the DNS message.
     id: u16,
+    /// Index of the name server of the current try.
     upstream: usize,
+    /// Indices of the name servers of all tries, the current one included.
     tried: Vec<usize>,
     tcp: bool,
+    /// When the first try was sent.
     asked_at: f64,
-    due: f64,
-    /// Bytes of the stream so far.
-    stream: Vec<u8>,
+    /// When the current try times out.
+    try_deadline: f64,
+    /// Bytes received over TCP so far.
+    received: Vec<u8>,
 }
 
-/// When a name is looked up next, and how often it failed in a row.
+/// Schedule of a name's look-ups.
 #[derive(Clone, Debug)]
 struct Schedule {
-    next: f64,
+    /// Time of the next look-up; infinite while one is in progress.
+    next_at: f64,
+    /// Look-ups in a row that failed or were empty.
     failures: u32,
 }
 
-/// A resolver for the names of its settings.
+/// A resolver that looks up the names of its parameters and refreshes them before they expire.
 #[derive(Clone, Debug)]
 pub struct Resolver {
     params: ResolverParams,
     rng: ChaCha8Rng,
     upstreams: Upstreams,
     cache: Cache,
-    schedule: Vec<Schedule>,
+    /// One schedule per name of the parameters, in their order.
+    schedules: Vec<Schedule>,
     lookups: Vec<Lookup>,
     queries: Vec<Query>,
-    /// Addresses last known of each target: an answer that cannot be had takes no server out.
+    /// Last known addresses of each target, by its lower-case name. They are used when the address queries
+    /// fail, so that a failed query doesn't remove a server.
     last_known: BTreeMap<Name, Vec<IpAddr>>,
-    next_ticket: Ticket,
-    out: VecDeque<ResolverOutput>,
+    last_ticket: Ticket,
+    outputs: VecDeque<ResolverOutput>,
     steps: VecDeque<Step>,
     counters: Counters,
 }
@@ -67,17 +77,17 @@
     pub fn new(params: ResolverParams, seed: u64, now: f64) -> Resolver {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let first =
-            |_: &Name| Schedule { next: now + params.start_spread * rng.random::<f64>(), failures: 0 };
-        let schedule = params.names.iter().map(first).collect();
+            |_: &Name| Schedule { next_at: now + params.start_spread * rng.random::<f64>(), failures: 0 };
+        let schedules = params.names.iter().map(first).collect();
         Resolver {
             upstreams: Upstreams::new(&params.upstreams),
-            cache: Cache::new(MOST_KNOWN),
-            schedule,
+            cache: Cache::new(MAX_CACHED),
+            schedules,
             lookups: Vec::new(),
             queries: Vec::new(),
             last_known: BTreeMap::new(),
-            next_ticket: 0,
-            out: VecDeque::new(),
+            last_ticket: 0,
+            outputs: VecDeque::new(),
             steps: VecDeque::new(),
             counters: Counters::default(),
             rng,
@@ -89,130 +99,130 @@
         self.counters
     }
 
-    /// What to do next, oldest first.
+    /// Takes the oldest output that was not taken yet.
     pub fn next_output(&mut self) -> Option<ResolverOutput> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
-    /// What happened, for operators, oldest first.
+    /// Takes the oldest step that was not taken yet.
     pub fn next_step(&mut self) -> Option<Step> {
         self.steps.pop_front()
     }
 
-    /// When [`Resolver::tick`] must be called at the latest.
+    /// Returns the time at which [`Resolver::tick`] must be called at the latest.
     pub fn next_deadline(&self) -> f64 {
-        let tries = self.queries.iter().map(|q| q.due);
-        let scheduled = self.schedule.iter().map(|s| s.next);
+        let tries = self.queries.iter().map(|q| q.try_deadline);
+        let scheduled = self.schedules.iter().map(|s| s.next_at);
         tries.chain(scheduled).fold(f64::INFINITY, f64::min)
     }
 
-    /// When the name at that place is looked up next.
-    pub fn next_lookup(&self, name: usize) -> Option<f64> {
-        self.schedule.get(name).map(|s| s.next)
+    /// Returns the time of the next look-up of a name; infinite while one is in progress.
+    pub fn next_lookup(&self, name_index: usize) -> Option<f64> {
+        self.schedules.get(name_index).map(|s| s.next_at)
     }
 
-    /// Looks a name up now, whatever its schedule says.
-    pub fn look_up_now(&mut self, now: f64, name: usize) {
-        if let Some(schedule) = self.schedule.get_mut(name) {
-            schedule.next = now;
+    /// Looks up a name now, regardless of its schedule.
+    pub fn look_up_now(&mut self, now: f64, name_index: usize) {
+        if let Some(schedule) = self.schedules.get_mut(name_index) {
+            schedule.next_at = now;
         }
         self.tick(now);
     }
 
-    /// Begins what is due and gives up what has taken too long.
+    /// Fails the tries that have timed out and starts the scheduled look-ups.
     pub fn tick(&mut self, now: f64) {
-        while let Some(late) = self.queries.iter().position(|q| q.due <= now) {
+        while let Some(late) = self.queries.iter().position(|q| q.try_deadline <= now) {
             self.counters.timed_out += 1;
             self.try_failed(now, late, "no answer in time");
         }
-        for place in 0..self.schedule.len() {
-            if self.schedule[place].next <= now {
-                // Under way until it is finished, which sets the next time.
-                self.schedule[place].next = f64::INFINITY;
+        for name_index in 0..self.schedules.len() {
+            if self.schedules[name_index].next_at <= now {
+                // `finish` sets the time of the next one.
+                self.schedules[name_index].next_at = f64::INFINITY;
                 self.counters.lookups += 1;
-                let name = self.params.names[place].clone();
-                self.lookups.push(Lookup::new(place, name));
+                let name = self.params.names[name_index].clone();
+                self.lookups.push(Lookup::new(name_index, name));
                 self.advance(now);
             }
         }
     }
 
-    /// Takes one report.
-    pub fn handle(&mut self, now: f64, report: ResolverInput) {
-        match report {
+    /// Handles an event on a socket. Events of tickets that have ended are ignored.
+    pub fn handle(&mut self, now: f64, input: ResolverInput) {
+        match input {
             ResolverInput::Datagram { ticket, from, bytes } => {
-                let Some(place) = self.queries.iter().position(|q| q.ticket == ticket && !q.tcp) else {
+                let Some(query_index) = self.queries.iter().position(|q| q.ticket == ticket && !q.tcp) else {
                     return;
                 };
-                if from != self.upstreams.address(self.queries[place].upstream) {
-                    return self.drop_answer(DropReason::WrongSource);
+                if from != self.upstreams.address(self.queries[query_index].upstream) {
+                    return self.drop_message(DropReason::WrongSource);
                 }
                 if bytes.len() > usize::from(self.params.udp_size.max(512)) {
-                    return self.drop_answer(DropReason::TooLarge);
+                    return self.drop_message(DropReason::TooLarge);
                 }
-                self.bytes(now, place, bytes);
+                self.handle_message(now, query_index, bytes);
             }
             ResolverInput::Stream { ticket, bytes } => {
-                let Some(place) = self.queries.iter().position(|q| q.ticket == ticket && q.tcp) else {
+                let Some(query_index) = self.queries.iter().position(|q| q.ticket == ticket && q.tcp) else {
                     return;
                 };
-                let stream = &mut self.queries[place].stream;
-                stream.extend_from_slice(
-                    &bytes[..bytes.len().min(MOST_STREAM - stream.len().min(MOST_STREAM))],
-                );
-                let Some(length) = stream.get(..2).map(|b| usize::from(u16::from_be_bytes([b[0], b[1]])))
+                let received = &mut self.queries[query_index].received;
+                let free = MAX_STREAM_BYTES - received.len().min(MAX_STREAM_BYTES);
+                received.extend_from_slice(&bytes[..bytes.len().min(free)]);
+                let Some(length) = received.get(..2).map(|b| usize::from(u16::from_be_bytes([b[0], b[1]])))
                 else {
                     return;
                 };
-                if stream.len() >= length + 2 {
-                    let message = stream[2..length + 2].to_vec();
-                    self.queries[place].stream.clear();
-                    self.bytes(now, place, &message);
+                if received.len() >= length + 2 {
+                    let message = received[2..length + 2].to_vec();
+                    self.queries[query_index].received.clear();
+                    self.handle_message(now, query_index, &message);
                 }
             }
             ResolverInput::SocketLost { ticket } => {
-                if let Some(place) = self.queries.iter().position(|q| q.ticket == ticket) {
-                    self.try_failed(now, place, "socket lost");
+                if let Some(query_index) = self.queries.iter().position(|q| q.ticket == ticket) {
+                    self.try_failed(now, query_index, "socket lost");
                 }
             }
         }
     }
 
-    fn drop_answer(&mut self, why: DropReason) {
-        // Guards against forged answers: the true one may still come, so the try goes on (RFC 5452 section 9).
+    /// Ignores a received message. The try continues to wait, because after a forged answer the genuine one
+    /// may still arrive (RFC 5452 section 9).
+    fn drop_message(&mut self, why: DropReason) {
         self.counters.dropped += 1;
-        self.step(Step::Dropped { why });
+        self.record_step(Step::Dropped { why });
     }
 
-    fn step(&mut self, step: Step) {
-        if self.steps.len() == MOST_STEPS {
+    fn record_step(&mut self, step: Step) {
+        if self.steps.len() == MAX_STEPS {
             self.steps.pop_front();
         }
         self.steps.push_back(step);
     }
 
-    fn bytes(&mut self, now: f64, place: usize, bytes: &[u8]) {
-        let query = &self.queries[place];
-        match wire::read(query.id, &query.want, bytes, self.params.max_records) {
-            Err(why) => self.drop_answer(why),
-            Ok(reply) => self.reply(now, place, reply),
+    fn handle_message(&mut self, now: f64, query_index: usize, bytes: &[u8]) {
+        let query = &self.queries[query_index];
+        match wire::decode_reply(query.id, &query.question, bytes, self.params.max_records) {
+            Err(why) => self.drop_message(why),
+            Ok(reply) => self.handle_reply(now, query_index, reply),
         }
     }
 
-    fn reply(&mut self, now: f64, place: usize, reply: Reply) {
-        let query = &self.queries[place];
+    fn handle_reply(&mut self, now: f64, query_index: usize, reply: Reply) {
+        let query = &self.queries[query_index];
         let (upstream, tcp) = (query.upstream, query.tcp);
         let by = self.upstreams.address(upstream);
         if reply.truncated && !tcp {
             self.counters.truncated += 1;
-            self.step(Step::Truncated { by });
-            return self.ask_again(now, place, upstream, true);
+            self.record_step(Step::Truncated { by });
+            return self.retry(now, query_index, upstream, true);
         }
         match reply.code {
             ResponseCode::NoError | ResponseCode::NXDomain if !reply.lame => {}
-            ResponseCode::FormErr if !self.upstreams.is_plain(upstream) => {
-                self.upstreams.knows_no_edns(upstream);
-                return self.ask_again(now, place, upstream, tcp);
+            ResponseCode::FormErr if !self.upstreams.is_without_edns(upstream) => {
+                self.upstreams.set_without_edns(upstream);
+                return self.retry(now, query_index, upstream, tcp);
             }
             _ => {
                 self.counters.refused += 1;
@@ -222,123 +232,124 @@
                     ResponseCode::Refused => "REFUSED",
                     _ => "an error code",
                 };
-                return self.try_failed(now, place, why);
+                return self.try_failed(now, query_index, why);
             }
         }
         self.counters.answered += 1;
-        self.upstreams.answered(upstream);
-        let query = self.queries.swap_remove(place);
-        self.out.push_back(ResolverOutput::CloseSocket { ticket: query.ticket });
-        self.step(Step::Answered {
+        self.upstreams.record_success(upstream);
+        let query = self.queries.swap_remove(query_index);
+        self.outputs.push_back(ResolverOutput::CloseSocket { ticket: query.ticket });
+        self.record_step(Step::Answered {
             code: reply.code.to_string(),
             records: reply.answers.len(),
             after: now - query.asked_at,
         });
-        self.learn(now, &query.want, &reply);
-        self.answered(now, &query.want, &reply.answers, &reply.additionals);
+        self.store(now, &query.question, &reply);
+        self.apply_answer(now, &query.question, &reply.answers, &reply.additionals);
         self.advance(now);
     }
 
-    /// Keeps what an answer says, by its lifetimes.
-    fn learn(&mut self, now: f64, want: &Want, reply: &Reply) {
-        match chain::follow(want.name.clone(), want.kind, &reply.answers, &mut Vec::new()) {
-            End::Records { ttl, .. } => {
-                let lifetime = self.bounded(f64::from(ttl));
-                let records = Known::Records(reply.answers.clone());
-                self.cache.put(now, &want.name, want.kind, records, lifetime);
+    /// Stores an answer in the cache for its lifetime.
+    fn store(&mut self, now: f64, question: &Question, reply: &Reply) {
+        match aliases::follow(question.name.clone(), question.kind, &reply.answers, &mut Vec::new()) {
+            ChainEnd::Records { ttl, .. } => {
+                let lifetime = self.bounded_lifetime(f64::from(ttl));
+                let records = Answer::Records(reply.answers.clone());
+                self.cache.put(now, &question.name, question.kind, records, lifetime);
             }
-            // RFC 2308 section 5: without an SOA record a negative answer is not kept.
-            End::Nothing { .. } => {
-                if let Some(ttl) = reply.negative {
+            // RFC 2308 section 5: a negative answer without an SOA record is not cached.
+            ChainEnd::NoRecords { .. } => {
+                if let Some(ttl) = reply.negative_ttl {
                     let lifetime = f64::from(ttl).min(self.params.max_negative_lifetime);
-                    self.cache.put(now, &want.name, want.kind, Known::Nothing, lifetime);
+                    self.cache.put(now, &question.name, question.kind, Answer::Negative, lifetime);
                 }
             }
-            End::Loop { .. } => {}
+            ChainEnd::Loop { .. } => {}
         }
     }
 
-    fn bounded(&self, lifetime: f64) -> f64 {
+    fn bounded_lifetime(&self, lifetime: f64) -> f64 {
         lifetime.clamp(self.params.lifetime_bounds.0, self.params.lifetime_bounds.1)
     }
 
-    /// Hands records to every look-up that wants them.
-    fn answered(&mut self, now: f64, want: &Want, records: &[Record], more: &[Record]) {
-        let mut place = 0;
-        while place < self.lookups.len() {
-            let lookup = &mut self.lookups[place];
+    /// Applies an answer to every look-up that needs it.
+    fn apply_answer(&mut self, now: f64, question: &Question, records: &[Record], additionals: &[Record]) {
+        let mut index = 0;
+        while index < self.lookups.len() {
+            let lookup = &mut self.lookups[index];
             let known_aliases = lookup.aliases.len();
-            if want.kind != RecordType::SRV {
-                if let Some(at) = lookup.address(want, records) {
-                    self.step(Step::AliasLoop { at });
+            if question.kind != RecordType::SRV {
+                if let Some(at) = lookup.apply_addresses(question, records) {
+                    self.record_step(Step::AliasLoop { at });
                 }
-            } else if lookup.open.as_ref() == Some(&want.name) {
-                let progress = lookup.srv(records, more);
+            } else if lookup.srv_name.as_ref() == Some(&question.name) {
+                let progress = lookup.apply_srv(records, additionals);
                 let aliases: Vec<(Name, Name)> = lookup.aliases[known_aliases..].to_vec();
                 for (from, to) in aliases {
-                    self.step(Step::Alias { from, to });
+                    self.record_step(Step::Alias { from, to });
                 }
                 match progress {
-                    Progress::On => {}
+                    Progress::Continue => {}
                     Progress::Empty => {
-                        self.finish(now, place, Outcome::Empty);
+                        self.finish(now, index, Outcome::Empty);
                         continue;
                     }
-                    Progress::Loop(at) => {
-                        self.step(Step::AliasLoop { at });
-                        self.finish(now, place, Outcome::Failed);
+                    Progress::AliasLoop(at) => {
+                        self.record_step(Step::AliasLoop { at });
+                        self.finish(now, index, Outcome::Failed);
                         continue;
                     }
                 }
             }
-            place += 1;
+            index += 1;
         }
     }
 
-    /// Asks what look-ups want and is neither known nor asked; finishes those that want nothing more.
+    /// Answers the open questions of all look-ups from the cache or sends queries for them, and finishes the
+    /// look-ups without open questions.
     fn advance(&mut self, now: f64) {
         loop {
-            let wants: Vec<Want> = self.lookups.iter().flat_map(Lookup::wants).collect();
-            let mut known = None;
-            for want in wants {
-                if self.queries.iter().any(|q| q.want == want) {
+            let questions: Vec<Question> = self.lookups.iter().flat_map(Lookup::questions).collect();
+            let mut cached = None;
+            for question in questions {
+                if self.queries.iter().any(|q| q.question == question) {
                     continue;
                 }
-                if let Some(found) = self.cache.get(now, &want.name, want.kind) {
-                    known = Some((want, found.clone()));
+                if let Some(answer) = self.cache.get(now, &question.name, question.kind) {
+                    cached = Some((question, answer.clone()));
                     break;
                 }
-                self.ask(now, want);
+                self.send_query(now, question);
             }
-            let Some((want, found)) = known else { break };
-            self.step(Step::Cached { name: want.name.clone(), kind: want.kind });
-            let records = match found {
-                Known::Records(records) => records,
-                Known::Nothing => Vec::new(),
+            let Some((question, answer)) = cached else { break };
+            self.record_step(Step::Cached { name: question.name.clone(), kind: question.kind });
+            let records = match answer {
+                Answer::Records(records) => records,
+                Answer::Negative => Vec::new(),
             };
-            self.answered(now, &want, &records, &[]);
+            self.apply_answer(now, &question, &records, &[]);
         }
-        while let Some(place) = self.lookups.iter().position(|l| l.wants().is_empty()) {
-            let outcome = self.outcome(place);
-            self.finish(now, place, outcome);
+        while let Some(index) = self.lookups.iter().position(|l| l.questions().is_empty()) {
+            let outcome = self.outcome_of(index);
+            self.finish(now, index, outcome);
         }
     }
 
-    /// What the targets of a look-up come to.
-    fn outcome(&mut self, place: usize) -> Outcome {
-        let mut lifetime = self.lookups[place].lifetime;
+    /// Returns the outcome of a look-up whose questions have all been answered or failed.
+    fn outcome_of(&mut self, index: usize) -> Outcome {
+        let mut lifetime = self.lookups[index].lifetime;
         let mut targets: Vec<Target> = Vec::new();
         let mut failed = 0;
-        for pending in self.lookups[place].targets.clone() {
+        for pending in self.lookups[index].targets.clone() {
             let mut target = pending.target;
             let key = target.name.to_lowercase();
             if pending.failed && target.addresses.is_empty() {
                 failed += 1;
-                // Guards against a server that would count as withdrawn because a question got no answer.
+                // Without the last known addresses, a failed query would remove the server.
                 let Some(known) = self.last_known.get(&key) else { continue };
                 target.addresses = known.clone();
                 lifetime = 0.0;
-                self.step(Step::LastKnown { target: target.name.clone() });
+                self.record_step(Step::LastKnown { target: target.name.clone() });
             } else {
                 self.last_known.insert(key, target.addresses.clone());
             }
@@ -346,7 +357,8 @@
                 targets.push(target);
             }
         }
-        // Kept only for targets that are still named: bounded by what one answer may hold.
+        // Bounds memory: beyond the number of records that the answers may hold, only the targets of this
+        // look-up stay.
         if self.last_known.len() > self.params.max_records * self.params.names.len().max(1) {
             let named: Vec<Name> = targets.iter().map(|t| t.name.to_lowercase()).collect();
             self.last_known.retain(|name, _| named.contains(name));
@@ -362,26 +374,28 @@
         match (targets.is_empty(), failed) {
             (true, 0) => Outcome::Empty,
             (true, _) => Outcome::Failed,
-            (false, _) => Outcome::Servers { targets, lifetime: self.bounded(lifetime) },
+            (false, _) => Outcome::Servers { targets, lifetime: self.bounded_lifetime(lifetime) },
         }
     }
 
-    fn finish(&mut self, now: f64, place: usize, outcome: Outcome) {
-        let lookup = self.lookups.swap_remove(place);
-        let chance: f64 = self.rng.random();
-        let schedule = &mut self.schedule[lookup.place];
-        let in_words = match &outcome {
+    /// Ends a look-up: schedules the next one and yields the outcome.
+    fn finish(&mut self, now: f64, index: usize, outcome: Outcome) {
+        let lookup = self.lookups.swap_remove(index);
+        let jitter: f64 = self.rng.random();
+        let schedule = &mut self.schedules[lookup.name_index];
+        let description = match &outcome {
             Outcome::Servers { targets, lifetime } => {
                 schedule.failures = 0;
-                // Before its end, at a moment of this front's own.
-                schedule.next = now + lifetime * (1.0 - self.params.refresh_fraction * chance);
+                // Refreshes before the lifetime ends, at a random time, so that fronts don't refresh
+                // together.
+                schedule.next_at = now + lifetime * (1.0 - self.params.refresh_fraction * jitter);
                 format!("{} targets, good for {lifetime} s", targets.len())
             }
             Outcome::Empty | Outcome::Failed => {
-                let (least, longest) = self.params.retry_pause;
-                let doubled = least * 2f64.powi(schedule.failures.min(16) as i32);
+                let (min_pause, max_pause) = self.params.retry_pause;
+                let doubled = min_pause * 2f64.powi(schedule.failures.min(16) as i32);
                 schedule.failures += 1;
-                schedule.next = now + doubled.min(longest) * (0.5 + 0.5 * chance);
+                schedule.next_at = now + doubled.min(max_pause) * (0.5 + 0.5 * jitter);
                 if outcome == Outcome::Empty {
                     self.counters.empty += 1;
                     "empty".into()
@@ -391,91 +405,98 @@
                 }
             }
         };
-        self.step(Step::Finished { name: self.params.names[lookup.place].clone(), outcome: in_words });
-        self.out.push_back(ResolverOutput::LookupDone { name_index: lookup.place, outcome });
+        self.record_step(Step::Finished {
+            name: self.params.names[lookup.name_index].clone(),
+            outcome: description,
+        });
+        self.outputs.push_back(ResolverOutput::LookupDone { name_index: lookup.name_index, outcome });
     }
 
     // ---- tries ----
 
-    fn ask(&mut self, now: f64, want: Want) {
+    /// Starts a query for a question.
+    fn send_query(&mut self, now: f64, question: Question) {
         let Some(upstream) = self.upstreams.choose(now, &[]) else {
-            return self.gave_up(now, &want);
+            return self.query_failed(now, &question);
         };
         self.queries.push(Query {
-            want,
+            question,
             ticket: 0,
             id: 0,
             upstream,
             tried: Vec::new(),
             tcp: false,
             asked_at: now,
-            due: now,
-            stream: Vec::new(),
+            try_deadline: now,
+            received: Vec::new(),
         });
-        let place = self.queries.len() - 1;
-        self.send(now, place);
+        let query_index = self.queries.len() - 1;
+        self.send_try(now, query_index);
     }
 
-    /// Sends the question of that place anew, with a fresh id and ticket.
-    fn send(&mut self, now: f64, place: usize) {
-        self.next_ticket += 1;
-        let ticket = self.next_ticket;
+    /// Sends a try of a query, with a fresh id and ticket.
+    fn send_try(&mut self, now: f64, query_index: usize) {
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let id = self.rng.random();
-        let query = &mut self.queries[place];
+        let query = &mut self.queries[query_index];
         query.id = id;
         query.ticket = ticket;
-        query.due = now + self.params.try_timeout;
-        query.stream.clear();
+        query.try_deadline = now + self.params.try_timeout;
+        query.received.clear();
         let upstream = query.upstream;
         query.tried.push(upstream);
-        let (name, kind, tcp) = (query.want.name.clone(), query.want.kind, query.tcp);
+        let (name, kind, tcp) = (query.question.name.clone(), query.question.kind, query.tcp);
         let to = self.upstreams.address(upstream);
-        let size = Some(self.params.udp_size).filter(|_| !self.upstreams.is_plain(upstream));
-        // A name that was read or parsed can be written; were it not, the try ends by its time.
-        let mut bytes = wire::write(id, &self.queries[place].want, size).unwrap_or_default();
+        let size = Some(self.params.udp_size).filter(|_| !self.upstreams.is_without_edns(upstream));
+        // A name that was parsed can be encoded. If it can't, the bytes are empty and the try times out.
+        let mut bytes = wire::encode_query(id, &self.queries[query_index].question, size).unwrap_or_default();
         if tcp {
             let length = (bytes.len() as u16).to_be_bytes();
             bytes.splice(0..0, length);
             self.counters.asked_tcp += 1;
         }
         self.counters.asked += 1;
-        self.step(Step::Asked { name, kind, to, tcp });
-        self.out.push_back(ResolverOutput::SendQuery { ticket, to, tcp, bytes });
+        self.record_step(Step::Asked { name, kind, to, tcp });
+        self.outputs.push_back(ResolverOutput::SendQuery { ticket, to, tcp, bytes });
     }
 
-    fn ask_again(&mut self, now: f64, place: usize, upstream: usize, tcp: bool) {
-        let ticket = self.queries[place].ticket;
-        self.out.push_back(ResolverOutput::CloseSocket { ticket });
-        self.queries[place].upstream = upstream;
-        self.queries[place].tcp = tcp;
-        self.send(now, place);
+    /// Closes the socket of the current try and sends the next one.
+    fn retry(&mut self, now: f64, query_index: usize, upstream: usize, tcp: bool) {
+        let ticket = self.queries[query_index].ticket;
+        self.outputs.push_back(ResolverOutput::CloseSocket { ticket });
+        self.queries[query_index].upstream = upstream;
+        self.queries[query_index].tcp = tcp;
+        self.send_try(now, query_index);
     }
 
-    fn try_failed(&mut self, now: f64, place: usize, why: &'static str) {
-        let query = &self.queries[place];
+    /// Ends a failed try: sends the next one to another name server if any tries are left.
+    fn try_failed(&mut self, now: f64, query_index: usize, why: &'static str) {
+        let query = &self.queries[query_index];
         let (upstream, tried) = (query.upstream, query.tried.clone());
-        self.upstreams.failed(now, upstream);
+        self.upstreams.record_failure(now, upstream);
         let by = self.upstreams.address(upstream);
-        self.step(Step::TryFailed { by, why });
+        self.record_step(Step::TryFailed { by, why });
         if tried.len() < self.params.max_tries as usize {
             if let Some(next) = self.upstreams.choose(now, &tried) {
-                return self.ask_again(now, place, next, false);
+                return self.retry(now, query_index, next, false);
             }
         }
-        let query = self.queries.swap_remove(place);
-        self.out.push_back(ResolverOutput::CloseSocket { ticket: query.ticket });
-        self.gave_up(now, &query.want);
+        let query = self.queries.swap_remove(query_index);
+        self.outputs.push_back(ResolverOutput::CloseSocket { ticket: query.ticket });
+        self.query_failed(now, &query.question);
         self.advance(now);
     }
 
-    /// No answer is to be had to that question.
-    fn gave_up(&mut self, now: f64, want: &Want) {
-        if want.kind != RecordType::SRV {
-            self.lookups.iter_mut().for_each(|l| l.failed(want));
+    /// Reports to the look-ups that no try of a question got a usable answer.
+    fn query_failed(&mut self, now: f64, question: &Question) {
+        if question.kind != RecordType::SRV {
+            self.lookups.iter_mut().for_each(|l| l.question_failed(question));
             return;
         }
-        while let Some(place) = self.lookups.iter().position(|l| l.open.as_ref() == Some(&want.name)) {
-            self.finish(now, place, Outcome::Failed);
+        while let Some(index) = self.lookups.iter().position(|l| l.srv_name.as_ref() == Some(&question.name))
+        {
+            self.finish(now, index, Outcome::Failed);
         }
     }
 }
--- a/crates/srv/src/wire.rs
+++ b/crates/srv/src/wire.rs
@@ -1,32 +1,33 @@
-//! Questions and answers as bytes (RFC 1035 section 4), with the checks that an answer must pass.
+//! Encoding of queries and decoding of answers (RFC 1035 section 4), with the checks that an answer must
+//! pass.
 
-use crate::lookup::Want;
+use crate::lookup::Question;
 use crate::DropReason;
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{DNSClass, RData, Record, RecordType};
 
-/// An answer that belongs to its question.
+/// An answer that matches its query.
 #[derive(Clone, Debug)]
 pub(crate) struct Reply {
     pub code: ResponseCode,
     pub truncated: bool,
     pub answers: Vec<Record>,
     pub additionals: Vec<Record>,
-    /// Lifetime of a negative answer by its SOA record (RFC 2308 section 5); none without one.
-    pub negative: Option<u32>,
-    /// It says neither yes nor no, and sends elsewhere: its server is no resolver for this name.
+    /// Lifetime of a negative answer in seconds, from the SOA record (RFC 2308 section 5); none without one.
+    pub negative_ttl: Option<u32>,
+    /// It is a referral to other name servers without an answer: the sender is no resolver for this name.
     pub lame: bool,
 }
 
-/// The question's bytes; without EDNS for servers that do not know it (RFC 6891 section 6.2.2).
-pub(crate) fn write(id: u16, want: &Want, udp_size: Option<u16>) -> Option<Vec<u8>> {
+/// Encodes a query. `udp_size` is none for servers that don't support EDNS (RFC 6891 section 6.2.2).
+pub(crate) fn encode_query(id: u16, question: &Question, udp_size: Option<u16>) -> Option<Vec<u8>> {
     let mut message = Message::new();
     message
         .set_id(id)
         .set_message_type(MessageType::Query)
         .set_op_code(OpCode::Query)
         .set_recursion_desired(true)
-        .add_query(Query::query(want.name.clone(), want.kind));
+        .add_query(Query::query(question.name.clone(), question.kind));
     if let Some(size) = udp_size {
         let mut edns = Edns::new();
         edns.set_max_payload(size);
@@ -35,46 +36,52 @@
     message.to_vec().ok()
 }
 
-/// Reads an answer and checks that it is one to this question.
-pub(crate) fn read(id: u16, want: &Want, bytes: &[u8], most_records: usize) -> Result<Reply, DropReason> {
-    // The id alone first: what is not ours is not worth reading.
-    let told = bytes.get(..2).map(|b| u16::from_be_bytes([b[0], b[1]])).ok_or(DropReason::Malformed)?;
-    if told != id {
+/// Decodes an answer and checks that it matches the query with this id and question.
+pub(crate) fn decode_reply(
+    id: u16,
+    question: &Question,
+    bytes: &[u8],
+    max_records: usize,
+) -> Result<Reply, DropReason> {
+    // The id is checked first, so that messages of other queries are not decoded at all.
+    let message_id = bytes.get(..2).map(|b| u16::from_be_bytes([b[0], b[1]])).ok_or(DropReason::Malformed)?;
+    if message_id != id {
         return Err(DropReason::WrongId);
     }
     let message = Message::from_vec(bytes).map_err(|_| DropReason::Malformed)?;
     if message.message_type() != MessageType::Response || message.op_code() != OpCode::Query {
         return Err(DropReason::NoAnswer);
     }
-    let [asked] = message.queries() else { return Err(DropReason::WrongQuestion) };
-    let same =
-        asked.name() == &want.name && asked.query_type() == want.kind && asked.query_class() == DNSClass::IN;
-    if !same {
+    let [echoed] = message.queries() else { return Err(DropReason::WrongQuestion) };
+    let same_question = echoed.name() == &question.name
+        && echoed.query_type() == question.kind
+        && echoed.query_class() == DNSClass::IN;
+    if !same_question {
         return Err(DropReason::WrongQuestion);
     }
     let sections = [message.answers(), message.name_servers(), message.additionals()];
-    if sections.iter().map(|s| s.len()).sum::<usize>() > most_records {
+    if sections.iter().map(|s| s.len()).sum::<usize>() > max_records {
         return Err(DropReason::TooLarge);
     }
-    let soa = message.name_servers().iter().find_map(|r| match r.data() {
+    let soa_ttl = message.name_servers().iter().find_map(|r| match r.data() {
         RData::SOA(soa) => Some(soa.minimum().min(r.ttl())),
         _ => None,
     });
-    let refers = message.name_servers().iter().any(|r| r.record_type() == RecordType::NS);
+    let has_ns = message.name_servers().iter().any(|r| r.record_type() == RecordType::NS);
     let lame = message.response_code() == ResponseCode::NoError
         && message.answers().is_empty()
-        && soa.is_none()
-        && refers
+        && soa_ttl.is_none()
+        && has_ns
         && !message.authoritative();
-    let ours = |records: &[Record]| -> Vec<Record> {
+    let internet_records = |records: &[Record]| -> Vec<Record> {
         records.iter().filter(|r| r.dns_class() == DNSClass::IN).cloned().collect()
     };
     Ok(Reply {
         code: message.response_code(),
         truncated: message.truncated(),
-        answers: ours(message.answers()),
-        additionals: ours(message.additionals()),
-        negative: soa,
+        answers: internet_records(message.answers()),
+        additionals: internet_records(message.additionals()),
+        negative_ttl: soa_ttl,
         lame,
     })
 }
