--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -48,7 +48,7 @@
 impl ClientConnection {
     fn new(now: f64) -> ClientConnection {
         ClientConnection {
-            framer: Framer::with_longest_body(MAX_LINE),
+            framer: Framer::with_max_body(MAX_LINE),
             opened_at: now,
             usage: Usage::None,
             last_at: now,
--- a/crates/signalling/benches/message.rs
+++ b/crates/signalling/benches/message.rs
@@ -1,4 +1,5 @@
-//! Cost of a message: `cargo bench -p shalespindle-signalling`. Figures are of the machine at hand.
+//! Measures the time to parse and write a message: `cargo bench -p shalespindle-signalling`. The results
+//! depend on the machine.
 
 use shalespindle_signalling::message::Message;
 use shalespindle_signalling::write::{ResponseHead, Writer};
@@ -12,6 +13,7 @@
     Session-ID: 0123456789abcdef0123456789abcdef;remote=00000000000000000000000000000000\r\nExpires: 3\r\n\
     Resource-Priority: wps.2\r\nContent-Length: 0\r\n\r\n";
 
+/// Prints the shortest mean time of five rounds.
 fn time(what: &str, mut run: impl FnMut()) {
     const ROUNDS: u32 = 200_000;
     let mut best = f64::INFINITY;
@@ -30,11 +32,11 @@
     });
     time("read it with Via, CSeq, number and trunk group", || {
         if let Ok(message) = Message::parse(black_box(bytes)) {
-            black_box((message.via().is_ok(), message.cseq().is_ok(), message.called()));
+            black_box((message.via().is_ok(), message.cseq().is_ok(), message.called_party()));
         }
     });
     let Ok(message) = Message::parse(bytes) else { return };
-    let head = ResponseHead::of(&message, "own");
+    let head = ResponseHead::for_request(&message, "own");
     time("write its 200", || {
         black_box(Writer::response(200, &head).with("Contact", "<sip:front>").finish());
     });
--- a/crates/transport/src/names.rs
+++ b/crates/transport/src/names.rs
@@ -1,15 +1,15 @@
-//! What sockets report of questions, as the resolver takes it.
+//! Converts what happens to DNS queries into input of the resolver.
 
-use shalespindle_sockets::Report;
+use shalespindle_sockets::QueryEvent;
 use shalespindle_srv::ResolverInput;
 
-/// The same report in the resolver's words.
-pub fn as_in(report: &Report) -> ResolverInput<'_> {
-    match report {
-        Report::Datagram { ticket, from, bytes } => {
+/// Converts an event of a query's socket into input of the resolver.
+pub fn resolver_input(event: &QueryEvent) -> ResolverInput<'_> {
+    match event {
+        QueryEvent::Datagram { ticket, from, bytes } => {
             ResolverInput::Datagram { ticket: *ticket, from: *from, bytes }
         }
-        Report::Bytes { ticket, bytes } => ResolverInput::Stream { ticket: *ticket, bytes },
-        Report::Lost { ticket } => ResolverInput::SocketLost { ticket: *ticket },
+        QueryEvent::Bytes { ticket, bytes } => ResolverInput::Stream { ticket: *ticket, bytes },
+        QueryEvent::Failed { ticket } => ResolverInput::SocketLost { ticket: *ticket },
     }
 }
