--- a/crates/peer-service/src/owner.rs
+++ b/crates/peer-service/src/owner.rs
@@ -155,6 +155,7 @@
         self.addresses.keys().copied().collect()
     }
 
+    /// The name of a front, or its id in hexadecimal if the name is unknown.
     fn name(&self, front: FrontId) -> String {
         self.names.get(&front).cloned().unwrap_or_else(|| format!("{:016x}", front.0))
     }
@@ -170,6 +171,7 @@
     received_bytes: u64,
 }
 
+/// The state of the owner's thread.
 pub(crate) struct Owner {
     pub fleet: Fleet,
     pub sites: Option<SitesDriver>,
@@ -186,6 +188,7 @@
 }
 
 impl Owner {
+    /// Runs until [`OwnerMessage::Leave`].
     pub fn run(mut self) {
         loop {
             let sites = self.sites.as_ref().map_or(f64::INFINITY, |sites| sites.core.next_tick_at());
@@ -348,7 +351,7 @@
             }
             Change::Renewed { incarnation } => warn!(
                 target: "shalespindle::fleet", number = incarnation.number,
-                "peers know a later incarnation of this front: a clock set back, or another process of its name"
+                "peers know a later incarnation of this front: a clock set back, or a second process"
             ),
             Change::Silenced => tracing::error!(
                 target: "shalespindle::fleet",
--- a/crates/peer-store/tests/interleavings.rs
+++ b/crates/peer-store/tests/interleavings.rs
@@ -108,8 +108,8 @@
     assert!(fails || lost == 0, "{offered:?}, written {written:?}");
     // The write after a failed one is complete.
     let mut complete_after_failure = true;
-    for (place, write) in offered.iter().enumerate().skip(1) {
-        let before = offered[place - 1];
+    for (index, write) in offered.iter().enumerate().skip(1) {
+        let before = offered[index - 1];
         complete_after_failure &= written.contains(&before) || write.1;
     }
     assert!(complete_after_failure, "{offered:?}, written {written:?}, {failed} failures reported");
--- a/crates/peer-wire/src/lib.rs
+++ b/crates/peer-wire/src/lib.rs
@@ -170,6 +170,7 @@
         self.frame(COORDINATOR_VERSION, FrontId(to.0), incarnation, message)
     }
 
+    /// Encodes the envelope and puts the header in front of it.
     fn frame(
         &mut self,
         version: u8,
