--- a/crates/peer-service/src/sites.rs
+++ b/crates/peer-service/src/sites.rs
@@ -35,7 +35,7 @@
             }
             Output::CutOff(true) => warn!(
                 target: "shalespindle::sites",
-                "at most half of the fleet is received: this front declares no site lost, acts on its own view"
+                "at most half of the fleet is received: no site is declared lost, acting on its own view"
             ),
             Output::CutOff(false) => {
                 info!(
