--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,6 +1,6 @@
-//! The command line.
+//! Command-line arguments and the dispatch of sub-commands.
 
-use crate::{console, kept, lab, live, resolve, run};
+use crate::{console, lab, live, resolve, run, stored_state};
 use clap::{Args, Parser, Subcommand};
 use shalespindle_console::Ask;
 use std::path::PathBuf;
@@ -19,94 +19,95 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// One front in service.
+    /// Runs one front with settings from a TOML file.
     Run {
         #[arg(long)]
         config: PathBuf,
     },
-    /// One live front on the operators' platform, as its environment says.
+    /// Runs one live front on the operators' platform, configured by environment variables and a JSON file.
     Live {
-        /// The file that tells of the front, as JSON.
+        /// The JSON configuration file of the front.
         #[arg(long, env = "ROUTER_CONFIG")]
         config: PathBuf,
-        /// Where callers connect; the file's address where it is left out.
+        /// The address on which callers connect; defaults to the address in the file.
         #[arg(long, env = "ROUTER_LISTEN")]
         listen: Option<std::net::SocketAddr>,
-        /// The front's name in the log; the file's where it is left out.
+        /// The front's name in the log; defaults to the name in the file.
         #[arg(long, env = "ROUTER_NAME")]
         name: Option<String>,
     },
-    /// Checks settings and starts nothing.
+    /// Validates settings without starting a front.
     Check {
         #[arg(long)]
         config: PathBuf,
     },
-    /// What a running front is at: level of reduced service, attaches, counters.
+    /// Shows the state of a running front: level of reduced service, attaches, counters.
     Status {
         #[command(flatten)]
-        front: console::Which,
+        front: console::FrontSelector,
         #[arg(long)]
         json: bool,
     },
-    /// Each server that a running front knows: what the pool list and DNS say of it, and the verdict.
+    /// Lists the servers that a running front knows: their state in the pool list and in DNS, and the
+    /// resulting state.
     Members {
         #[command(flatten)]
-        front: console::Which,
+        front: console::FrontSelector,
         #[arg(long)]
         json: bool,
     },
-    /// Holds a level of reduced service of a running front for a time; it falls back by itself.
+    /// Pins a level of reduced service on a running front for a time; the pin expires automatically.
     Pin {
-        /// 0 is full service.
+        /// The level to pin; 0 is full service.
         level: usize,
-        /// With its unit, such as 5m.
-        #[arg(long = "for")]
-        lasts: humantime::Duration,
-        /// On all fronts of its fleet.
+        /// How long the pin lasts, with its unit, such as 5m.
+        #[arg(long = "for", value_name = "LASTS")]
+        duration: humantime::Duration,
+        /// Applies to all fronts of the front's fleet.
         #[arg(long)]
         fleet: bool,
         #[command(flatten)]
-        front: console::Which,
+        front: console::FrontSelector,
     },
-    /// Ends a pin before its time.
+    /// Removes a pin before it expires.
     Unpin {
-        /// On all fronts of its fleet.
+        /// Applies to all fronts of the front's fleet.
         #[arg(long)]
         fleet: bool,
         #[command(flatten)]
-        front: console::Which,
+        front: console::FrontSelector,
     },
-    /// The other fronts, as a running front knows them.
+    /// Shows and controls the fleet of a running front.
     Fleet {
         #[command(subcommand)]
         command: Fleet,
     },
-    /// Looks an SRV name up as a front would, step by step.
+    /// Looks up an SRV name the way a front does and prints each step.
     Resolve {
-        /// Such as _sip._tcp.auth.example.org.
+        /// The SRV name, such as _sip._tcp.auth.example.org.
         name: String,
-        /// A name server; may be given several times.
+        /// Address of a name server; may be given several times.
         #[arg(long = "server", required = true)]
         servers: Vec<std::net::SocketAddr>,
-        /// Longest wait for each try.
+        /// Timeout of each query.
         #[arg(long, default_value = "1s")]
         within: humantime::Duration,
     },
     /// Prints the JSON schema of the settings.
     Schema {
-        /// The schema of a line of the pool list's feed instead.
+        /// Prints the schema of a line of the pool list's feed instead.
         #[arg(long)]
         feed: bool,
     },
-    /// Scripted servers and a pool list, as a scenario describes them, until a signal ends them.
+    /// Runs the scripted servers and the pool list of a scenario until SIGTERM or SIGINT.
     Standin {
         #[arg(long)]
         config: PathBuf,
-        /// Where the first front finds the feed of the pool list; further fronts on the ports after it.
+        /// Address of the pool list's feed for the first front; further fronts use the following ports.
         #[arg(long, default_value = "127.0.0.1:7060")]
         feed: std::net::SocketAddr,
     },
-    /// The laboratory.
+    /// Simulations, trials and measurements.
     Lab {
         #[command(subcommand)]
         command: Lab,
@@ -115,34 +116,35 @@
 
 #[derive(Subcommand)]
 pub enum Fleet {
-    /// Peers with their states, what is held of each, and counts.
+    /// Shows the peers with their states, the size of the local replica of each, and counters.
     Status {
         #[command(flatten)]
-        front: console::Which,
+        front: console::FrontSelector,
         #[arg(long)]
         json: bool,
     },
-    /// An operator's word on a site, for all fronts of the fleet.
+    /// Sends an operator's order about a site to all fronts of the fleet.
     Site {
-        /// As [[sites]] names it.
+        /// Name of the site in [[sites]].
         name: String,
         #[arg(value_enum)]
         order: SiteOrder,
-        /// How long `lost` and `keep-out` hold, with the unit, such as 10m.
-        #[arg(long = "for", default_value = "10m")]
-        lasts: humantime::Duration,
+        /// How long `lost` and `keep-out` last, with the unit, such as 10m.
+        #[arg(long = "for", value_name = "LASTS", default_value = "10m")]
+        duration: humantime::Duration,
         #[command(flatten)]
-        front: console::Which,
+        front: console::FrontSelector,
     },
-    /// Servers of which fronts were told different things, and what counts; exit code 1 where there are any.
+    /// Lists servers whose states differ between the fronts' pool lists, and the effective state of each. The
+    /// exit code is 1 if there are any.
     Diff {
         #[command(flatten)]
-        front: console::Which,
+        front: console::FrontSelector,
         #[arg(long)]
         json: bool,
     },
-    /// What a front that is not running has kept on disk (`fleet.keep_file`), all of it checked; exit code 1 where
-    /// something of it would not be taken.
+    /// Checks and summarizes the state that a stopped front has stored on disk (`fleet.keep_file`). The exit
+    /// code is 1 if any of it would be rejected at the next start.
     Kept {
         #[arg(long)]
         config: PathBuf,
@@ -151,199 +153,207 @@
     },
 }
 
-/// What an operator wants of a site.
+/// An operator's order about a site.
 #[derive(Clone, Copy, clap::ValueEnum)]
 pub enum SiteOrder {
-    /// It counts as lost, whatever fronts see.
+    /// The site is treated as lost, whatever the fronts observe.
     Lost,
-    /// Nothing new goes to its servers, from no front.
+    /// No front sends new attaches to its servers.
     KeepOut,
-    /// It returns, step by step, from now on.
+    /// The site returns to service in steps, starting now.
     Return,
 }
 
 #[derive(Subcommand)]
 pub enum Lab {
-    /// Fronts, stand-ins and callers on loopback sockets; the rules are checked.
+    /// Plays a scenario with fronts, stand-ins and callers on loopback sockets and checks the routing rules.
     Play {
         scenario: PathBuf,
         #[command(flatten)]
-        with: RunWith,
-        /// All fronts inside this process instead of one process each; none can be killed or stopped then.
+        with: RunOptions,
+        /// Runs all fronts inside this process instead of one process each; then none can be killed or
+        /// stopped.
         #[arg(long)]
         inside: bool,
-        /// Fronts without levels of reduced service.
+        /// Disables the levels of reduced service.
         #[arg(long)]
         without_levels: bool,
     },
-    /// The same scenario under virtual time.
+    /// Simulates a scenario under virtual time.
     Sim {
         scenario: PathBuf,
         #[command(flatten)]
-        with: RunWith,
-        /// A baseline in place of the decision module.
+        with: RunOptions,
+        /// Replaces the decision module with a baseline.
         #[arg(long, value_enum)]
         baseline: Option<lab::Baseline>,
-        /// Another number of fronts.
+        /// Overrides the number of fronts.
         #[arg(long)]
         fronts: Option<usize>,
-        /// Without the fleet's plan for the scenario's sites.
+        /// `off` disables the fleet's plan for the scenario's sites.
         #[arg(long, value_enum, default_value = "on")]
         plan: lab::Plan,
     },
-    /// Two scenarios, or one against a baseline, paired by seed under virtual time.
+    /// Compares two scenarios, or one with a baseline, in runs paired by seed under virtual time.
     Compare {
         a: PathBuf,
-        /// The other scenario; the same one where it is left out.
+        /// The other scenario; defaults to the first one.
         b: Option<PathBuf>,
-        /// Seeds, from --seed on.
+        /// Number of pairs; seeds count up from --seed.
         #[arg(long, default_value_t = 20)]
         pairs: u64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Another period of the scenarios' repeated troubles, seconds; they last half of it.
+        /// Overrides the period of the scenarios' repeated faults, in seconds; each lasts half of it.
         #[arg(long)]
         period: Option<f64>,
-        /// On loopback sockets instead of virtual time, so many pairs at once.
+        /// Runs on loopback sockets instead of under virtual time, with this many pairs at once; 0 is virtual
+        /// time.
         #[arg(long, default_value_t = 0)]
         sockets: usize,
-        /// B runs without levels of reduced service.
+        /// Disables the levels of reduced service in B.
         #[arg(long, conflicts_with = "baseline")]
         without_levels: bool,
-        /// `off`: B runs without the fleet's plan for sites.
+        /// `off` disables the fleet's plan for sites in B.
         #[arg(long, value_enum, default_value = "on")]
         plan: lab::Plan,
-        /// Another number of fronts in both.
+        /// Overrides the number of fronts in both.
         #[arg(long)]
         fronts: Option<usize>,
-        /// B runs with a baseline in place of the decision module.
+        /// Replaces the decision module with a baseline in B.
         #[arg(long, value_enum)]
         baseline: Option<lab::Baseline>,
     },
-    /// A table over numbers of fronts and kinds of trouble: the module against the baselines.
+    /// Prints a table of the decision module against the baselines, by number of fronts and kind of fault.
     Scale {
-        /// Its load, servers and callers; its troubles are replaced by one of each kind.
+        /// Gives load, servers and callers; its faults are replaced by one of each kind.
         scenario: PathBuf,
         #[arg(long, value_delimiter = ',', default_value = "8,64,281")]
         fronts: Vec<usize>,
-        /// Names as scenarios write them; all of them where left out.
+        /// Kinds of fault as scenarios name them; defaults to all.
         #[arg(long, value_delimiter = ',')]
         kinds: Vec<shalespindle_lab::scenario::TroubleKind>,
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
-    /// The name server in each of its scripts on sockets, checked against the membership table.
+    /// Runs the stand-in name server in each of its scripts on sockets and checks the resulting membership.
     Names {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Runs at once.
+        /// Number of concurrent runs.
         #[arg(long, default_value_t = 6)]
         at_once: usize,
     },
-    /// Every sequence of events of two sources to a depth, through the membership module itself.
+    /// Checks the membership module with every sequence of events of two sources up to a depth.
     Walk {
         #[arg(long, default_value_t = 5)]
         depth: usize,
     },
-    /// Fronts of one fleet as processes, faults on every path between them by seed; copies are checked at the end.
+    /// Runs the fronts of one fleet as processes with seeded faults on the paths between them, and checks
+    /// that their replicas agree at the end.
     Fleet {
         #[arg(long, default_value_t = 5)]
         fronts: usize,
-        /// Faults and news, three beats apart.
+        /// Number of faults and list changes, three heartbeats apart.
         #[arg(long, default_value_t = 40)]
         steps: usize,
         #[command(flatten)]
-        with: RunWith,
+        with: RunOptions,
     },
-    /// How what crosses between fronts grows with the fleet, under virtual time: bytes a second, the spread of a
-    /// warning, the catching up of a front that returns empty. One JSON line a size.
+    /// Measures under virtual time how traffic between fronts grows with the fleet: bytes per second, the
+    /// propagation time of a warning, the catch-up of a front that restarts without state. Prints one JSON
+    /// line per size.
     FleetSize {
         #[arg(long, num_args = 1.., default_values_t = [8, 64])]
         fronts: Vec<usize>,
-        /// Real processes of this program instead, idle, for so many seconds: what simulated fronts are held against.
+        /// Measures idle processes of this program for this many seconds instead, as a reference for
+        /// simulated fronts.
         #[arg(long, value_name = "SECONDS")]
         processes: Option<f64>,
-        /// Simulated fronts as clients of so many coordinators instead of each other's peers.
+        /// Makes the simulated fronts clients of this many coordinators instead of peers of each other.
         #[arg(long, conflicts_with = "processes")]
         coordinators: Option<usize>,
-        /// What happens to fronts with coordinators.
+        /// The course of a run with coordinators.
         #[arg(long, value_enum, default_value_t = shalespindle_lab::coordinated::Scenario::Steady)]
         scenario: shalespindle_lab::coordinated::Scenario,
-        /// Calls that stand in the whole fleet.
+        /// Number of established calls in the whole fleet.
         #[arg(long, default_value_t = 1000)]
         calls: u64,
-        /// Calls that begin at each front in a second.
+        /// New calls per second at each front.
         #[arg(long, default_value_t = 1.0)]
         calls_a_second: f64,
-        /// Part of the frames that is lost.
+        /// Fraction of frames lost.
         #[arg(long, default_value_t = 0.01)]
         loss: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// A call along many fronts, under virtual time: tries at the last server, added time, and what runs for nobody, for
-    /// 0.1%, 1% and 10% of the tries failing at one hop and at all. One JSON line a case.
+    /// Simulates calls along a chain of fronts under virtual time, with 0.1%, 1% and 10% of the tries failing
+    /// at one hop and at all hops. Prints one JSON line per case: tries at the last server, added time, and
+    /// work done for callers that have given up.
     Chain {
         #[arg(long, default_value_t = 18)]
         hops: usize,
         #[arg(long, default_value_t = 2000)]
         calls: u32,
-        /// Seconds that callers wait.
+        /// Patience of the callers, in seconds.
         #[arg(long, default_value_t = 9.0)]
         patience: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Writes the tables of the capacity page from the runs kept beside it.
+    /// Writes the tables of the capacity page from the stored runs.
     CapacityPage {
         #[arg(long, default_value = "docs/capacity")]
         data: PathBuf,
         #[arg(long, default_value = "docs/CAPACITY.md")]
         page: PathBuf,
     },
-    /// The embedded scripted bad day, on sockets.
+    /// Plays the embedded bad-day scenario on sockets.
     BadDay {
         #[command(flatten)]
-        with: RunWith,
+        with: RunOptions,
     },
-    /// Attaches a second through one front against a bare relay on the same sockets, and what a front adds.
+    /// Measures attaches per second through one front and through a bare relay on the same sockets, and the
+    /// latency that a front adds.
     Throughput {
-        /// Seconds of each measurement.
+        /// Length of each measurement, in seconds.
         #[arg(long, default_value_t = 5.0)]
         seconds: f64,
         #[arg(long, default_value_t = 3)]
         rounds: usize,
-        /// Set-ups a second instead of as many as go: relay and front in turn, what the front adds.
+        /// Fixed rate of set-ups per second instead of the maximum; prints the latency that a front adds to a
+        /// relay.
         #[arg(long, conflicts_with = "fleet")]
         rate: Option<f64>,
         /// Servers in scope, with --rate.
         #[arg(long, default_value_t = 16, requires = "rate")]
         servers: usize,
-        /// What telling other fronts costs instead: a front alone against one of four that tell each other.
+        /// Measures the cost of replication instead: a single front against one of a fleet of four.
         #[arg(long)]
         fleet: bool,
     },
 }
 
 #[derive(Args, Clone)]
-pub struct RunWith {
+pub struct RunOptions {
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Folder for settings, logs and the trace; a temporary one where it is left out.
+    /// Folder for settings, logs and the trace; defaults to a temporary one.
     #[arg(long)]
     pub out: Option<PathBuf>,
 }
 
 impl Cli {
     pub fn run(self) -> ExitCode {
-        let done = match self.command {
+        let result = match self.command {
             Command::Run { config } => run::run(&config),
             Command::Live { config, listen, name } => live::run(&config, listen, name),
             Command::Check { config } => run::check(&config),
             Command::Status { front, json } => console::ask(&front, &Ask::Status, json),
             Command::Members { front, json } => console::ask(&front, &Ask::Members, json),
-            Command::Pin { level, lasts, fleet, front } => {
-                let seconds = lasts.as_secs_f64();
+            Command::Pin { level, duration, fleet, front } => {
+                let seconds = duration.as_secs_f64();
                 let ask = match fleet {
                     true => Ask::PinFleet { level: Some(level), seconds },
                     false => Ask::PinLevel { level, seconds },
@@ -357,23 +367,23 @@
             Command::Fleet { command: Fleet::Status { front, json } } => {
                 console::ask(&front, &Ask::Fleet, json)
             }
-            Command::Fleet { command: Fleet::Site { name, order, lasts, front } } => {
+            Command::Fleet { command: Fleet::Site { name, order, duration, front } } => {
                 let order = match order {
                     SiteOrder::Lost => shalespindle_console::Order::Lost,
                     SiteOrder::KeepOut => shalespindle_console::Order::KeepOut,
                     SiteOrder::Return => shalespindle_console::Order::Return,
                 };
-                console::ask(&front, &Ask::Site { name, order, seconds: lasts.as_secs_f64() }, false)
+                console::ask(&front, &Ask::Site { name, order, seconds: duration.as_secs_f64() }, false)
             }
-            Command::Fleet { command: Fleet::Kept { config, json } } => kept::kept(&config, json),
+            Command::Fleet { command: Fleet::Kept { config, json } } => stored_state::show(&config, json),
             Command::Fleet { command: Fleet::Diff { front, json } } => console::diff(&front, json),
             Command::Resolve { name, servers, within } => resolve::resolve(&name, &servers, *within),
             Command::Schema { feed } => run::schema(feed),
             Command::Standin { config, feed } => lab::standin(&config, feed),
             Command::Lab { command } => lab::lab(command),
         };
-        done.unwrap_or_else(|why| {
-            eprintln!("shalespindle: {why}");
+        result.unwrap_or_else(|error| {
+            eprintln!("shalespindle: {error}");
             ExitCode::FAILURE
         })
     }
--- a/crates/cli/src/console.rs
+++ b/crates/cli/src/console.rs
@@ -1,4 +1,4 @@
-//! Questions to a running front.
+//! Requests to the console socket of a running front.
 
 use crate::commands::BAD_INPUT;
 use crate::run::settings;
@@ -9,21 +9,21 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-const WITHIN: Duration = Duration::from_secs(10);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Which front is asked.
+/// Selects the front to which a request is sent.
 #[derive(Args)]
 #[group(required = true, multiple = false)]
-pub struct Which {
-    /// Its settings; `console.socket` names the socket.
+pub struct FrontSelector {
+    /// Settings file of the front; `console.socket` gives the path of the socket.
     #[arg(long)]
     config: Option<PathBuf>,
-    /// Its console's socket.
+    /// Path of the front's console socket.
     #[arg(long)]
     socket: Option<PathBuf>,
 }
 
-impl Which {
+impl FrontSelector {
     fn socket(&self) -> Result<PathBuf, ExitCode> {
         if let Some(socket) = &self.socket {
             return Ok(socket.clone());
@@ -36,18 +36,19 @@
     }
 }
 
-/// Puts a question; the code to end with where the settings name no socket.
-fn put(front: &Which, question: &Ask) -> io::Result<Result<Reply, ExitCode>> {
+/// Sends a request and waits for the reply. The inner error is the process's exit code when no socket is
+/// known.
+fn send(front: &FrontSelector, request: &Ask) -> io::Result<Result<Reply, ExitCode>> {
     let socket = match front.socket() {
         Ok(socket) => socket,
         Err(code) => return Ok(Err(code)),
     };
-    shalespindle_console::ask(&socket, question, WITHIN).map(Ok).map_err(io::Error::other)
+    shalespindle_console::ask(&socket, request, REPLY_TIMEOUT).map(Ok).map_err(io::Error::other)
 }
 
-/// Puts a question and prints the answer; a refusal or an unreachable front is a failure.
-pub fn ask(front: &Which, question: &Ask, json: bool) -> io::Result<ExitCode> {
-    let reply = match put(front, question)? {
+/// Sends a request and prints the reply. A refused request is a failure.
+pub fn ask(front: &FrontSelector, request: &Ask, json: bool) -> io::Result<ExitCode> {
+    let reply = match send(front, request)? {
         Ok(reply) => reply,
         Err(code) => return Ok(code),
     };
@@ -61,10 +62,11 @@
     })
 }
 
-/// Servers of which fronts were told different things; a failure where there are any.
-pub fn diff(front: &Which, json: bool) -> io::Result<ExitCode> {
-    let standing = match put(front, &Ask::Fleet)? {
-        Ok(Reply::Fleet(standing)) => standing,
+/// Prints the servers whose states differ between the fronts' pool lists; exits with a failure if there are
+/// any.
+pub fn diff(front: &FrontSelector, json: bool) -> io::Result<ExitCode> {
+    let fleet = match send(front, &Ask::Fleet)? {
+        Ok(Reply::Fleet(fleet)) => fleet,
         Ok(other) => {
             println!("{other}");
             return Ok(ExitCode::FAILURE);
@@ -72,8 +74,8 @@
         Err(code) => return Ok(code),
     };
     match json {
-        true => println!("{}", serde_json::to_string(&standing.differ)?),
-        false => print!("{}", differences(&standing)),
+        true => println!("{}", serde_json::to_string(&fleet.differ)?),
+        false => print!("{}", differences(&fleet)),
     }
-    Ok(if standing.differ.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if fleet.differ.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,6 +1,6 @@
-//! The laboratory's commands.
+//! `lab` and `standin`: simulations, trials, measurements and scripted servers.
 
-use crate::commands::{Lab, RunWith, BAD_INPUT};
+use crate::commands::{Lab, RunOptions, BAD_INPUT};
 use clap::ValueEnum;
 use shalespindle_lab::baseline::Pick;
 use shalespindle_lab::compare::{compare, Variant, Where};
@@ -16,33 +16,34 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Regions of a simulated fleet.
+/// Number of regions in a simulated fleet with coordinators.
 const REGIONS: usize = 3;
 
-/// Routers that only the lab knows.
+/// Simple routing policies to which the decision module is compared.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum Baseline {
-    /// Any allowed pool in service, at random.
+    /// Picks any allowed pool in service at random.
     Random,
-    /// Of two drawn at random the one with fewer set-ups of this front out.
+    /// Draws two pools at random and picks the one with fewer outstanding set-ups of this front.
     LeastOfTwo,
-    /// The first choice while it is in service.
+    /// Picks the first choice while it is in service.
     FirstChoice,
 }
 
-/// The fleet's plan for the loss of a site.
+/// Whether the fleet's plan for the loss of a site is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Plan {
     On,
     Off,
 }
 
-/// The same scenario with another number of fronts.
+/// Overrides the number of fronts of a scenario.
 fn with_fronts(mut scenario: Scenario, fronts: Option<usize>) -> Scenario {
     scenario.fleet.fronts = fronts.unwrap_or(scenario.fleet.fronts).clamp(1, 1000);
     scenario
 }
 
+/// Reads a scenario and prints an error on standard error.
 fn scenario(path: &Path) -> Result<Scenario, ExitCode> {
     Scenario::load(path).map_err(|why| {
         eprintln!("{}: {why}", path.display());
@@ -59,6 +60,7 @@
     }
 }
 
+/// Runs a `lab` command.
 pub fn lab(command: Lab) -> io::Result<ExitCode> {
     match command {
         Lab::Play { scenario: path, with, inside, without_levels } => match scenario(&path) {
@@ -87,16 +89,16 @@
                 let steps = LevelSteps::of(&run.levels, scenario.fleet.fronts);
                 println!("{steps}");
                 println!("{}", Knowledge::of_run(&run, scenario.fleet.fronts));
-                let apart = steps.apart_by(scenario.levels.least_stay.seconds());
-                if !apart {
+                let spacing_kept = steps.apart_by(scenario.levels.least_stay.seconds());
+                if !spacing_kept {
                     println!("levels changed sooner than levels.least_stay");
                 }
-                Ok(if apart { told(&run.report)? } else { ExitCode::FAILURE })
+                Ok(if spacing_kept { print_report(&run.report)? } else { ExitCode::FAILURE })
             }
             Err(code) => Ok(code),
         },
         Lab::Compare { a, b, pairs, seed, without_levels, baseline, period, sockets, plan, fronts } => {
-            let with = match (without_levels, plan) {
+            let variant_of_b = match (without_levels, plan) {
                 (true, _) => Variant::WithoutLevels,
                 (_, Plan::Off) => Variant::WithoutPlan,
                 _ => variant(baseline),
@@ -113,7 +115,8 @@
                         first.set_period(period);
                         second.set_period(period);
                     }
-                    let result = compare((&first, Variant::Module), (&second, with), place, seed, pairs)?;
+                    let result =
+                        compare((&first, Variant::Module), (&second, variant_of_b), place, seed, pairs)?;
                     print!("{result}");
                     Ok(if result.rules_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
                 }
@@ -122,7 +125,7 @@
         }
         Lab::Fleet { fronts, steps, with } => {
             if !(2..=64).contains(&fronts) {
-                eprintln!("--fronts is {fronts}; 2 to 64 are allowed");
+                eprintln!("--fronts is {fronts}; it must be between 2 and 64");
                 return Ok(ExitCode::from(BAD_INPUT));
             }
             let shape = FleetShape::new(std::env::current_exe()?, fronts, with.seed);
@@ -136,9 +139,9 @@
                 println!("{:?} {:?}: servers {:?}", case.script, case.when, case.used);
                 case.faults.iter().take(5).for_each(|fault| println!("  {fault}"));
             })?;
-            let bad = cases.iter().filter(|c| !c.faults.is_empty()).count();
-            println!("{} runs, {bad} not as documented", cases.len());
-            Ok(if bad == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            let failed = cases.iter().filter(|c| !c.faults.is_empty()).count();
+            println!("{} runs, {failed} not as documented", cases.len());
+            Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
         Lab::Scale { scenario: path, fronts, kinds, seeds } => {
             let base = match scenario(&path) {
@@ -150,7 +153,7 @@
             Ok(if table.rules_kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
         Lab::Walk { depth } => {
-            let begin = std::time::Instant::now();
+            let start = std::time::Instant::now();
             let walked = walk::walk(depth, None, 10);
             for broken in &walked.broken {
                 println!("{}: {:?}", broken.what, broken.path);
@@ -159,7 +162,7 @@
                 "{} states, {} broken, {:.1} s",
                 walked.states,
                 walked.broken.len(),
-                begin.elapsed().as_secs_f64()
+                start.elapsed().as_secs_f64()
             );
             Ok(if walked.broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
@@ -200,6 +203,7 @@
     }
 }
 
+/// Fills the tables of the capacity page from the stored runs.
 fn capacity_page(data: &Path, page: &Path) -> io::Result<ExitCode> {
     let text = std::fs::read_to_string(page)?;
     let filled = capacity::Runs::read(data)
@@ -214,6 +218,7 @@
     }
 }
 
+/// Measures chains of fronts, one JSON line per share of failing tries and place of failure.
 fn chains(hops: usize, calls: u32, patience: f64, seed: u64) -> io::Result<ExitCode> {
     for at in [chain::Failing::OneHop, chain::Failing::AllHops] {
         for failing in [0.001, 0.01, 0.1] {
@@ -224,7 +229,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// One JSON line a size; fails where a front was left behind, went back, or something deleted came back.
+/// Prints one JSON line per size. Fails if a front lagged behind at the end, regressed to older state, or a
+/// deleted item reappeared.
 fn coordinated_sizes(
     fronts: &[usize],
     coordinators: usize,
@@ -234,22 +240,23 @@
 ) -> io::Result<ExitCode> {
     if coordinators == 0 || !coordinators.is_multiple_of(REGIONS) {
         eprintln!(
-            "--coordinators is {coordinators}; a multiple of {REGIONS} is allowed, as many for each region"
+            "--coordinators is {coordinators}; it must be a multiple of {REGIONS}, the same number for each region"
         );
         return Ok(ExitCode::from(BAD_INPUT));
     }
-    let mut is_kept = true;
+    let mut all_converged = true;
     for fronts in fronts {
         let mut shape = coordinated::CoordinatedShape::new(*fronts, coordinators, scenario, seed);
         shape.loss = loss;
         let cost = coordinated::measure(&shape);
         println!("{}", serde_json::to_string(&cost)?);
-        is_kept &= cost.behind == 0 && cost.went_back == 0 && cost.resurrected == 0;
+        all_converged &= cost.behind == 0 && cost.went_back == 0 && cost.resurrected == 0;
     }
-    Ok(if is_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if all_converged { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn on_sockets(scenario: &Scenario, with: &RunWith, inside: bool) -> io::Result<ExitCode> {
+/// Plays a scenario on loopback sockets and prints the report.
+fn on_sockets(scenario: &Scenario, with: &RunOptions, inside: bool) -> io::Result<ExitCode> {
     let temporary = tempfile::tempdir()?;
     let folder: PathBuf = with.out.clone().unwrap_or_else(|| temporary.path().to_path_buf());
     std::fs::create_dir_all(&folder)?;
@@ -267,20 +274,21 @@
             s.lag_p50_ms, s.lag_p99_ms, s.attaches_held, s.legs_held, s.counters
         );
     }
-    told(&played.report)
+    print_report(&played.report)
 }
 
+/// Writes the trace to `trace.txt`, one event per line.
 fn write_trace(folder: &Path, trace: &[shalespindle_standin::trace::Entry]) -> io::Result<()> {
     use std::io::Write;
     let mut file = io::BufWriter::new(std::fs::File::create(folder.join("trace.txt"))?);
-    for (at, seen) in trace {
-        writeln!(file, "{at:.6} {seen:?}")?;
+    for (at, event) in trace {
+        writeln!(file, "{at:.6} {event:?}")?;
     }
     file.flush()
 }
 
-/// The table and, last, the summary line.
-fn told(report: &Report) -> io::Result<ExitCode> {
+/// Prints the table by procedure and tenant and, as the last line, the summary as JSON.
+fn print_report(report: &Report) -> io::Result<ExitCode> {
     let s = &report.summary;
     println!(
         "attaches {}: stood {}, refused {}, failed {}, left {}",
@@ -311,17 +319,17 @@
     Ok(if report.rules_kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Servers and pool list until a signal ends them.
+/// Runs the servers and the pool list of a scenario until SIGTERM or SIGINT.
 pub fn standin(config: &Path, feed: SocketAddr) -> io::Result<ExitCode> {
     let scenario = match scenario(config) {
         Ok(scenario) => scenario,
         Err(code) => return Ok(code),
     };
-    let standing = shalespindle_lab::standing::Standing::start(&scenario, feed)?;
-    println!("{standing}");
+    let standins = shalespindle_lab::standing::Standing::start(&scenario, feed)?;
+    println!("{standins}");
     let mut signals =
         signal_hook::iterator::Signals::new([signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT])?;
     signals.forever().next();
-    drop(standing);
+    drop(standins);
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/live.rs
+++ b/crates/cli/src/live.rs
@@ -1,4 +1,5 @@
-//! A live front on the operators' platform, from the variables and the file that it gives.
+//! `live`: a front on the operators' platform, configured by the environment variables and the file it
+//! provides.
 
 use crate::commands::BAD_INPUT;
 use crate::signals::Signals;
@@ -13,66 +14,69 @@
 use tracing::{error, info};
 use tracing_subscriber::EnvFilter;
 
-/// A new configuration that cannot be read may be half written: it is read again for so long.
-const REREAD_FOR: Duration = Duration::from_secs(5);
-/// Time between two looks at signals.
-const LOOK: Duration = Duration::from_millis(10);
+/// A new configuration that cannot be read may be half written, so reading is retried for this long.
+const RELOAD_RETRY_PERIOD: Duration = Duration::from_secs(5);
+/// Interval at which signals and the end of the service are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 fn read(config: &Path) -> Result<StartFile, String> {
     let text = std::fs::read(config).map_err(|e| format!("{}: {e}", config.display()))?;
     read_file(&text).map_err(|e| format!("{}: {e}", config.display()))
 }
 
+/// Runs the front until it ends; succeeds if a signal requested the end.
 pub fn run(config: &Path, listen: Option<SocketAddr>, name: Option<String>) -> io::Result<ExitCode> {
-    // Before anything else: a signal must not end the process in the middle of its start.
+    // First of all: a signal during the start must not kill the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let mut file = match read(config) {
         Ok(file) => file,
-        Err(why) => {
-            eprintln!("shalespindle: {why}");
+        Err(error) => {
+            eprintln!("shalespindle: {error}");
             return Ok(ExitCode::from(BAD_INPUT));
         }
     };
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info,may=warn"));
     tracing_subscriber::fmt().with_env_filter(filter).with_ansi(false).with_writer(io::stderr).init();
-    // The environment says where this copy is; the file may have been written for several.
+    // The environment overrides the file, which several fronts may share.
     file.listen = listen.unwrap_or(file.listen);
     file.name = name.unwrap_or(file.name);
     let name = file.name.clone();
-    // Before the first coroutine.
+    // Configures the coroutine scheduler, so it must run before the first coroutine starts.
     one_core();
     let service = Service::start(file)?;
     info!(target: "shalespindle::platform", name, address = %service.address(), "in service");
-    let mut asked = false;
+    let mut shutdown_requested = false;
     let mut reload = Reload::default();
     while !service.is_over() {
         for signal in signals.pending() {
             if signal == SIGHUP {
-                reload = Reload { until: Some(Instant::now() + REREAD_FOR), told: false };
+                reload = Reload { until: Some(Instant::now() + RELOAD_RETRY_PERIOD), error_logged: false };
             } else {
-                asked = true;
-                info!(target: "shalespindle::platform", signal, "asked to end");
+                shutdown_requested = true;
+                info!(target: "shalespindle::platform", signal, "signal received, shutting down");
                 service.end();
             }
         }
-        reload.go_on(config, &service);
-        std::thread::sleep(LOOK);
+        reload.poll(config, &service);
+        std::thread::sleep(POLL_INTERVAL);
     }
     info!(target: "shalespindle::platform", name, "ended");
-    Ok(if asked { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if shutdown_requested { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// A new configuration that was announced and is not taken yet.
+/// A reload that SIGHUP requested and that has not succeeded yet.
 #[derive(Default)]
 struct Reload {
+    /// When retrying stops; `None` when no reload is pending.
     until: Option<Instant>,
-    /// Its fault has been logged.
-    told: bool,
+    /// Whether the first read error has been logged.
+    error_logged: bool,
 }
 
 impl Reload {
-    /// Guards against a file that is announced before it is whole: its one signal has come by then.
-    fn go_on(&mut self, config: &Path, service: &Service) {
+    /// Tries a pending reload. Retries are needed because SIGHUP may come, once only, before the file is
+    /// completely written.
+    fn poll(&mut self, config: &Path, service: &Service) {
         let Some(until) = self.until else { return };
         match read(config) {
             Ok(file) => {
@@ -80,8 +84,8 @@
                 self.until = None;
             }
             Err(why) => {
-                if !std::mem::replace(&mut self.told, true) {
-                    error!(target: "shalespindle::platform", why, "the old configuration stays");
+                if !std::mem::replace(&mut self.error_logged, true) {
+                    error!(target: "shalespindle::platform", why, "configuration cannot be read, keeping the current one");
                 }
                 self.until = Some(until).filter(|until| Instant::now() < *until);
             }
--- a/crates/cli/src/resolve.rs
+++ b/crates/cli/src/resolve.rs
@@ -1,4 +1,4 @@
-//! One look-up, step by step.
+//! `resolve`: one DNS look-up with each step printed.
 
 use crate::commands::BAD_INPUT;
 use shalespindle_sockets::Questions;
@@ -10,10 +10,10 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// Looks a name up with the resolver that fronts use and prints what it does.
+/// Looks up a name with the resolver that fronts use, and prints its steps and the resulting addresses.
 pub fn resolve(name: &str, servers: &[SocketAddr], within: Duration) -> io::Result<ExitCode> {
     let Ok(mut name) = Name::from_ascii(name) else {
-        eprintln!("{name}: no domain name");
+        eprintln!("{name}: not a domain name");
         return Ok(ExitCode::from(BAD_INPUT));
     };
     name.set_fqdn(true);
@@ -30,60 +30,63 @@
         udp_size: 1232,
         most_records: 256,
     };
-    let begin = Instant::now();
-    let now = || begin.elapsed().as_secs_f64();
+    let start = Instant::now();
+    let now = || start.elapsed().as_secs_f64();
     let mut resolver = Resolver::new(params, rand::random(), 0.0);
-    let mut questions = Questions::default();
-    let (to, from) = mpsc::channel();
+    let mut queries = Questions::default();
+    let (reports_tx, reports_rx) = mpsc::channel();
     resolver.look_up_now(now(), 0);
     loop {
         while let Some(step) = resolver.next_step() {
-            println!("{:9.3} ms  {}", now() * 1000.0, words(&step));
+            println!("{:9.3} ms  {}", now() * 1000.0, describe(&step));
         }
         while let Some(out) = resolver.next_out() {
             match out {
                 Out::Ask { ticket, to: server, tcp, bytes } => {
-                    let to = to.clone();
-                    questions.ask(ticket, server, tcp, bytes, within, move |report| to.send(report).is_ok());
+                    let reports_tx = reports_tx.clone();
+                    queries.ask(ticket, server, tcp, bytes, within, move |report| {
+                        reports_tx.send(report).is_ok()
+                    });
                 }
-                Out::Close { ticket } => questions.close(ticket),
-                Out::Done { outcome, .. } => return Ok(told(&outcome)),
+                Out::Close { ticket } => queries.close(ticket),
+                Out::Done { outcome, .. } => return Ok(print_outcome(&outcome)),
             }
         }
         let wait = Duration::from_secs_f64((resolver.due() - now()).clamp(0.0, 60.0));
-        // Nothing came: what is due is done below.
-        if let Ok(report) = from.recv_timeout(wait) {
+        // On a timeout, `tick` below runs the expired timers.
+        if let Ok(report) = reports_rx.recv_timeout(wait) {
             resolver.take(now(), as_in(&report));
         }
         resolver.tick(now());
     }
 }
 
-fn words(step: &Step) -> String {
+fn describe(step: &Step) -> String {
     match step {
         Step::Asked { name, kind, to, tcp } => {
-            format!("asked {to} over {} for {name} {kind}", if *tcp { "TCP" } else { "UDP" })
+            format!("query to {to} over {} for {name} {kind}", if *tcp { "TCP" } else { "UDP" })
         }
         Step::Answered { code, records, after } => {
-            format!("answered {code}, {records} records, after {:.3} ms", after * 1000.0)
+            format!("answer {code}, {records} records, after {:.3} ms", after * 1000.0)
         }
-        Step::Truncated { by } => format!("{by} cut its answer short: TCP"),
-        Step::Dropped { why } => format!("dropped an answer: {why:?}"),
+        Step::Truncated { by } => format!("{by} truncated its answer, retrying over TCP"),
+        Step::Dropped { why } => format!("answer dropped: {why:?}"),
         Step::TryFailed { by, why } => format!("{by}: {why}"),
-        Step::Cached { name, kind } => format!("known still: {name} {kind}"),
-        Step::Alias { from, to } => format!("{from} is {to}"),
-        Step::AliasLoop { at } => format!("aliases come back to {at}"),
-        Step::LastKnown { target } => format!("{target}: last known addresses"),
+        Step::Cached { name, kind } => format!("cached: {name} {kind}"),
+        Step::Alias { from, to } => format!("{from} is an alias of {to}"),
+        Step::AliasLoop { at } => format!("alias loop at {at}"),
+        Step::LastKnown { target } => format!("{target}: using the last known addresses"),
         Step::Finished { name, outcome } => format!("{name}: {outcome}"),
     }
 }
 
-fn told(outcome: &Outcome) -> ExitCode {
+/// Prints the addresses found, one per line; fails if there are none to print.
+fn print_outcome(outcome: &Outcome) -> ExitCode {
     let Outcome::Servers { targets, .. } = outcome else { return ExitCode::FAILURE };
-    for t in targets {
-        for address in &t.addresses {
-            let at = SocketAddr::new(*address, t.port);
-            println!("{at} {} priority {} weight {}", t.name, t.priority, t.weight);
+    for target in targets {
+        for address in &target.addresses {
+            let address = SocketAddr::new(*address, target.port);
+            println!("{address} {} priority {} weight {}", target.name, target.priority, target.weight);
         }
     }
     ExitCode::SUCCESS
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,4 +1,4 @@
-//! A front in service: settings, sockets, signals.
+//! `run`, `check` and `schema`: settings, logging, and a front in service until a signal ends it.
 
 use crate::commands::BAD_INPUT;
 use crate::signals::Signals;
@@ -13,7 +13,7 @@
 use tracing::{error, info, warn};
 use tracing_subscriber::EnvFilter;
 
-/// Reads settings; each fault goes to standard error.
+/// Reads settings and prints each error on standard error.
 pub fn settings(config: &Path) -> Result<Settings, ExitCode> {
     read(config).map_err(|faults| {
         for fault in faults {
@@ -23,17 +23,19 @@
     })
 }
 
+/// Validates settings and prints a summary.
 pub fn check(config: &Path) -> io::Result<ExitCode> {
     Ok(match settings(config) {
         Ok(settings) => {
             let (procedures, groups) = (settings.procedures.len(), settings.trunk_groups.len());
-            println!("{}: good; {procedures} procedures, {groups} trunk groups", config.display());
+            println!("{}: valid; {procedures} procedures, {groups} trunk groups", config.display());
             ExitCode::SUCCESS
         }
         Err(code) => code,
     })
 }
 
+/// Prints the JSON schema of the settings, or of a line of the pool list's feed.
 pub fn schema(feed: bool) -> io::Result<ExitCode> {
     let schema = if feed { shalespindle_front::pool_list::schema() } else { shalespindle_settings::schema() };
     println!("{}", serde_json::to_string_pretty(&schema)?);
@@ -52,6 +54,7 @@
     }
 }
 
+/// Runs a front until it ends. The first signal starts an orderly shutdown, a second one exits immediately.
 pub fn run(config: &Path) -> io::Result<ExitCode> {
     let mut settings = match settings(config) {
         Ok(settings) => settings,
@@ -62,17 +65,17 @@
     let seed = settings.front.seed.unwrap_or_else(rand::random);
     let service = Service::start(&settings, seed, Ground::new())?;
     info!(target: "shalespindle::front", address = %service.address(), seed, "in service");
-    let mut asked = 0;
+    let mut shutdown_requested = false;
     while !service.is_over() {
         for signal in signals.pending() {
             match signal {
                 SIGHUP => reload(config, &mut settings, &service),
-                _ if asked > 0 => {
-                    warn!(target: "shalespindle::front", "asked twice: ends at once");
+                _ if shutdown_requested => {
+                    warn!(target: "shalespindle::front", "second signal: exiting immediately");
                     return Ok(ExitCode::FAILURE);
                 }
                 _ => {
-                    asked += 1;
+                    shutdown_requested = true;
                     service.end();
                 }
             }
@@ -80,27 +83,28 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     info!(target: "shalespindle::front", "ended");
-    Ok(if asked > 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if shutdown_requested { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// SIGHUP: the file is checked, so that a bad one is found before the next start. Of what it says only the list of
-/// other fronts is taken up in service; all else that a front decides by is fixed at its start.
+/// Reloads the settings on SIGHUP. The whole file is validated, so that errors show before the next restart,
+/// but only the list of peers takes effect in service; all other settings are fixed at the start.
 fn reload(config: &Path, current: &mut Settings, service: &Service) {
     let mut new = match read(config) {
         Ok(new) => new,
         Err(faults) => {
             for fault in faults {
-                error!(target: "shalespindle::front", %fault, "settings read again: bad, the running ones stay");
+                error!(target: "shalespindle::front", %fault, "settings reloaded: invalid, keeping the current ones");
             }
             return;
         }
     };
-    if let (Some(now), Some(then)) = (&mut current.fleet, &mut new.fleet) {
-        if now.others() != then.others() && service.relist(then) {
-            now.peers.clone_from(&then.peers);
+    if let (Some(current_fleet), Some(new_fleet)) = (&mut current.fleet, &mut new.fleet) {
+        if current_fleet.others() != new_fleet.others() && service.relist(new_fleet) {
+            current_fleet.peers.clone_from(&new_fleet.peers);
         }
     }
-    let same = serde_json::to_value(&new).ok() == serde_json::to_value(&*current).ok();
-    let what = if same { "nothing else to change" } else { "good; the rest holds from the next start on" };
-    info!(target: "shalespindle::front", "settings read again: {what}");
+    let unchanged = serde_json::to_value(&new).ok() == serde_json::to_value(&*current).ok();
+    let effect =
+        if unchanged { "no other changes" } else { "valid; other changes take effect at the next start" };
+    info!(target: "shalespindle::front", "settings reloaded: {effect}");
 }
--- a/crates/cli/src/signals.rs
+++ b/crates/cli/src/signals.rs
@@ -1,25 +1,29 @@
-//! Signals as flags that a loop looks at. A pipe between the handler and the loop, the usual way, is a socket pair:
-//! one more thing that a process in service would hold open.
+//! Signals as flags that the main loop polls. The usual self-pipe between handler and loop would be a socket
+//! pair, and a live front may hold no sockets other than its listener and links.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// The signals asked for; each is kept until it is looked at.
+/// The registered signals, each with a flag that is set until it is polled.
 pub struct Signals(Vec<(i32, Arc<AtomicBool>)>);
 
 impl Signals {
+    /// Registers a handler for each signal.
     pub fn new<const N: usize>(signals: [i32; N]) -> io::Result<Signals> {
-        let one = |signal| {
-            let came = Arc::new(AtomicBool::new(false));
-            signal_hook::flag::register(signal, came.clone())?;
-            Ok((signal, came))
+        let register = |signal| {
+            let received = Arc::new(AtomicBool::new(false));
+            signal_hook::flag::register(signal, received.clone())?;
+            Ok((signal, received))
         };
-        signals.into_iter().map(one).collect::<io::Result<_>>().map(Signals)
+        signals.into_iter().map(register).collect::<io::Result<_>>().map(Signals)
     }
 
-    /// Those that came since the last look, each once.
+    /// Returns the signals received since the last call, each once, and clears their flags.
     pub fn pending(&self) -> impl Iterator<Item = i32> + '_ {
-        self.0.iter().filter(|(_, came)| came.swap(false, Ordering::Relaxed)).map(|(signal, _)| *signal)
+        self.0
+            .iter()
+            .filter(|(_, received)| received.swap(false, Ordering::Relaxed))
+            .map(|(signal, _)| *signal)
     }
 }
--- a/crates/cli/src/kept.rs
+++ b/crates/cli/src/stored_state.rs
@@ -1,4 +1,4 @@
-//! What a front has kept of its fleet on disk, read while it is not running.
+//! `fleet kept`: checks and prints the fleet state that a stopped front has stored on disk.
 
 use crate::commands::BAD_INPUT;
 use crate::run::settings;
@@ -9,37 +9,38 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-pub fn kept(config: &Path, json: bool) -> io::Result<ExitCode> {
+/// Prints what the file of `fleet.keep_file` holds. Fails if the file is missing, in use or partly invalid.
+pub fn show(config: &Path, json: bool) -> io::Result<ExitCode> {
     let settings = match settings(config) {
         Ok(settings) => settings,
         Err(code) => return Ok(code),
     };
-    let named = settings.fleet.as_ref().and_then(|fleet| Some((&fleet.name, fleet.keep_file.as_ref()?)));
-    let Some((name, path)) = named else {
+    let configured = settings.fleet.as_ref().and_then(|fleet| Some((&fleet.name, fleet.keep_file.as_ref()?)));
+    let Some((name, path)) = configured else {
         eprintln!("{}: fleet.keep_file is not set", config.display());
         return Ok(ExitCode::from(BAD_INPUT));
     };
-    // Opening makes a file where there is none; asking must not.
+    // `File::open` would create a missing file.
     if !path.exists() {
-        eprintln!("{}: there is none", path.display());
+        eprintln!("{}: file does not exist", path.display());
         return Ok(ExitCode::FAILURE);
     }
-    let (_file, kept, bad) = match File::open(path, front_id(name)) {
+    let (_file, stored, rejected) = match File::open(path, front_id(name)) {
         Ok(opened) => opened,
-        Err(why) => {
-            eprintln!("{}: {why}", path.display());
+        Err(error) => {
+            eprintln!("{}: {error}", path.display());
             return Ok(ExitCode::FAILURE);
         }
     };
-    let kept = kept.unwrap_or_default();
-    let inventory = kept.inventory();
+    let stored = stored.unwrap_or_default();
+    let inventory = stored.inventory();
     if json {
         println!("{}", serde_json::to_string(&inventory)?);
     } else {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
-        println!("{}: written {:.1} s ago", path.display(), now - kept.saved_at);
+        println!("{}: written {:.1} s ago", path.display(), now - stored.saved_at);
         println!(
-            "  {} fronts, {} ended lives of fronts",
+            "  {} fronts, {} ended incarnations of fronts",
             inventory.incarnations, inventory.ended_incarnations
         );
         for (class, count) in &inventory.facts {
@@ -47,9 +48,9 @@
         }
         println!("  {} deletions", inventory.deletions);
         for fault in &inventory.faults {
-            println!("  not to be taken: {fault}");
+            println!("  would be rejected: {fault}");
         }
     }
-    let good = inventory.faults.is_empty() && bad.0 == 0;
-    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let valid = inventory.faults.is_empty() && rejected.0 == 0;
+    Ok(if valid { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/tests/names.rs
+++ b/crates/cli/tests/names.rs
@@ -61,7 +61,7 @@
 
     let (truncates, _b) = served(Script::Truncates);
     let (code, text) = resolve(&[truncates]);
-    assert!(code == Some(0) && text.contains("cut its answer short: TCP"), "{text}");
+    assert!(code == Some(0) && text.contains("truncated its answer, retrying over TCP"), "{text}");
 
     let (refused, _c) = served(Script::Refused);
     let (code, text) = resolve(&[refused, plain]);
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -201,7 +201,9 @@
     let text = std::fs::read(&whole).unwrap();
     std::fs::write(live.config(), &text[..text.len() / 2]).unwrap();
     signal(&live.front, Signal::SIGHUP);
-    until("the word that it cannot be read", || live.log().contains("the old configuration stays"));
+    until("the word that it cannot be read", || {
+        live.log().contains("configuration cannot be read, keeping the current one")
+    });
     assert!(moved.asked().is_empty());
     std::fs::write(live.config(), &text).unwrap();
     until("the question to the new feed", || !moved.asked().is_empty());
