--- a/crates/cli/src/console.rs
+++ b/crates/cli/src/console.rs
@@ -3,7 +3,7 @@
 use crate::commands::BAD_INPUT;
 use crate::run::settings;
 use clap::Args;
-use shalespindle_console::{differences, Ask, Reply};
+use shalespindle_console::{differences, Reply, Request};
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -38,7 +38,7 @@
 
 /// Sends a request and waits for the reply. The inner error is the process's exit code when no socket is
 /// known.
-fn send(front: &FrontSelector, request: &Ask) -> io::Result<Result<Reply, ExitCode>> {
+fn send(front: &FrontSelector, request: &Request) -> io::Result<Result<Reply, ExitCode>> {
     let socket = match front.socket() {
         Ok(socket) => socket,
         Err(code) => return Ok(Err(code)),
@@ -47,7 +47,7 @@
 }
 
 /// Sends a request and prints the reply. A refused request is a failure.
-pub fn ask(front: &FrontSelector, request: &Ask, json: bool) -> io::Result<ExitCode> {
+pub fn ask(front: &FrontSelector, request: &Request, json: bool) -> io::Result<ExitCode> {
     let reply = match send(front, request)? {
         Ok(reply) => reply,
         Err(code) => return Ok(code),
@@ -65,7 +65,7 @@
 /// Prints the servers whose states differ between the fronts' pool lists; exits with a failure if there are
 /// any.
 pub fn diff(front: &FrontSelector, json: bool) -> io::Result<ExitCode> {
-    let fleet = match send(front, &Ask::Fleet)? {
+    let fleet = match send(front, &Request::Fleet)? {
         Ok(Reply::Fleet(fleet)) => fleet,
         Ok(other) => {
             println!("{other}");
@@ -74,8 +74,8 @@
         Err(code) => return Ok(code),
     };
     match json {
-        true => println!("{}", serde_json::to_string(&fleet.differ)?),
+        true => println!("{}", serde_json::to_string(&fleet.conflicts)?),
         false => print!("{}", differences(&fleet)),
     }
-    Ok(if fleet.differ.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if fleet.conflicts.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -35,8 +35,8 @@
         assert_eq!(status(&send_bye_to(&caller, cluster.front(2), &ok)), 200);
         if !killed {
             cluster.wait_until("its own front to drop the call", |fleet| {
-                matches!(fleet.ask(0, &shalespindle_console::Ask::Status),
-                    Some(shalespindle_console::Reply::Status(s)) if s.standing == 0)
+                matches!(fleet.ask(0, &shalespindle_console::Request::Status),
+                    Some(shalespindle_console::Reply::Status(s)) if s.established == 0)
             });
         }
         assert_eq!(cluster.server.count(Method::Bye), 0);
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -5,7 +5,7 @@
 mod process;
 
 use process::{wait_for_value, wait_until, Sockets};
-use shalespindle_console::{Ask, Reply};
+use shalespindle_console::{Reply, Request};
 use shalespindle_rig::{check, look, play, Breach, Faults, Fleet, FleetShape, Row, Seen, State};
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
@@ -34,7 +34,7 @@
 /// The state of a server at a front, as `members` prints it.
 fn server_state(fleet: &Fleet, front: usize, n: u16) -> String {
     let members = fleet.members(front).unwrap().members;
-    members.iter().find(|m| m.address == server(n)).map_or("unknown".into(), |m| m.verdict.clone())
+    members.iter().find(|m| m.address == server(n)).map_or("unknown".into(), |m| m.status.clone())
 }
 
 fn wait_for_server_state(fleet: &Fleet, front: usize, n: u16, expected: &str) {
@@ -104,7 +104,7 @@
     wait_for_server_state(&fleet, 0, 2, "out");
     let seen = wait_until_equal(&fleet);
     // Every front counts and lists each conflict between the pool lists.
-    assert!(seen.iter().all(|s| s.standing.met >= 2 && s.standing.differ.len() == 2));
+    assert!(seen.iter().all(|s| s.standing.conflict_count >= 2 && s.standing.conflicts.len() == 2));
     let mut command = Command::new(PROGRAM);
     let output = command.args(["fleet", "diff", "--config"]).arg(fleet.settings(1)).output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
@@ -136,15 +136,15 @@
         modify(&mut seen);
         check(&seen)
     };
-    let found = check_with(&|seen| seen[1].standing.peers[0].mark ^= 1);
+    let found = check_with(&|seen| seen[1].standing.peers[0].digest ^= 1);
     assert!(matches!(&found[..], [Breach::CopiesDiffer { of, .. }] if of != "f1"), "{found:?}");
     let found = check_with(&|seen| seen[1].standing.peers[1].behind = 3);
     assert!(matches!(found[..], [Breach::Behind { by: 3, .. }]), "{found:?}");
     let found = check_with(&|seen| seen[2].standing.peers[0].state = "gone".into());
     assert!(matches!(found[..], [Breach::Unheard { .. }]), "{found:?}");
-    let set_state = |seen: &mut Vec<Seen>, n: u16, verdict: &str| {
+    let set_state = |seen: &mut Vec<Seen>, n: u16, status: &str| {
         let members = &mut seen[2].members.members;
-        members.iter_mut().find(|m| m.address == server(n)).unwrap().verdict = verdict.into();
+        members.iter_mut().find(|m| m.address == server(n)).unwrap().status = status.into();
     };
     let found = check_with(&|seen| set_state(seen, 1, "in"));
     assert!(matches!(found[..], [Breach::LetIn { by: 0, .. }]), "{found:?}");
@@ -153,7 +153,7 @@
 }
 
 fn level(fleet: &Fleet, front: usize) -> Option<(usize, bool)> {
-    match fleet.ask(front, &Ask::Status) {
+    match fleet.ask(front, &Request::Status) {
         Some(Reply::Status(s)) => s.level.map(|l| (l.level, l.pinned_for.is_some())),
         other => panic!("{other:?}"),
     }
@@ -257,7 +257,7 @@
 fn a_second_process_with_the_same_name_does_not_replace_a_front() {
     let fleet = start_fleet(3);
     wait_until_equal(&fleet);
-    let first = fleet.standing(0).unwrap().life;
+    let first = fleet.standing(0).unwrap().incarnation;
     let good = std::fs::read_to_string(fleet.settings(0)).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let (path, console) = (folder.path().join("twin.toml"), folder.path().join("twin.sock"));
@@ -272,9 +272,9 @@
     // The others report the later incarnation of the twin to the first process, which then takes a higher
     // one.
     wait_until("the front to take a later incarnation than its twin", || {
-        let reply = shalespindle_console::ask(&console, &Ask::Fleet, Duration::from_secs(5));
+        let reply = shalespindle_console::ask(&console, &Request::Fleet, Duration::from_secs(5));
         let Ok(Reply::Fleet(of_twin)) = reply else { return false };
-        fleet.standing(0).unwrap().life > of_twin.life.max(first)
+        fleet.standing(0).unwrap().incarnation > of_twin.incarnation.max(first)
     });
     fleet.feeds[0].set(server(1), row(1, State::Draining, 1));
     wait_for_server_state(&fleet, 1, 1, "draining");
@@ -319,8 +319,8 @@
     let mut command = Command::new(PROGRAM);
     command.args(["run", "--config"]).arg(fleet.settings(0)).stderr(std::process::Stdio::null());
     let front = process::Front(command.spawn().unwrap());
-    wait_until("the front to answer", || matches!(fleet.ask(0, &Ask::Status), Some(Reply::Status(_))));
-    assert!(matches!(fleet.ask(0, &Ask::Fleet), Some(Reply::Bad { .. })));
+    wait_until("the front to answer", || matches!(fleet.ask(0, &Request::Status), Some(Reply::Status(_))));
+    assert!(matches!(fleet.ask(0, &Request::Fleet), Some(Reply::Bad { .. })));
     let datagrams = Sockets::of(&front).rows("udp", 9);
     let mut ports: Vec<&str> = datagrams.iter().map(|row| row[1].as_str()).collect();
     ports.sort();
--- a/crates/cli/tests/persistence.rs
+++ b/crates/cli/tests/persistence.rs
@@ -8,8 +8,8 @@
 
 use cluster::{call_id, send_bye_to, Cluster, PROGRAM};
 use common::{in_dialog, reply, status, wait_until, Caller};
-use shalespindle_console::{Ask, Reply};
-use shalespindle_peer_service::KeepState;
+use shalespindle_console::{Reply, Request};
+use shalespindle_peer_service::PersistenceState;
 use shalespindle_peer_store::File;
 use shalespindle_peer_wire::front_id;
 use shalespindle_replica::Changes;
@@ -72,7 +72,7 @@
     let mut command = Command::new(PROGRAM);
     command.args(["pin", "2", "--for", "10m", "--fleet", "--config"]).arg(cluster.fleet.settings(1));
     assert!(command.status().unwrap().success());
-    let level = |fleet: &Fleet, front: usize| match fleet.ask(front, &Ask::Status) {
+    let level = |fleet: &Fleet, front: usize| match fleet.ask(front, &Request::Status) {
         Some(Reply::Status(s)) => s.level.map(|l| (l.level, l.pinned_for.is_some())),
         other => panic!("{other:?}"),
     };
@@ -105,9 +105,9 @@
     }
     // The other fronts know that two calls have ended, while the old file holds all three as established.
     cluster.wait_until("the releases replicated", |fleet| {
-        let own = fleet.standing(0).unwrap().own_mark;
+        let own = fleet.standing(0).unwrap().own_digest;
         let is_current =
-            |f: usize| fleet.standing(f).unwrap().peers.iter().any(|p| p.name == "f0" && p.mark == own);
+            |f: usize| fleet.standing(f).unwrap().peers.iter().any(|p| p.name == "f0" && p.digest == own);
         is_current(1) && is_current(2)
     });
     cluster.fleet.put_back(0).unwrap();
@@ -192,15 +192,14 @@
     std::fs::write(cluster.fleet.kept(1), "of no sense").unwrap();
     cluster.start(1);
     wait_until_stored(&cluster, 1);
-    assert_eq!(cluster.fleet.standing(1).unwrap().kept, KeepState::Good);
+    assert_eq!(cluster.fleet.standing(1).unwrap().persistence, PersistenceState::Good);
     assert_eq!(std::fs::read(cluster.fleet.kept(1).with_extension("spoilt")).unwrap(), b"of no sense");
     // A file of another front is not used and not changed.
     kill_all(&mut cluster);
     std::fs::copy(cluster.fleet.kept(2), cluster.fleet.kept(1)).unwrap();
     (0..3).for_each(|front| cluster.start(front));
-    let failing =
-        |state: KeepState, what: &str| matches!(state, KeepState::Failing(why) if why.contains(what));
-    assert!(failing(cluster.fleet.standing(1).unwrap().kept, "another front"));
+    let failing = |state: PersistenceState, what: &str| matches!(state, PersistenceState::Failing(why) if why.contains(what));
+    assert!(failing(cluster.fleet.standing(1).unwrap().persistence, "another front"));
     // The front takes part in the fleet nevertheless.
     let caller = Caller::new(cluster.front(1));
     caller.send(&caller.invite("1", "idukki"));
@@ -227,7 +226,7 @@
         fleet.standing(1).unwrap().peers.iter().any(|p| p.facts == 1 && p.state == "alive")
     });
     wait_until("the failing writes to be reported", || {
-        matches!(fleet.standing(0).unwrap().kept, KeepState::Failing(_))
+        matches!(fleet.standing(0).unwrap().persistence, PersistenceState::Failing(_))
     });
     fleet.kill(0);
     fleet.start(0).unwrap();
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -225,7 +225,7 @@
     let log = || std::fs::read_to_string(config.with_extension("log")).unwrap_or_default();
     wait_until("the first attempt to listen", || {
         assert!(front.0.try_wait().unwrap().is_none(), "the front exited: {}", log());
-        log().contains("asked for again")
+        log().contains("address in use, retrying")
     });
     close_without_copies(|| drop(taken));
     Caller::accepted(listen);
@@ -260,7 +260,7 @@
     let mut caller = Caller::with_small_buffers(live.listen);
     let mut pacing_caller = Caller::accepted(live.listen);
     let mut sent = 0;
-    while !live.log().contains("writing waits for its reader") {
+    while !live.log().contains("peer does not read, writes are queued") {
         caller.send("INVITE", &format!("{sent:016x}"), "9d41\r\n");
         sent += 1;
         assert!(sent < 10_000, "no write was blocked");
@@ -306,7 +306,7 @@
         callers.push(caller);
         assert!(callers.len() < 90, "no write was blocked");
         Caller::accepted(listen);
-        if !log().contains("writing waits for its reader") {
+        if !log().contains("peer does not read, writes are queued") {
             continue;
         }
         while_stopped(&front, || {
--- a/crates/platform-service/src/readers.rs
+++ b/crates/platform-service/src/readers.rs
@@ -1,51 +1,52 @@
 //! Coroutines that accept, dial and read.
 
 use crate::owner::OwnerEvent;
-use crate::places::Places;
+use crate::slots::ConnectionSlots;
 use may::net::{TcpListener, TcpStream};
 use shalespindle_platform::{ConnectionId, Loss};
-use shalespindle_sockets::{read_all, share, start, Ground, Handle, Mailbox, SMALL_STACK};
+use shalespindle_sockets::{read_all, split, start, Handle, Mailbox, MonotonicClock, SMALL_STACK};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes read at once: most messages are far shorter, and every connection has such a buffer.
-const READ: usize = 4 * 1024;
-/// Wait where a connection cannot be accepted: callers hold all that they may, or the system has none left.
-const NO_PLACE: Duration = Duration::from_millis(5);
+/// Buffer size of one read; most messages are far shorter, and every connection has such a buffer.
+const READ_SIZE: usize = 4 * 1024;
+/// Pause if a connection cannot be accepted because clients hold the limit or the system has no descriptor
+/// left.
+const ACCEPT_RETRY: Duration = Duration::from_millis(5);
 
 pub(crate) fn accept(
     listener: TcpListener,
     mailbox: Mailbox<OwnerEvent>,
-    ground: Ground,
-    places: Places,
+    ground: MonotonicClock,
+    slots: ConnectionSlots,
 ) -> io::Result<Handle> {
     start(SMALL_STACK, move || {
         let mut last: ConnectionId = 0;
         loop {
-            if places.are_full() {
-                may::coroutine::sleep(NO_PLACE);
+            if slots.are_full() {
+                may::coroutine::sleep(ACCEPT_RETRY);
                 continue;
             }
             let Ok((stream, _)) = listener.accept() else {
-                may::coroutine::sleep(NO_PLACE);
+                may::coroutine::sleep(ACCEPT_RETRY);
                 continue;
             };
-            let place = places.take();
+            let slot = slots.take();
             last += 2;
-            // A socket that has ended already says so to its reader.
+            // An error here means that the socket has ended, which its reader reports.
             let _ = stream.set_nodelay(true);
             let connection = last;
-            let (mailbox_of, ground) = (mailbox.clone(), ground.clone());
-            let (mut reading, writing) = share(stream);
+            let (reader_mailbox, ground) = (mailbox.clone(), ground.clone());
+            let (mut reading, writing) = split(stream);
             if mailbox.send(OwnerEvent::Accepted { connection, writing }).is_err() {
                 return;
             }
             let started = start(SMALL_STACK, move || {
-                read(&mut reading, connection, &mailbox_of, &ground);
+                read(&mut reading, connection, &reader_mailbox, &ground);
                 drop(reading);
-                drop(place);
-                let _ = mailbox_of.send(OwnerEvent::Lost { connection, loss: Loss::Broken });
+                drop(slot);
+                let _ = reader_mailbox.send(OwnerEvent::Lost { connection, loss: Loss::Broken });
             });
             if started.is_err() {
                 let _ = mailbox.send(OwnerEvent::Lost { connection, loss: Loss::Broken });
@@ -55,42 +56,42 @@
 }
 
 fn read(
-    reading: &mut shalespindle_sockets::Reading,
+    reading: &mut shalespindle_sockets::ReadHalf,
     connection: ConnectionId,
     mailbox: &Mailbox<OwnerEvent>,
-    ground: &Ground,
+    ground: &MonotonicClock,
 ) {
-    read_all(reading, READ, |bytes| {
-        mailbox.send(OwnerEvent::Bytes { arrived: ground.arrival(), connection, bytes }).is_ok()
+    read_all(reading, READ_SIZE, |bytes| {
+        mailbox.send(OwnerEvent::Bytes { arrived: ground.earliest_arrival(), connection, bytes }).is_ok()
     });
 }
 
-/// Dials and then reads.
+/// Dials a peer and reads from the connection.
 pub(crate) fn dial(
     connection: ConnectionId,
     to: SocketAddr,
-    within: Duration,
+    timeout: Duration,
     mailbox: &Mailbox<OwnerEvent>,
-    ground: &Ground,
+    ground: &MonotonicClock,
 ) {
-    let (own, ground) = (mailbox.clone(), ground.clone());
+    let (dial_mailbox, ground) = (mailbox.clone(), ground.clone());
     let started = start(SMALL_STACK, move || {
-        let loss = match TcpStream::connect_timeout(&to, within) {
+        let loss = match TcpStream::connect_timeout(&to, timeout) {
             Ok(stream) => {
                 let _ = stream.set_nodelay(true);
-                let (mut reading, writing) = share(stream);
-                if own.send(OwnerEvent::Connected { connection, writing }).is_err() {
+                let (mut reading, writing) = split(stream);
+                if dial_mailbox.send(OwnerEvent::Connected { connection, writing }).is_err() {
                     return;
                 }
-                read(&mut reading, connection, &own, &ground);
+                read(&mut reading, connection, &dial_mailbox, &ground);
                 Loss::Broken
             }
             Err(why) if why.kind() == io::ErrorKind::ConnectionRefused => Loss::Refused,
             Err(_) => Loss::Broken,
         };
-        let _ = own.send(OwnerEvent::Lost { connection, loss });
+        let _ = dial_mailbox.send(OwnerEvent::Lost { connection, loss });
     });
     if started.is_err() {
-        let _ = mailbox.send_urgent(OwnerEvent::Lost { connection, loss: Loss::Broken });
+        let _ = mailbox.send_unbounded(OwnerEvent::Lost { connection, loss: Loss::Broken });
     }
 }
--- a/crates/platform-service/src/service.rs
+++ b/crates/platform-service/src/service.rs
@@ -1,29 +1,29 @@
-//! A live front: its sockets, its coroutines, and the handle that asks it for things.
+//! A live front: its sockets, its coroutines, and the handle to control it.
 
 use crate::owner::{Owner, OwnerEvent};
-use crate::places::Places;
 use crate::readers;
+use crate::slots::ConnectionSlots;
 use may::net::TcpListener;
-use shalespindle_platform::{Edge, StartFile, UNCOUNTED};
-use shalespindle_sockets::{end, mailbox, start, Ground, Handle, Mailbox, LARGE_STACK};
+use shalespindle_platform::{Edge, StartFile, UNCOUNTED_CONNECTIONS};
+use shalespindle_sockets::{end, mailbox, start, Handle, Mailbox, MonotonicClock, LARGE_STACK};
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime};
 use tracing::warn;
 
-/// Letters that may wait for the owner; each holds one read at most.
-const ROOM: usize = 256;
+/// Events that may be queued for the owner; each holds one read at most.
+const MAILBOX_CAPACITY: usize = 256;
 
-/// An address that is taken is asked for again for so long, and so often.
-const TAKEN_FOR: Duration = Duration::from_secs(5);
-const BIND_AGAIN: Duration = Duration::from_millis(20);
+/// Total time and interval for which binding is retried while the address is in use.
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
+const BIND_RETRY: Duration = Duration::from_millis(20);
 
-/// Fits the coroutines' scheduler to a machine of one core. Called once, before the first coroutine.
-pub fn one_core() {
+/// Configures the coroutine scheduler for a machine with one core. Called once, before the first coroutine.
+pub fn use_single_worker() {
     may::config().set_workers(1);
 }
 
-/// A live front in service.
+/// A running live front.
 pub struct Service {
     address: SocketAddr,
     mailbox: Mailbox<OwnerEvent>,
@@ -32,18 +32,18 @@
 }
 
 impl Service {
-    /// Takes the list as far as it is known, then listens and starts.
+    /// Applies the known list of servers, then listens and starts.
     pub fn start(file: StartFile) -> io::Result<Service> {
-        let ground = Ground::new();
+        let ground = MonotonicClock::new();
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or(Duration::ZERO);
         let listen = file.listen;
         let edge = Edge::new(file, ground.now(), unix.as_secs_f64()).map_err(io::Error::other)?;
         let listener = bind(listen)?;
         let address = listener.local_addr()?;
-        let (mailbox, mail) = mailbox(ROOM);
-        let places = Places::new(edge.most_clients() + UNCOUNTED);
-        let accepting = readers::accept(listener, mailbox.clone(), ground.clone(), places.clone())?;
-        let owner = Owner::new(edge, ground, mailbox.clone(), mail, places);
+        let (mailbox, mail) = mailbox(MAILBOX_CAPACITY);
+        let slots = ConnectionSlots::new(edge.max_clients() + UNCOUNTED_CONNECTIONS);
+        let accepting = readers::accept(listener, mailbox.clone(), ground.clone(), slots.clone())?;
+        let owner = Owner::new(edge, ground, mailbox.clone(), mail, slots);
         let owner = start(LARGE_STACK, move || owner.run())?;
         Ok(Service { address, mailbox, accepting: Some(accepting), owner: Some(owner) })
     }
@@ -52,29 +52,30 @@
         self.address
     }
 
-    /// The file was replaced. An owner that has ended takes nothing more.
+    /// Passes on a new start file; an owner that has ended ignores it.
     pub fn reload(&self, file: StartFile) {
-        let _ = self.mailbox.send_urgent(OwnerEvent::Reload(Box::new(file)));
+        let _ = self.mailbox.send_unbounded(OwnerEvent::Reload(Box::new(file)));
     }
 
-    /// Asks for an orderly end.
+    /// Starts an orderly shutdown.
     pub fn end(&self) {
-        let _ = self.mailbox.send_urgent(OwnerEvent::End);
+        let _ = self.mailbox.send_unbounded(OwnerEvent::End);
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.owner.as_ref().is_none_or(|o| o.is_done())
     }
 }
 
-/// Guards a restart against its own predecessor, whose listener the system may not have taken back yet.
+/// Binds the listener, with retries: after a restart the system may not have released the predecessor's
+/// listener.
 fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
     let begin = Instant::now();
     loop {
         match TcpListener::bind(listen) {
-            Err(why) if why.kind() == io::ErrorKind::AddrInUse && begin.elapsed() < TAKEN_FOR => {
-                warn!(target: "shalespindle::platform", %listen, %why, "asked for again");
-                std::thread::sleep(BIND_AGAIN);
+            Err(why) if why.kind() == io::ErrorKind::AddrInUse && begin.elapsed() < BIND_TIMEOUT => {
+                warn!(target: "shalespindle::platform", %listen, %why, "address in use, retrying");
+                std::thread::sleep(BIND_RETRY);
             }
             bound => return bound,
         }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,28 +1,29 @@
-//! A front on the operators' platform, without I/O: SIP over TCP from callers, JSON lines to signalling
-//! servers, server-sent events for the list of them. [`Edge`] is told of bytes and of time and says what to
-//! dial, write and close; every choice about traffic is the decision module's.
+//! The core of a live front on the operators' platform, without I/O: SIP over TCP with callers, JSON lines
+//! with signalling servers, and the feed of server-sent events that lists those servers. The host reports
+//! bytes and time to [`Edge`], which returns what to dial, write, close and log. Routing and admission
+//! decisions are made by `shalespindle_control`.
 
 mod callers;
 mod calls;
 mod causes;
 mod client_connection;
+mod descriptors;
 mod early;
 mod edge;
-mod ending;
 mod feed;
-mod file;
 mod handover;
 mod lines;
 mod link;
 mod log;
-mod presence;
 mod releases;
-mod room;
 mod servers;
+mod shutdown;
+mod silent_servers;
 mod sip;
 mod sse;
+mod start_file;
 
+pub use descriptors::UNCOUNTED_CONNECTIONS;
 pub use edge::{ConnectionId, Counters, Edge, Loss, Output};
-pub use file::{read_file, StartFile};
 pub use log::{LogLevel, LogRecord};
-pub use room::UNCOUNTED;
+pub use start_file::{read_file, StartFile};
--- a/crates/platform/src/lines_tests.rs
+++ b/crates/platform/src/lines_tests.rs
@@ -1,20 +1,20 @@
-//! Tests of lines to and from signalling servers.
+//! Tests of the JSON lines exchanged with signalling servers.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn all(stream: &[u8], steps: &[usize]) -> Result<Vec<Vec<u8>>, TooLong> {
-    let (mut lines, mut out, mut from, mut step) = (Lines::default(), Vec::new(), 0, 0);
-    while from < stream.len() {
-        let size = steps[step % steps.len()].clamp(1, stream.len() - from);
+fn read_all(stream: &[u8], steps: &[usize]) -> Result<Vec<Vec<u8>>, TooLong> {
+    let (mut framer, mut out, mut start, mut step) = (LineFramer::default(), Vec::new(), 0, 0);
+    while start < stream.len() {
+        let size = steps[step % steps.len()].clamp(1, stream.len() - start);
         step += 1;
-        lines.push(&stream[from..from + size]);
-        while let Some(line) = lines.next_line()? {
+        framer.push(&stream[start..start + size]);
+        while let Some(line) = framer.next_line()? {
             out.push(line.to_vec());
         }
-        assert!(lines.bytes.len() <= LONGEST + size + 1, "holds a line and a read at most");
-        from += size;
+        assert!(framer.bytes.len() <= MAX_LINE + size + 1, "holds a line and a read at most");
+        start += size;
     }
     Ok(out)
 }
@@ -22,19 +22,19 @@
 const ID: &str = "9b1f03aa5c7e2d41";
 
 #[test]
-fn lines_are_read_with_what_they_need_and_not_without() {
+fn lines_without_required_fields_are_rejected() {
     let refusal = format!(
         r#"{{"type":"release","id":"{ID}","fields":{{"note":"throttled","load":"x0:12;x1:40;latency_ms:3.5;queue:-1"}},"cause":34}}"#
     );
     let line = read(refusal.as_bytes()).unwrap();
-    assert_eq!((line.id, line.ended()), (call_id(ID), EndReason::Throttled { wait: None }));
-    let reading = ReportLayout {
+    assert_eq!((line.id, line.end_reason()), (call_id(ID), EndReason::Throttled { wait: None }));
+    let layout = ReportLayout {
         free_agents_index: Some(0),
         agents_index: Some(1),
         wait_index: Some(2),
         throttled_includes_wait: false,
     };
-    let report = line.report(&reading);
+    let report = line.report(&layout);
     assert_eq!((report.free_agents, report.agents, report.wait), (Some(12.0), Some(40.0), Some(0.0035)));
     assert_eq!(line.report(&ReportLayout::default()).wait, None);
     for bad in [
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_back_by_json() {
+fn a_written_set_up_is_one_line_of_valid_json() {
     let description = "a\r\n\"\u{e9}\\\t";
     let bytes = set_up(7, "voice", "7f3a", 1.2345, description);
     assert_eq!(bytes.iter().filter(|b| **b == b'\n').count(), 1);
@@ -61,7 +61,7 @@
 }
 
 proptest! {
-    // The same cases each time.
+    // The same cases in every run.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
@@ -71,20 +71,20 @@
     ) {
         let stream: String = wanted.iter().map(|l| format!("{l}\n")).collect();
         let wanted: Vec<Vec<u8>> = wanted.iter().map(|l| l.as_bytes().to_vec()).collect();
-        prop_assert_eq!(all(stream.as_bytes(), &steps), Ok(wanted));
+        prop_assert_eq!(read_all(stream.as_bytes(), &steps), Ok(wanted));
     }
 
     #[test]
-    fn noise_never_panics_and_what_does_not_end_is_given_up(
+    fn noise_never_panics_and_an_endless_line_is_an_error(
         noise in proptest::collection::vec(any::<u8>(), 0..3000), step in 1usize..700,
     ) {
-        for line in all(&noise, &[step]).unwrap_or_default() {
+        for line in read_all(&noise, &[step]).unwrap_or_default() {
             if let Some(line) = read(&line) {
                 line.report(&ReportLayout::default());
             }
         }
-        let endless = vec![b'x'; LONGEST + 700];
-        prop_assert_eq!(all(&endless, &[step]), Err(TooLong));
+        let endless = vec![b'x'; MAX_LINE + 700];
+        prop_assert_eq!(read_all(&endless, &[step]), Err(TooLong));
     }
 
     #[test]
--- a/crates/platform/src/sse_tests.rs
+++ b/crates/platform/src/sse_tests.rs
@@ -1,11 +1,11 @@
-//! Tests of server-sent events.
+//! Tests of the parser for server-sent events.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn read(stream: &[u8], steps: &[usize]) -> Result<Vec<String>, Spoilt> {
-    let (mut events, mut out, mut from, mut step) = (Events::default(), Vec::new(), 0, 0);
+fn read(stream: &[u8], steps: &[usize]) -> Result<Vec<String>, StreamError> {
+    let (mut events, mut out, mut from, mut step) = (EventStream::default(), Vec::new(), 0, 0);
     while from < stream.len() {
         let size = steps[step % steps.len()].clamp(1, stream.len() - from);
         step += 1;
@@ -29,21 +29,21 @@
 }
 
 #[test]
-fn a_bad_head_and_a_bad_chunk_are_named() {
-    assert_eq!(read(b"HTTP/1.1 404 No\r\n\r\n", &[9]), Err(Spoilt::Head));
-    assert_eq!(read(&[b'x'; 9000], &[100]), Err(Spoilt::Head));
+fn invalid_heads_chunks_and_long_events_are_errors() {
+    assert_eq!(read(b"HTTP/1.1 404 No\r\n\r\n", &[9]), Err(StreamError::Head));
+    assert_eq!(read(&[b'x'; 9000], &[100]), Err(StreamError::Head));
     let bad = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n";
-    assert_eq!(read(bad.as_bytes(), &[3]), Err(Spoilt::Chunk));
-    let long = format!("HTTP/1.1 200 OK\r\n\r\ndata: {}", "x".repeat(LONGEST_EVENT + 1));
-    assert_eq!(read(long.as_bytes(), &[65_536]), Err(Spoilt::TooLong));
+    assert_eq!(read(bad.as_bytes(), &[3]), Err(StreamError::Chunk));
+    let long = format!("HTTP/1.1 200 OK\r\n\r\ndata: {}", "x".repeat(MAX_EVENT + 1));
+    assert_eq!(read(long.as_bytes(), &[65_536]), Err(StreamError::TooLong));
 }
 
 proptest! {
-    // The same cases each time.
+    // The same cases in every run.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_split_and_either_body_tells_the_same(steps in proptest::collection::vec(1usize..40, 1..20)) {
+    fn any_split_and_either_body_give_the_same_events(steps in proptest::collection::vec(1usize..40, 1..20)) {
         let wanted = Ok(vec!["{\"n\":4}".to_string(), "a\nb".to_string()]);
         prop_assert_eq!(&read(PLAIN.as_bytes(), &steps), &wanted);
         prop_assert_eq!(&read(chunked().as_bytes(), &steps), &wanted);
