--- a/crates/cli/src/live.rs
+++ b/crates/cli/src/live.rs
@@ -85,7 +85,10 @@
             }
             Err(why) => {
                 if !std::mem::replace(&mut self.error_logged, true) {
-                    error!(target: "shalespindle::platform", why, "configuration cannot be read, keeping the current one");
+                    error!(
+                        target: "shalespindle::platform",
+                        why, "configuration cannot be read, keeping the current one"
+                    );
                 }
                 self.until = Some(until).filter(|until| Instant::now() < *until);
             }
