--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -1,4 +1,4 @@
-//! The checkers: what must hold once every front hears every other again.
+//! Checks the invariants that must hold once every front receives from every other again.
 
 use crate::feed::Row;
 use crate::State;
@@ -7,33 +7,33 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One front at the end.
+/// The reported state of one front.
 pub struct Seen {
-    /// What its own list says.
+    /// The pool list of this front.
     pub rows: BTreeMap<SocketAddr, Row>,
     pub standing: FleetStatus,
     pub members: Members,
 }
 
-/// What does not hold.
+/// A violated invariant. The `Debug` form is written to the summary of `lab fleet`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Breach {
-    /// Two fronts hold different copies of a front.
+    /// The replicas of a front's state differ.
     CopiesDiffer { of: String, fronts: Vec<(String, u64)> },
-    /// A front knows that it lacks something.
+    /// A front reports that its replica of another front's state lacks updates.
     Behind { front: String, of: String, by: u64 },
-    /// A front does not hear another.
+    /// A front does not consider another one alive.
     Unheard { front: String, of: String, state: String },
-    /// A server is in service at a front though a list has taken that start of it out.
+    /// A front uses a server although a list has taken that incarnation out of service.
     LetIn { front: String, server: SocketAddr, by: usize },
-    /// A server is out at a front though no list has taken it out.
+    /// A front does not use a server although no list has taken it out of service.
     KeptOut { front: String, server: SocketAddr, verdict: String },
 }
 
-/// All that does not hold; nothing when all is well.
+/// Returns all violated invariants.
 pub fn check(fronts: &[Seen]) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    copies(fronts, &mut breaches);
+    check_replicas(fronts, &mut breaches);
     for seen in fronts {
         for peer in &seen.standing.peers {
             let (front, of) = (seen.standing.name.clone(), peer.name.clone());
@@ -44,37 +44,38 @@
                 breaches.push(Breach::Unheard { front, of, state: peer.state.clone() });
             }
         }
-        servers(seen, fronts, &mut breaches);
+        check_servers(seen, fronts, &mut breaches);
     }
     breaches
 }
 
-/// Every front's copy of a front has the mark that the front itself has.
-fn copies(fronts: &[Seen], breaches: &mut Vec<Breach>) {
+/// Each front's replica of a front's state must have the digest that the front itself reports.
+fn check_replicas(fronts: &[Seen], breaches: &mut Vec<Breach>) {
     for own in fronts.iter().map(|s| &s.standing) {
-        let held = |s: &Seen| match s.standing.peers.iter().find(|p| p.name == own.name) {
+        let digest_at = |s: &Seen| match s.standing.peers.iter().find(|p| p.name == own.name) {
             Some(peer) => (s.standing.name.clone(), peer.digest),
             None => (own.name.clone(), own.own_digest),
         };
-        let marks: Vec<(String, u64)> = fronts.iter().map(held).collect();
-        if marks.iter().any(|m| m.1 != own.own_digest) {
-            breaches.push(Breach::CopiesDiffer { of: own.name.clone(), fronts: marks });
+        let digests: Vec<(String, u64)> = fronts.iter().map(digest_at).collect();
+        if digests.iter().any(|m| m.1 != own.own_digest) {
+            breaches.push(Breach::CopiesDiffer { of: own.name.clone(), fronts: digests });
         }
     }
 }
 
-/// The most careful word on the latest start counts at every front whose own list knows no later start.
-fn servers(seen: &Seen, fronts: &[Seen], breaches: &mut Vec<Breach>) {
+/// For the latest incarnation of a server, the most restrictive state on any list applies at every front.
+fn check_servers(seen: &Seen, fronts: &[Seen], breaches: &mut Vec<Breach>) {
     for member in &seen.members.members {
         let Some(own) = seen.rows.get(&member.address) else { continue };
         let rows = fronts.iter().enumerate().filter_map(|(n, s)| Some((n, *s.rows.get(&member.address)?)));
         let latest = rows.clone().map(|(_, r)| r.incarnation).max().unwrap_or(0);
-        let out =
+        let taken_out_by =
             rows.filter(|(_, r)| r.incarnation == latest && r.state != State::Ready).map(|(n, _)| n).next();
         let (front, server) = (seen.standing.name.clone(), member.address);
-        match out {
+        match taken_out_by {
             Some(by) if member.status == "in" => breaches.push(Breach::LetIn { front, server, by }),
-            // Only what its own list calls ready is let in; and a return may be held back for a while.
+            // A server must be in use only if the front's own list has it as ready; a server that became ready
+            // again too often may be kept out for a while.
             None if own.state == State::Ready
                 && own.incarnation == latest
                 && member.status != "in"
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -26,7 +26,7 @@
     pub program: PathBuf,
     pub fronts: usize,
     /// Time between two beats.
-    pub every: Duration,
+    pub heartbeat_interval: Duration,
     pub seed: u64,
     /// Fronts keep what they know on disk, so often; none: nothing outlives a process.
     pub keep_every: Option<Duration>,
@@ -44,11 +44,11 @@
 
 impl FleetShape {
     pub fn new(program: impl Into<PathBuf>, fronts: usize, seed: u64) -> FleetShape {
-        let every = Duration::from_millis(100);
+        let heartbeat_interval = Duration::from_millis(100);
         FleetShape {
             program: program.into(),
             fronts,
-            every,
+            heartbeat_interval,
             seed,
             keep_every: None,
             bytes: 1200,
@@ -144,9 +144,9 @@
                 shape.pools,
                 front.console,
                 at,
-                shape.every.as_millis(),
-                8 * shape.every.as_millis(),
-                20 * shape.every.as_millis(),
+                shape.heartbeat_interval.as_millis(),
+                8 * shape.heartbeat_interval.as_millis(),
+                20 * shape.heartbeat_interval.as_millis(),
                 shape.bytes,
                 shape.more,
                 shape.tables,
@@ -178,10 +178,10 @@
         let begin = Instant::now();
         while self.standing(place).is_none() {
             if let Some(why) = self.ended(place)? {
-                return Err(self.told(place, &format!("ended at its start, {why}")));
+                return Err(self.error_with_log(place, &format!("ended at its start, {why}")));
             }
             if begin.elapsed() > UP_WITHIN {
-                return Err(self.told(place, "never came up"));
+                return Err(self.error_with_log(place, "never came up"));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -195,7 +195,7 @@
     }
 
     /// A failure of a front, with what it has logged.
-    pub fn told(&self, place: usize, what: &str) -> io::Error {
+    pub fn error_with_log(&self, place: usize, what: &str) -> io::Error {
         let log = std::fs::read_to_string(&self.fronts[place].log).unwrap_or_default();
         io::Error::other(format!("front f{place} {what}:\n{log}"))
     }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,6 +1,7 @@
-//! Real processes of the binary as fronts of one fleet, a list service for each, and a relay on every path from
-//! front to front that loses, doubles, delays, reorders, garbles and cuts. One seed gives one plan of faults.
-//! What the fronts say of themselves at the end is checked: copies equal, no server let in against a warning.
+//! Runs real processes of the binary as the fronts of one fleet, with a pool list service for each front and a
+//! relay on every path between two fronts that drops, duplicates, delays, reorders, corrupts and cuts off datagrams.
+//! One seed gives one plan of faults. The status that the fronts report at the end is checked: replicas are equal,
+//! and no front uses a server that another front's list has taken out of service.
 
 mod check;
 mod feed;
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -1,43 +1,40 @@
-//! A plan of faults, drawn from a seed and nothing else, so that a failing one can be played again and cut down.
+//! A plan of faults that depends on the seed alone, so that a failing plan can be run again and shortened.
 
 use crate::State;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What happens to the fleet.
+/// One step of a plan. `lab fleet` prints each step in its `Debug` form.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// These fronts' lists, and no others, tell this of a server.
-    Tell {
-        fronts: Vec<usize>,
-        server: usize,
-        state: State,
-        anew: bool,
-    },
+    /// Sets the state of a server on the lists of these fronts only. `anew`, with the state ready: as a new
+    /// incarnation.
+    Tell { fronts: Vec<usize>, server: usize, state: State, anew: bool },
+    /// Kills a front with SIGKILL.
     Kill(usize),
+    /// Starts a front unless it runs.
     Start(usize),
-    /// Ends it in order.
+    /// Shuts a front down gracefully.
     End(usize),
-    /// Kills it and puts a copy of what it has kept aside; it starts again from what it kept.
+    /// Kills a front, saves a copy of its stored state and restarts it from its stored state.
     PutAside(usize),
-    /// Kills it; it starts from what was put aside, however old that is.
+    /// Kills a front and restarts it from the saved copy, whatever the age of the copy.
     StartOld(usize),
+    /// Pauses a front's process (SIGSTOP).
     Hold(usize),
+    /// Resumes a paused process (SIGCONT).
     Wake(usize),
-    /// These hear nobody else and nobody else hears them.
+    /// Cuts all paths between these fronts and the others, in both directions.
     CutOff(Vec<usize>),
-    /// What this front says is heard by nobody; it hears all.
+    /// Cuts all paths from this front; it still receives from all others.
     Mute(usize),
+    /// Restores all paths that are cut.
     Heal,
-    /// Parts of the datagrams that are lost, doubled and garbled, in hundredths.
-    Spoil {
-        loss: u8,
-        double: u8,
-        garble: u8,
-    },
+    /// Sets the percentages of datagrams that are lost, duplicated and corrupted.
+    Spoil { loss: u8, double: u8, garble: u8 },
 }
 
-/// Actions in order; each comes a few beats after the one before.
+/// Draws the actions of a plan, in order; `play` runs them a few heartbeats apart.
 pub fn plan(seed: u64, fronts: usize, servers: usize, steps: usize) -> Vec<Action> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut actions = Vec::new();
@@ -47,8 +44,13 @@
             0..=8 => {
                 let state =
                     [State::Ready, State::Draining, State::Draining, State::Gone][rng.random_range(0..4)];
-                let some = (0..fronts).filter(|_| rng.random::<f64>() < 0.4).collect();
-                Action::Tell { fronts: some, server: rng.random_range(0..servers), state, anew: rng.random() }
+                let listing = (0..fronts).filter(|_| rng.random::<f64>() < 0.4).collect();
+                Action::Tell {
+                    fronts: listing,
+                    server: rng.random_range(0..servers),
+                    state,
+                    anew: rng.random(),
+                }
             }
             9 | 10 => Action::Kill(front),
             11 | 12 => Action::Start(front),
@@ -61,8 +63,8 @@
             19 => Action::PutAside(front),
             20 => Action::StartOld(front),
             _ => {
-                let mut part = || rng.random_range(0..40);
-                Action::Spoil { loss: part(), double: part(), garble: part() }
+                let mut percentage = || rng.random_range(0..40);
+                Action::Spoil { loss: percentage(), double: percentage(), garble: percentage() }
             }
         });
     }
--- a/crates/rig/src/servers.rs
+++ b/crates/rig/src/servers.rs
@@ -1,4 +1,5 @@
-//! Stand-in servers behind relays, one for each front and server, so that any link can be cut by itself.
+//! Stand-in servers behind TCP relays, one for each pair of front and server, so that each link can be cut
+//! individually.
 
 use shalespindle_sockets::MonotonicClock;
 use shalespindle_standin::loopback::{free_address, networks};
@@ -14,35 +15,36 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Between two looks at whether a link is cut.
+/// Interval at which a waiting thread checks again whether its link is cut.
 const TICK: Duration = Duration::from_millis(5);
 
-/// Links that carry nothing now: front, server.
+/// Links that are cut now: front, server.
 #[derive(Clone, Default)]
 struct Cuts(Arc<Mutex<BTreeSet<(usize, usize)>>>);
 
 impl Cuts {
-    fn all(&self) -> MutexGuard<'_, BTreeSet<(usize, usize)>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeSet<(usize, usize)>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn holds(&self, link: (usize, usize)) -> bool {
-        self.all().contains(&link)
+    fn contains(&self, link: (usize, usize)) -> bool {
+        self.lock().contains(&link)
     }
 }
 
-/// Servers of a fleet. A link that is cut stays open and silent, in both directions, until it is healed.
+/// The servers of a fleet. A link that is cut stays open but carries nothing in either direction until it is
+/// restored.
 pub struct Servers {
     servers: Vec<HostedServer>,
-    /// Where front `f` reaches server `s`.
+    /// `addresses[f][s]`: the relay's address at which front `f` connects to server `s`.
     addresses: Vec<Vec<SocketAddr>>,
     cuts: Cuts,
     ended: Arc<AtomicBool>,
-    accepting: Vec<JoinHandle<()>>,
+    accept_threads: Vec<JoinHandle<()>>,
 }
 
 fn spec() -> ServerSpec {
-    // Fast beside what tests ask: nothing waits unless a test makes it.
+    // Fast compared to the load of the tests: nothing queues unless a test causes it.
     let work = Work { set_up: 0.000_5, answer: 0.000_2, release: 0.000_2, probe: 0.000_05, reject: 0.000_1 };
     ServerSpec {
         work,
@@ -58,64 +60,65 @@
 }
 
 impl Servers {
-    /// So many servers, each reached by each front at an address of its own.
+    /// Starts the servers and, for each pair of front and server, a relay with an address of its own.
     pub fn start(fronts: usize, servers: usize) -> io::Result<Servers> {
         let names = Arc::new(HashMap::new());
         let (cuts, ended) = (Cuts::default(), Arc::new(AtomicBool::new(false)));
         let network = networks();
-        let (mut hosted, mut behind) = (Vec::new(), Vec::new());
+        let (mut hosted_servers, mut server_addresses) = (Vec::new(), Vec::new());
         for server in 0..servers {
-            // An address of its own: what goes out from the usual one cannot take the port.
+            // An address of its own: on the usual loopback address, an outgoing connection could take the port.
             let at = free_address(network, std::process::id() as usize % 250 * 250 + server)?;
             let core = Server::new(server, at.to_string(), spec(), names.clone(), server as u64);
-            hosted.push(HostedServer::start(core, at, MonotonicClock::new(), Trace::default())?);
-            behind.push(at);
+            hosted_servers.push(HostedServer::start(core, at, MonotonicClock::new(), Trace::default())?);
+            server_addresses.push(at);
         }
-        let (mut addresses, mut accepting) = (Vec::new(), Vec::new());
+        let (mut addresses, mut accept_threads) = (Vec::new(), Vec::new());
         for front in 0..fronts {
             let mut row = Vec::new();
-            for (server, to) in behind.iter().enumerate() {
+            for (server, to) in server_addresses.iter().enumerate() {
                 let listener = TcpListener::bind("127.0.0.1:0")?;
                 listener.set_nonblocking(true)?;
                 row.push(listener.local_addr()?);
                 let (to, link, cuts, ended) = (*to, (front, server), cuts.clone(), ended.clone());
-                accepting.push(std::thread::spawn(move || accept(&listener, to, link, &cuts, &ended)));
+                accept_threads
+                    .push(std::thread::spawn(move || accept_connections(&listener, to, link, &cuts, &ended)));
             }
             addresses.push(row);
         }
-        Ok(Servers { servers: hosted, addresses, cuts, ended, accepting })
+        Ok(Servers { servers: hosted_servers, addresses, cuts, ended, accept_threads })
     }
 
     pub fn count(&self) -> usize {
         self.servers.len()
     }
 
-    /// Where a front reaches a server.
+    /// The address at which a front connects to a server.
     pub fn address(&self, front: usize, server: usize) -> SocketAddr {
         self.addresses[front][server]
     }
 
-    /// Cuts these links, and only these.
+    /// Cuts exactly these links; all others are restored.
     pub fn cut(&self, links: impl IntoIterator<Item = (usize, usize)>) {
-        *self.cuts.all() = links.into_iter().collect();
+        *self.cuts.lock() = links.into_iter().collect();
     }
 
-    /// Its process ends.
+    /// Stops a server as if its process had ended.
     pub fn stop(&self, server: usize) {
         self.servers[server].stop();
     }
 
-    /// A new process, cold.
+    /// Starts a stopped server again as a new, cold process.
     pub fn start_again(&self, server: usize) -> io::Result<()> {
         self.servers[server].start_again()
     }
 
-    /// It takes what comes and says nothing, or is itself again.
+    /// While `silent`, the server accepts everything and answers nothing.
     pub fn silence(&self, server: usize, silent: bool) {
         self.servers[server].core.act(move |core, _| core.faults.silent = silent);
     }
 
-    /// Calls that stand there.
+    /// Number of calls established at a server.
     pub fn standing(&self, server: usize) -> u32 {
         self.servers[server].core.ask(|core| core.standing()).unwrap_or(0)
     }
@@ -124,14 +127,15 @@
 impl Drop for Servers {
     fn drop(&mut self) {
         self.ended.store(true, Ordering::Relaxed);
-        for thread in self.accepting.drain(..) {
-            // A panic there has been reported by its own message.
+        for thread in self.accept_threads.drain(..) {
+            // The message of a panic has been printed by the thread already.
             let _ = thread.join();
         }
     }
 }
 
-fn accept(
+/// Accepts connections of one front and relays each to the server at `to`.
+fn accept_connections(
     listener: &TcpListener,
     to: SocketAddr,
     link: (usize, usize),
@@ -139,49 +143,58 @@
     ended: &Arc<AtomicBool>,
 ) {
     while !ended.load(Ordering::Relaxed) {
-        let Ok((near, _)) = listener.accept() else {
+        let Ok((front_stream, _)) = listener.accept() else {
             std::thread::sleep(TICK);
             continue;
         };
         let (cuts, ended) = (cuts.clone(), ended.clone());
-        // Ends with its connection.
+        // The thread ends with its connection.
         std::thread::spawn(move || {
-            while cuts.holds(link) && !ended.load(Ordering::Relaxed) {
+            while cuts.contains(link) && !ended.load(Ordering::Relaxed) {
                 std::thread::sleep(TICK);
             }
-            // A server that is down refuses: here the front sees its connection end at once.
-            let Ok(far) = TcpStream::connect(to) else { return };
-            let _ = (near.set_nonblocking(false), near.set_nodelay(true), far.set_nodelay(true));
-            let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else { return };
-            let (cuts_too, ended_too) = (cuts.clone(), ended.clone());
-            let back = std::thread::spawn(move || pump(far_too, near_too, link, &cuts_too, &ended_too));
-            pump(near, far, link, &cuts, &ended);
-            let _ = back.join();
+            // A server that is down refuses the connection; the front sees its own connection closed at once.
+            let Ok(server_stream) = TcpStream::connect(to) else { return };
+            let _ = (
+                front_stream.set_nonblocking(false),
+                front_stream.set_nodelay(true),
+                server_stream.set_nodelay(true),
+            );
+            let (Ok(front_writer), Ok(server_reader)) = (front_stream.try_clone(), server_stream.try_clone())
+            else {
+                return;
+            };
+            let (return_cuts, return_ended) = (cuts.clone(), ended.clone());
+            let return_thread = std::thread::spawn(move || {
+                copy_bytes(server_reader, front_writer, link, &return_cuts, &return_ended)
+            });
+            copy_bytes(front_stream, server_stream, link, &cuts, &ended);
+            let _ = return_thread.join();
         });
     }
 }
 
-/// Carries bytes one way, none of them while the link is cut.
-fn pump(mut from: TcpStream, mut to: TcpStream, link: (usize, usize), cuts: &Cuts, ended: &AtomicBool) {
+/// Copies bytes in one direction; pauses while the link is cut.
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, link: (usize, usize), cuts: &Cuts, ended: &AtomicBool) {
     let _ = from.set_read_timeout(Some(TICK));
     let mut buffer = [0; 16_384];
     while !ended.load(Ordering::Relaxed) {
-        if cuts.holds(link) {
+        if cuts.contains(link) {
             std::thread::sleep(TICK);
             continue;
         }
         match from.read(&mut buffer) {
             Ok(0) => break,
             Ok(size) => {
-                // Cut while it was read: it waits with all that comes after it.
-                while cuts.holds(link) && !ended.load(Ordering::Relaxed) {
+                // If the link was cut during the read, these bytes and all later ones wait.
+                while cuts.contains(link) && !ended.load(Ordering::Relaxed) {
                     std::thread::sleep(TICK);
                 }
                 if to.write_all(&buffer[..size]).is_err() {
                     break;
                 }
             }
-            Err(why) if matches!(why.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+            Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
             Err(_) => break,
         }
     }
