--- a/crates/cli/tests/live_fleet.rs
+++ b/crates/cli/tests/live_fleet.rs
@@ -36,7 +36,7 @@
              fullest cold window {:?}; {} starts, slowest ready after {:.3} s; all linked to a new server {:.2} s \
              after the feed was back",
             summary.attaches,
-            summary.stood,
+            summary.established,
             summary.refused,
             found.gone,
             found.longest_after_gone(),
@@ -53,7 +53,7 @@
             (summary.unlinked > 0).then(|| format!("{} fronts without the new server", summary.unlinked)),
         );
         breaches.extend(seed_breaches.into_iter().map(|what| format!("seed {seed}: {what}")));
-        assert!(summary.stood > 50 && found.gone > 10, "too little load: {summary:?}");
+        assert!(summary.established > 50 && found.gone > 10, "too little load: {summary:?}");
     }
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -74,8 +74,8 @@
         let (front, server) = (seen.standing.name.clone(), member.address);
         match taken_out_by {
             Some(by) if member.status == "in" => breaches.push(Breach::LetIn { front, server, by }),
-            // A server must be in use only if the front's own list has it as ready; a server that became ready
-            // again too often may be kept out for a while.
+            // No breach if the front's own list does not have the server as ready, or while the front holds
+            // back a server that became ready again too often recently.
             None if own.state == State::Ready
                 && own.incarnation == latest
                 && member.status != "in"
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fronts' processes, their settings and what they answer.
+//! The processes of the fronts, their settings and their console replies.
 
 use crate::feed::ListFeed;
 use crate::relay::Relays;
@@ -14,31 +14,32 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The longest wait for an answer of a front that runs.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(10);
-/// The longest wait for a front to come up.
-const UP_WITHIN: Duration = Duration::from_secs(20);
+/// Maximum wait for a console reply of a running front.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum wait until a started front answers.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a fleet is started with.
+/// Parameters of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetShape {
-    /// The binary.
+    /// Path of the binary.
     pub program: PathBuf,
     pub fronts: usize,
-    /// Time between two beats.
+    /// Interval between two heartbeats.
     pub heartbeat_interval: Duration,
     pub seed: u64,
-    /// Fronts keep what they know on disk, so often; none: nothing outlives a process.
+    /// Interval at which fronts store their state on disk; none: nothing is stored.
     pub keep_every: Option<Duration>,
-    /// Bytes of a datagram at most.
+    /// Maximum size of a datagram in bytes.
     pub bytes: usize,
-    /// Further lines for `[fleet]` in the settings, before its peers.
+    /// Further lines of `[fleet]` in the settings, before its peers.
     pub more: String,
-    /// Further tables at the settings' end.
+    /// Further tables at the end of the settings.
     pub tables: String,
     /// Numbers of the pools that attaches may go to.
     pub pools: Vec<u16>,
-    /// A relay on every path between fronts, for faults; without, they send straight to each other.
+    /// Place a relay, which can apply faults, on every path between fronts; otherwise fronts send directly to
+    /// each other.
     pub relayed: bool,
 }
 
@@ -61,29 +62,31 @@
 }
 
 struct Front {
-    /// Where callers reach it.
+    /// Address for callers.
     listen: SocketAddr,
     settings: PathBuf,
     console: PathBuf,
     log: PathBuf,
+    /// File with the stored state.
     kept: PathBuf,
     process: Option<Child>,
-    stopped: bool,
+    paused: bool,
 }
 
-/// Fronts as processes; killed when it is dropped.
+/// Fronts as processes, which are killed when the fleet is dropped.
 pub struct Fleet {
     program: PathBuf,
     fronts: Vec<Front>,
     pub feeds: Vec<ListFeed>,
     pub relays: Relays,
+    /// Processes started so far.
     pub starts: u64,
     _folder: Option<tempfile::TempDir>,
 }
 
-/// Kinds of loopback network of a fleet: where fronts reach each other, where callers reach them.
-const FRONTS: u8 = 0;
-const CALLERS: u8 = 1;
+/// Offsets of the fleet's loopback networks: between fronts, and from callers to fronts.
+const FRONT_NETWORK: u8 = 0;
+const CALLER_NETWORK: u8 = 1;
 
 impl Fleet {
     /// Writes settings into `folder`, or into a temporary one, and starts nothing yet.
@@ -101,11 +104,11 @@
         let key = folder.join("key");
         std::fs::write(&key, "5a".repeat(32))?;
         let networks = networks();
-        // Rigs of several processes that run at once differ as well.
+        // Fleets of concurrent test processes get different addresses too.
         let address =
             |kind, front| free_address(networks + kind, std::process::id() as usize % 250 * 250 + front);
         let listen: Vec<SocketAddr> =
-            (0..shape.fronts).map(|front| address(FRONTS, front)).collect::<io::Result<_>>()?;
+            (0..shape.fronts).map(|front| address(FRONT_NETWORK, front)).collect::<io::Result<_>>()?;
         let relays = match shape.relayed {
             true => Relays::start(&listen, shape.seed)?,
             false => Relays::direct(&listen, shape.seed)?,
@@ -113,22 +116,22 @@
         let (mut fronts, mut feeds) = (Vec::new(), Vec::new());
         for (place, at) in listen.iter().enumerate() {
             let feed = ListFeed::start()?;
-            let path = |what: &str| folder.join(format!("f{place}.{what}"));
+            let path = |extension: &str| folder.join(format!("f{place}.{extension}"));
             let front = Front {
-                listen: address(CALLERS, place)?,
+                listen: address(CALLER_NETWORK, place)?,
                 settings: path("toml"),
                 console: path("sock"),
                 log: path("log"),
                 kept: path("redb"),
                 process: None,
-                stopped: false,
+                paused: false,
             };
             let peer = |to: usize| {
                 let address = relays.address(place, to);
                 format!("[[fleet.peers]]\nname = \"f{to}\"\naddress = \"{address}\"\n")
             };
             let peers: String = (0..shape.fronts).map(peer).collect();
-            let keeps = shape.keep_every.map_or(String::new(), |every| {
+            let storage = shape.keep_every.map_or(String::new(), |every| {
                 format!("keep_file = {:?}\nkeep_every = \"{}ms\"\n", front.kept, every.as_millis())
             });
             let text = format!(
@@ -138,7 +141,7 @@
                  [rules.cold]\nstart_capacity = 0.3\nwarm_after = \"15s\"\ntip_multiple = 2.0\n\
                  [console]\nsocket = {:?}\n\
                  [fleet]\nname = \"f{place}\"\nlisten = \"{}\"\nkey_file = {key:?}\nevery = \"{}ms\"\n\
-                 suspect_after = \"{}ms\"\ngone_after = \"{}ms\"\nbytes = {}\nwarnings_for = \"600s\"\n{keeps}{}\n{peers}{}",
+                 suspect_after = \"{}ms\"\ngone_after = \"{}ms\"\nbytes = {}\nwarnings_for = \"600s\"\n{storage}{}\n{peers}{}",
                 front.listen,
                 feed.address,
                 shape.pools,
@@ -168,7 +171,7 @@
         if front.process.is_some() {
             return Ok(());
         }
-        // A socket left behind by a killed process answers to nobody.
+        // A killed process leaves its console socket behind.
         let _ = std::fs::remove_file(&front.console);
         let log = File::options().create(true).append(true).open(&front.log)?;
         let mut command = Command::new(&self.program);
@@ -178,73 +181,75 @@
         let begin = Instant::now();
         while self.standing(place).is_none() {
             if let Some(why) = self.ended(place)? {
-                return Err(self.error_with_log(place, &format!("ended at its start, {why}")));
+                return Err(self.error_with_log(place, &format!("ended while starting: {why}")));
             }
-            if begin.elapsed() > UP_WITHIN {
-                return Err(self.error_with_log(place, "never came up"));
+            if begin.elapsed() > START_TIMEOUT {
+                return Err(self.error_with_log(place, "did not answer in time after its start"));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
         Ok(())
     }
 
-    /// How a front that should run has ended by itself.
+    /// The exit status of a front that ended unexpectedly.
     pub fn ended(&mut self, place: usize) -> io::Result<Option<String>> {
         let Some(process) = &mut self.fronts[place].process else { return Ok(None) };
         Ok(process.try_wait()?.map(|status| status.to_string()))
     }
 
-    /// A failure of a front, with what it has logged.
+    /// An error about a front, with the front's log.
     pub fn error_with_log(&self, place: usize, what: &str) -> io::Error {
         let log = std::fs::read_to_string(&self.fronts[place].log).unwrap_or_default();
         io::Error::other(format!("front f{place} {what}:\n{log}"))
     }
 
-    /// Kills it outright.
+    /// Kills a front with SIGKILL.
     pub fn kill(&mut self, place: usize) {
         let front = &mut self.fronts[place];
-        front.stopped = false;
+        front.paused = false;
         if let Some(mut process) = front.process.take() {
-            // Ended by itself already: so much the better.
+            // Fails if the process has ended already, which is fine.
             let _ = process.kill();
             let _ = process.wait();
         }
     }
 
-    /// Asks it to end in order and waits until it has.
+    /// Shuts a front down gracefully (SIGTERM) and waits for it; returns whether it exited successfully.
     pub fn end(&mut self, place: usize) -> io::Result<bool> {
         let Some(mut process) = self.fronts[place].process.take() else { return Ok(true) };
         signal(&process, Signal::SIGTERM)?;
         Ok(process.wait()?.success())
     }
 
-    /// Stops it where it stands, or lets it go on.
-    pub fn hold(&mut self, place: usize, still: bool) -> io::Result<()> {
+    /// Pauses (SIGSTOP) or resumes (SIGCONT) the process of a front.
+    pub fn hold(&mut self, place: usize, paused: bool) -> io::Result<()> {
         let front = &mut self.fronts[place];
         let Some(process) = &front.process else { return Ok(()) };
-        front.stopped = still;
-        signal(process, if still { Signal::SIGSTOP } else { Signal::SIGCONT })
+        front.paused = paused;
+        signal(process, if paused { Signal::SIGSTOP } else { Signal::SIGCONT })
     }
 
-    /// Has a front read its settings again.
+    /// Makes a front reload its settings (SIGHUP).
     pub fn reload(&self, place: usize) -> io::Result<()> {
         self.fronts[place].process.as_ref().map_or(Ok(()), |process| signal(process, Signal::SIGHUP))
     }
 
-    /// The process id of a front that runs.
+    /// The process id of a running front.
     pub fn process_id(&self, place: usize) -> Option<u32> {
         self.fronts[place].process.as_ref().map(Child::id)
     }
 
+    /// Whether a front runs and is not paused.
     pub fn is_up(&self, place: usize) -> bool {
-        self.fronts[place].process.is_some() && !self.fronts[place].stopped
+        self.fronts[place].process.is_some() && !self.fronts[place].paused
     }
 
-    pub fn ask(&self, place: usize, question: &Request) -> Option<Reply> {
-        ask(&self.fronts[place].console, question, ANSWERED_WITHIN).ok()
+    /// Sends a request to a front's console; none if it does not answer in time.
+    pub fn ask(&self, place: usize, request: &Request) -> Option<Reply> {
+        ask(&self.fronts[place].console, request, ANSWER_TIMEOUT).ok()
     }
 
-    /// The other fronts, as this one knows them.
+    /// The fleet status that a front reports.
     pub fn standing(&self, place: usize) -> Option<FleetStatus> {
         match self.ask(place, &Request::Fleet)? {
             Reply::Fleet(standing) => Some(*standing),
@@ -252,7 +257,7 @@
         }
     }
 
-    /// The servers, as a front judges them.
+    /// The state of the servers that a front reports.
     pub fn members(&self, place: usize) -> Option<Members> {
         match self.ask(place, &Request::Members)? {
             Reply::Members(members) => Some(*members),
@@ -260,39 +265,41 @@
         }
     }
 
-    /// The file in which a front keeps what it knows.
+    /// The file with a front's stored state.
     pub fn kept(&self, place: usize) -> &Path {
         &self.fronts[place].kept
     }
 
-    /// Where a copy of it is put aside.
-    fn aside(&self, place: usize) -> PathBuf {
+    /// Path of the saved copy of a front's stored state.
+    fn saved_copy(&self, place: usize) -> PathBuf {
         self.fronts[place].kept.with_extension("aside")
     }
 
-    /// Kills a front and puts a copy of what it has kept aside.
+    /// Kills a front and saves a copy of its stored state.
     pub fn put_aside(&mut self, place: usize) -> io::Result<()> {
         self.kill(place);
-        match std::fs::copy(self.kept(place), self.aside(place)) {
-            Err(why) if why.kind() != io::ErrorKind::NotFound => Err(why),
+        match std::fs::copy(self.kept(place), self.saved_copy(place)) {
+            Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
     }
 
-    /// Kills a front and gives it what was put aside, if anything was; it is not started.
+    /// Kills a front and restores the saved copy of its stored state, if there is one; does not start the
+    /// front.
     pub fn put_back(&mut self, place: usize) -> io::Result<()> {
         self.kill(place);
-        match std::fs::copy(self.aside(place), self.kept(place)) {
-            Err(why) if why.kind() != io::ErrorKind::NotFound => Err(why),
+        match std::fs::copy(self.saved_copy(place), self.kept(place)) {
+            Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
     }
 
-    /// Where callers reach a front.
+    /// The address at which callers connect to a front.
     pub fn listen(&self, place: usize) -> SocketAddr {
         self.fronts[place].listen
     }
 
+    /// The settings file of a front.
     pub fn settings(&self, place: usize) -> &Path {
         &self.fronts[place].settings
     }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,7 +1,7 @@
-//! Runs real processes of the binary as the fronts of one fleet, with a pool list service for each front and a
-//! relay on every path between two fronts that drops, duplicates, delays, reorders, corrupts and cuts off datagrams.
-//! One seed gives one plan of faults. The status that the fronts report at the end is checked: replicas are equal,
-//! and no front uses a server that another front's list has taken out of service.
+//! Runs real processes of the binary as the fronts of one fleet, with a pool list service for each front and
+//! a relay on every path between two fronts. The relays drop, duplicate, delay, reorder, corrupt and cut off
+//! datagrams. One seed gives one plan of faults. The status that the fronts report at the end is checked:
+//! replicas are equal, and no front uses a server that another front's list has taken out of service.
 
 mod check;
 mod feed;
--- a/crates/rig/src/live.rs
+++ b/crates/rig/src/live.rs
@@ -1,5 +1,5 @@
-//! Live fronts of the operators' platform as processes beside stand-in servers, a feed and callers, under a plan of
-//! restarts and kills drawn from a seed. What passed is a trace for the checkers.
+//! Runs `live` fronts of the operators' platform as processes, with stand-in servers, a feed and callers,
+//! under graceful restarts and kills drawn from a seed. The events are recorded in a trace for the checkers.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,46 +19,50 @@
 pub struct LiveShape {
     pub fronts: usize,
     pub servers: usize,
-    /// Callers that ask one after the other.
+    /// Number of callers; each makes one attach at a time.
     pub callers: usize,
-    /// Set-ups a second that a warm server is said to bear; the stand-ins do not slow down.
+    /// Nominal capacity of a warm server in set-ups per second; the stand-ins do not slow down under load.
     pub capacity: f64,
     pub seconds: f64,
-    /// Descriptors of each front, by its configuration and by the system.
+    /// Limit of file descriptors of each front, in its configuration and as `ulimit -n`.
     pub descriptors: usize,
 }
 
-/// What a run came to, beside its trace.
+/// The result of a run, in addition to its trace.
 #[derive(Clone, Debug, Default)]
 pub struct LiveSummary {
     pub attaches: u64,
-    pub stood: u64,
+    pub established: u64,
     pub refused: u64,
-    /// Asked of a front that was not killed meanwhile, and never answered.
+    /// Attaches that a front never answered although it was not killed meanwhile.
     pub lost: Vec<String>,
-    /// Fronts that ended without being told to.
+    /// Fronts that ended unexpectedly.
     pub crashed: Vec<FrontId>,
-    /// Fronts that the new server has no connection from, long after the feed came back.
+    /// Fronts that logged a link to the new server but have no connection to it long after the feed came
+    /// back.
     pub unlinked: usize,
-    /// From the feed's return until the last front had asked it and linked the server it told of, seconds.
+    /// Time from the feed's return until the last front had connected to the server that the feed added,
+    /// seconds.
     pub linked_after: f64,
 }
 
-/// How long a caller waits, and how much later an answer still counts.
+/// Time that a caller waits for an answer, and the tolerance for late answers; seconds.
 const PATIENCE: f64 = 3.0;
-const SLACK: f64 = 0.5;
-/// After SIGTERM nobody new connects for longer than this.
-const STILL_COME: f64 = 0.3;
-/// Attaches asked, of what all servers bear when warm; further tries come on top.
-const LOAD: f64 = 0.8;
-/// All fronts, also those that restart meanwhile, have found the feed again by then.
-const LINKED_WITHIN: f64 = 10.0;
-const ORDERLY_END: Duration = Duration::from_secs(8);
-
-/// Where a front of a run listens: hosts of its own on loopback, so that no port is anybody else's.
-pub fn own_address(run: u8, place: u8) -> io::Result<SocketAddr> {
+const ANSWER_SLACK: f64 = 0.5;
+/// Callers may still connect to a front for at most this time after its SIGTERM, seconds.
+const CONNECT_AFTER_SIGTERM: f64 = 0.3;
+/// Rate of attaches as a share of the capacity of all warm servers; further setup tries come on top.
+const LOAD_SHARE: f64 = 0.8;
+/// Maximum time for all fronts, including those that restart meanwhile, to find the feed again; seconds.
+const LINK_TIMEOUT: f64 = 10.0;
+/// A front that has not ended by then after SIGTERM is killed.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
+
+/// The address at which a front of a run listens. Each front has a loopback host of its own, so that no other
+/// process can use its port.
+pub fn own_address(run_number: u8, place: u8) -> io::Result<SocketAddr> {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let host = Ipv4Addr::new(127, (high % 100) + 100 + run % 50, low, place.max(1));
+    let host = Ipv4Addr::new(127, (high % 100) + 100 + run_number % 50, low, place.max(1));
     TcpListener::bind((host, 0))?.local_addr()
 }
 
@@ -66,27 +70,28 @@
     listen: SocketAddr,
     config: PathBuf,
     child: Mutex<Option<Child>>,
-    /// Callers may connect.
+    /// Whether callers may connect.
     open: AtomicBool,
-    /// Times at which it was killed outright.
+    /// Times at which it was killed with SIGKILL.
     killed: Mutex<Vec<f64>>,
 }
 
-struct World {
+/// State shared by the threads of a run.
+struct Run {
     shape: LiveShape,
     begin: Instant,
     trace: Trace,
     fronts: Vec<Front>,
-    over: AtomicBool,
+    ended: AtomicBool,
     next_call: AtomicU64,
     summary: Mutex<LiveSummary>,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl World {
+impl Run {
     fn now(&self) -> f64 {
         self.begin.elapsed().as_secs_f64()
     }
@@ -95,13 +100,13 @@
         std::thread::sleep(Duration::from_secs_f64((at - self.now()).max(0.0)));
     }
 
-    fn saw(&self, seen: Seen) {
+    fn record(&self, seen: Seen) {
         self.trace.add(self.now(), seen);
     }
 }
 
-/// A stand-in server's ways: what it does with a set-up, by chance.
-fn serve(world: &World, server: usize, stream: TcpStream, seed: u64) -> io::Result<()> {
+/// Serves one connection of a stand-in server; the reaction to each set-up is drawn at random.
+fn serve_connection(run: &Run, server: usize, stream: TcpStream, seed: u64) -> io::Result<()> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let write = |line: &Value| (&stream).write_all(format!("{line}\n").as_bytes());
     write(&json!({"type": "state", "id": "", "fields": {"load": "x0:40;x1:40"}}))?;
@@ -115,9 +120,9 @@
             }
             Some("setup") => {
                 let session: Arc<str> = id.into();
-                world.saw(Seen::SetUp { server, front: 0, session: session.clone(), leg: session });
+                run.record(Seen::SetUp { server, front: 0, session: session.clone(), leg: session });
                 match rng.random_range(0..100) {
-                    // Turned away, cut, or left without an answer: further tries come from these.
+                    // Refused, cut or left unanswered: these cause further setup tries.
                     0..10 => {
                         let fields = json!({"note": "throttled"});
                         write(&json!({"type": "release", "id": id, "fields": fields, "cause": 34}))?;
@@ -134,21 +139,21 @@
     Ok(())
 }
 
-/// Starts a server; returns its address.
-fn server(world: &Arc<World>, number: usize, seed: u64) -> io::Result<SocketAddr> {
+/// Starts a stand-in server; returns its address.
+fn start_server(run: &Arc<Run>, number: usize, seed: u64) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let (address, world) = (listener.local_addr()?, world.clone());
+    let (address, run) = (listener.local_addr()?, run.clone());
     std::thread::spawn(move || {
         for (n, stream) in listener.incoming().flatten().enumerate() {
-            let world = world.clone();
-            // Ends with its connection.
-            std::thread::spawn(move || drop(serve(&world, number, stream, seed ^ n as u64)));
+            let run = run.clone();
+            // The thread ends with its connection.
+            std::thread::spawn(move || drop(serve_connection(&run, number, stream, seed ^ n as u64)));
         }
     });
     Ok(address)
 }
 
-/// What a caller reads until the final answer to its set-up.
+/// Reads until the final response and returns its status.
 fn final_status(stream: &mut TcpStream) -> io::Result<u16> {
     let (mut text, mut buffer) = (String::new(), [0; 4096]);
     loop {
@@ -158,7 +163,7 @@
         }
         text.push_str(&String::from_utf8_lossy(&buffer[..size]));
         let statuses = text.split("SIP/2.0 ").skip(1).filter_map(|s| s.get(..3)?.parse::<u16>().ok());
-        // Its answers alone come on a connection of its own.
+        // The connection carries only the responses to this one request.
         if let Some(status) = statuses.into_iter().find(|s| *s >= 200).filter(|_| text.contains("\r\n\r\n")) {
             return Ok(status);
         }
@@ -174,27 +179,27 @@
     )
 }
 
-/// One attach from its connection to its end.
-fn call(world: &World, rng: &mut ChaCha8Rng) {
-    let front_id = rng.random_range(0..world.fronts.len());
-    let front = &world.fronts[front_id];
+/// Makes one attach at a random front, from the connection to its end.
+fn call(run: &Run, rng: &mut ChaCha8Rng) {
+    let front_id = rng.random_range(0..run.fronts.len());
+    let front = &run.fronts[front_id];
     if !front.open.load(Ordering::Acquire) {
         return std::thread::sleep(Duration::from_millis(20));
     }
-    // Not up, or full: nothing was asked.
+    // The front is down or full: no attach was made.
     let Ok(mut stream) = TcpStream::connect_timeout(&front.listen, Duration::from_secs(1)) else { return };
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_read_timeout(Some(Duration::from_secs_f64(PATIENCE + SLACK)));
-    let id = format!("{:016x}", world.next_call.fetch_add(1, Ordering::Relaxed));
+    let _ = stream.set_read_timeout(Some(Duration::from_secs_f64(PATIENCE + ANSWER_SLACK)));
+    let id = format!("{:016x}", run.next_call.fetch_add(1, Ordering::Relaxed));
     let session: Arc<str> = id.as_str().into();
-    let asked = world.now();
-    world.saw(Seen::Asked { front: front_id, session: session.clone(), until: asked + PATIENCE });
-    let invite = message("INVITE", &id, "9d41\r\n", rng.random_range(0..world.shape.servers));
+    let asked = run.now();
+    run.record(Seen::Asked { front: front_id, session: session.clone(), until: asked + PATIENCE });
+    let invite = message("INVITE", &id, "9d41\r\n", rng.random_range(0..run.shape.servers));
     if stream.write_all(invite.as_bytes()).is_err() {
         return;
     }
-    locked(&world.summary).attaches += 1;
-    // Some leave: at once, soon, or while a further try waits out the guard.
+    lock(&run.summary).attaches += 1;
+    // Some callers leave: at once, soon, or while a further setup try waits for the guard time.
     let leaves = match rng.random_range(0..10) {
         0 => Some(Duration::ZERO),
         1 => Some(Duration::from_millis(rng.random_range(1..20))),
@@ -204,38 +209,38 @@
     if let Some(after) = leaves {
         std::thread::sleep(after);
         if rng.random_bool(0.3) && stream.write_all(message("CANCEL", &id, "", 0).as_bytes()).is_ok() {
-            world.saw(Seen::Withdrawn { session });
-            // An answer may have crossed it; either ends this.
+            run.record(Seen::Withdrawn { session });
+            // An answer may have crossed the CANCEL; any final response ends the attach.
             let _ = final_status(&mut stream);
             return;
         }
         let _ = stream.shutdown(Shutdown::Both);
-        return world.saw(Seen::Gone { session });
+        return run.record(Seen::Gone { session });
     }
     match final_status(&mut stream) {
         Ok(status) => {
-            world.saw(Seen::Answered { session, status, pause: None });
+            run.record(Seen::Answered { session, status, pause: None });
             if status == 200 {
                 let bye = [message("ACK", &id, "", 0), message("BYE", &id, "", 0)].concat();
                 let _ = stream.write_all(bye.as_bytes());
             }
-            let mut summary = locked(&world.summary);
-            *(if status == 200 { &mut summary.stood } else { &mut summary.refused }) += 1;
+            let mut summary = lock(&run.summary);
+            *(if status == 200 { &mut summary.established } else { &mut summary.refused }) += 1;
         }
         Err(why) => {
-            let killed = locked(&front.killed).iter().any(|at| *at >= asked - 0.05);
+            let killed = lock(&front.killed).iter().any(|at| *at >= asked - 0.05);
             if !killed {
-                let after = world.now() - asked;
-                locked(&world.summary).lost.push(format!("{id} at front {front_id}, {after:.3} s: {why}"));
+                let after = run.now() - asked;
+                lock(&run.summary).lost.push(format!("{id} at front {front_id}, {after:.3} s: {why}"));
             }
         }
     }
 }
 
-/// Waits until the front answers a test.
-fn wait_ready(world: &World, front_id: FrontId) {
-    let front = &world.fronts[front_id];
-    let tested = || -> io::Result<bool> {
+/// Waits until the front answers OPTIONS with 200, then lets callers connect.
+fn wait_until_ready(run: &Run, front_id: FrontId) {
+    let front = &run.fronts[front_id];
+    let answers_options = || -> io::Result<bool> {
         let mut stream = TcpStream::connect(front.listen)?;
         stream.set_read_timeout(Some(Duration::from_secs(1)))?;
         stream.write_all(message("OPTIONS", "aaaaaaaaaaaaaaaa", "", 0).as_bytes())?;
@@ -243,56 +248,56 @@
     };
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_secs(30) {
-        if tested().unwrap_or(false) {
-            world.saw(Seen::FrontUp { front: front_id });
+        if answers_options().unwrap_or(false) {
+            run.record(Seen::FrontUp { front: front_id });
             return front.open.store(true, Ordering::Release);
         }
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn launch(world: &World, binary: &Path, front_id: FrontId) -> io::Result<()> {
-    let front = &world.fronts[front_id];
-    let limited = format!("ulimit -n {} && exec {} live", world.shape.descriptors, binary.display());
+fn launch(run: &Run, binary: &Path, front_id: FrontId) -> io::Result<()> {
+    let front = &run.fronts[front_id];
+    let shell_command = format!("ulimit -n {} && exec {} live", run.shape.descriptors, binary.display());
     let log = std::fs::File::options().create(true).append(true).open(front.config.with_extension("log"))?;
     let mut command = Command::new("/bin/sh");
-    command.args(["-c", &limited]).env("ROUTER_LISTEN", front.listen.to_string());
+    command.args(["-c", &shell_command]).env("ROUTER_LISTEN", front.listen.to_string());
     command.env("ROUTER_CONFIG", &front.config).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-    world.saw(Seen::FrontLaunched { front: front_id });
-    *locked(&front.child) = Some(command.spawn()?);
+    run.record(Seen::FrontLaunched { front: front_id });
+    *lock(&front.child) = Some(command.spawn()?);
     Ok(())
 }
 
 fn signal(child: &Child, signal: nix::sys::signal::Signal) {
-    // Ended already: seen where it is waited for.
+    // Fails if the process has ended already; the caller finds that out when it waits for the process.
     let _ = nix::sys::signal::kill(nix::unistd::Pid::from_raw(child.id() as i32), signal);
 }
 
-/// Restarts one front, in order or not, and waits until it is ready.
-fn restart(world: &World, binary: &Path, front_id: FrontId, in_order: bool) -> io::Result<()> {
-    let front = &world.fronts[front_id];
+/// Restarts one front, gracefully or by SIGKILL, and waits until it is ready.
+fn restart(run: &Run, binary: &Path, front_id: FrontId, graceful: bool) -> io::Result<()> {
+    let front = &run.fronts[front_id];
     front.open.store(false, Ordering::Release);
-    let Some(mut child) = locked(&front.child).take() else { return Ok(()) };
+    let Some(mut child) = lock(&front.child).take() else { return Ok(()) };
     if child.try_wait()?.is_some() {
-        locked(&world.summary).crashed.push(front_id);
+        lock(&run.summary).crashed.push(front_id);
     }
-    if in_order {
+    if graceful {
         signal(&child, nix::sys::signal::Signal::SIGTERM);
-        std::thread::sleep(Duration::from_secs_f64(STILL_COME));
+        std::thread::sleep(Duration::from_secs_f64(CONNECT_AFTER_SIGTERM));
         let begin = Instant::now();
-        while child.try_wait()?.is_none() && begin.elapsed() < ORDERLY_END {
+        while child.try_wait()?.is_none() && begin.elapsed() < SHUTDOWN_TIMEOUT {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
     if child.try_wait()?.is_none() {
-        // Before it is: what it answers from here on does not count against it.
-        locked(&front.killed).push(world.now());
+        // Recorded before the kill: attaches that are not answered from here on are not counted as lost.
+        lock(&front.killed).push(run.now());
         child.kill()?;
         child.wait()?;
-        world.saw(Seen::FrontKilled { front: front_id });
+        run.record(Seen::FrontKilled { front: front_id });
     }
-    launch(world, binary, front_id)?;
-    wait_ready(world, front_id);
+    launch(run, binary, front_id)?;
+    wait_until_ready(run, front_id);
     Ok(())
 }
 
@@ -319,9 +324,10 @@
     unix.unwrap_or(Duration::ZERO).as_millis()
 }
 
-/// Plays one run. A fifth of the time in, one server is replaced by a cold one; fronts are restarted in tenths all along,
-/// half of them killed; for the third quarter the feed is away while idle clients fill two fronts, and a server that is
-/// new by then must be linked by all after the feed's return.
+/// Runs one trial. After a fifth of the time, one server is replaced by a cold one. Throughout, a tenth of
+/// the fronts at a time is restarted, half of them by SIGKILL. During the third quarter the feed is
+/// unavailable and idle clients fill two fronts; a server that is added then must be connected to by all
+/// fronts after the feed's return.
 pub fn play_live(
     binary: &Path,
     folder: &Path,
@@ -341,24 +347,24 @@
             })
         })
         .collect::<io::Result<Vec<Front>>>()?;
-    let (over, next_call, summary) = (AtomicBool::new(false), AtomicU64::new(seed << 32), Mutex::default());
-    let world = Arc::new(World {
+    let (ended, next_call, summary) = (AtomicBool::new(false), AtomicU64::new(seed << 32), Mutex::default());
+    let run = Arc::new(Run {
         shape,
         begin: Instant::now(),
         trace: trace.clone(),
         fronts,
-        over,
+        ended,
         next_call,
         summary,
     });
 
     let addresses =
-        (0..shape.servers).map(|n| server(&world, n, rng.random())).collect::<io::Result<Vec<_>>>()?;
+        (0..shape.servers).map(|n| start_server(&run, n, rng.random())).collect::<io::Result<Vec<_>>>()?;
     let first: Vec<Value> =
         addresses.iter().enumerate().map(|(n, a)| member(format!("s-{n}"), *a, n, "up", 0)).collect();
     let known: Value = serde_json::from_str(&event(1, &first))?;
     let feed = EventFeed::start(vec![event(1, &first)])?;
-    for (n, front) in world.fronts.iter().enumerate() {
+    for (n, front) in run.fronts.iter().enumerate() {
         let config = json!({"name": format!("n{n}"), "listen": front.listen.to_string(),
             "seed": format!("{:016x}", rng.random::<u64>()), "feed": feed.address.to_string(),
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": shape.descriptors},
@@ -366,43 +372,43 @@
         std::fs::write(&front.config, config.to_string())?;
     }
     for front in 0..shape.fronts {
-        launch(&world, binary, front)?;
+        launch(&run, binary, front)?;
     }
-    (0..shape.fronts).for_each(|front| wait_ready(&world, front));
+    (0..shape.fronts).for_each(|front| wait_until_ready(&run, front));
 
-    let start = world.now();
-    let at = |part: f64| start + part * shape.seconds;
+    let start = run.now();
+    let at = |fraction: f64| start + fraction * shape.seconds;
     let callers: Vec<_> = (0..shape.callers)
         .map(|_| {
-            let (world, mut rng) = (world.clone(), ChaCha8Rng::seed_from_u64(rng.random()));
+            let (run, mut rng) = (run.clone(), ChaCha8Rng::seed_from_u64(rng.random()));
             std::thread::spawn(move || {
-                // So many a second that warm servers bear what is asked, however fast the machine is.
-                let asked = LOAD * world.shape.capacity * world.shape.servers as f64;
-                let gap = world.shape.callers as f64 / asked;
-                while !world.over.load(Ordering::Acquire) {
-                    let next = world.now() - gap * (1.0 - rng.random::<f64>()).ln();
-                    call(&world, &mut rng);
-                    world.sleep_until(next.min(world.now() + 1.0));
+                // A rate that warm servers can carry, whatever the speed of the machine.
+                let attach_rate = LOAD_SHARE * run.shape.capacity * run.shape.servers as f64;
+                let gap = run.shape.callers as f64 / attach_rate;
+                while !run.ended.load(Ordering::Acquire) {
+                    let next = run.now() - gap * (1.0 - rng.random::<f64>()).ln();
+                    call(&run, &mut rng);
+                    run.sleep_until(next.min(run.now() + 1.0));
                 }
             })
         })
         .collect();
-    // In tenths, one tenth after the other, over and over.
-    let rolling = {
-        let (world, binary, mut rng) =
-            (world.clone(), binary.to_path_buf(), ChaCha8Rng::seed_from_u64(rng.random()));
+    // Restarts the fronts one tenth after the other, in rotation.
+    let restarts = {
+        let (run, binary, mut rng) =
+            (run.clone(), binary.to_path_buf(), ChaCha8Rng::seed_from_u64(rng.random()));
         std::thread::spawn(move || -> io::Result<()> {
             let tenth = (shape.fronts / 10).max(1);
             for first in (0..).step_by(tenth) {
-                if world.now() > start + 0.9 * shape.seconds {
+                if run.now() > start + 0.9 * shape.seconds {
                     return Ok(());
                 }
                 let chosen: Vec<(FrontId, bool)> =
                     (first..first + tenth).map(|n| (n % shape.fronts, rng.random())).collect();
                 std::thread::scope(|scope| {
-                    for (front, in_order) in chosen {
-                        let (world, binary) = (&world, &binary);
-                        scope.spawn(move || restart(world, binary, front, in_order));
+                    for (front, graceful) in chosen {
+                        let (run, binary) = (&run, &binary);
+                        scope.spawn(move || restart(run, binary, front, graceful));
                     }
                 });
             }
@@ -410,57 +416,57 @@
         })
     };
 
-    world.sleep_until(at(0.2));
-    let cold = server(&world, shape.servers, rng.random())?;
-    world.saw(Seen::Started { server: shape.servers, cold: true, capacity: shape.capacity });
+    run.sleep_until(at(0.2));
+    let cold = start_server(&run, shape.servers, rng.random())?;
+    run.record(Seen::Started { server: shape.servers, cold: true, capacity: shape.capacity });
     let replaced = [
         member("s-0".into(), addresses[0], 0, "removed", 0),
         member("s-cold".into(), cold, 0, "up", unix_ms()),
     ];
     feed.tell(event(2, &replaced));
 
-    world.sleep_until(at(0.5));
+    run.sleep_until(at(0.5));
     feed.set_away(true);
     let idle: Vec<TcpStream> = (0..2)
         .flat_map(|front| (0..2 * shape.descriptors).map(move |_| front))
         .filter_map(|front| {
-            TcpStream::connect_timeout(&world.fronts[front].listen, Duration::from_millis(200)).ok()
+            TcpStream::connect_timeout(&run.fronts[front].listen, Duration::from_millis(200)).ok()
         })
         .collect();
-    let new = server(&world, shape.servers + 1, rng.random())?;
+    let new = start_server(&run, shape.servers + 1, rng.random())?;
     feed.tell(event(3, &[member("s-new".into(), new, 1, "up", 0)]));
-    world.sleep_until(at(0.75));
+    run.sleep_until(at(0.75));
     feed.set_away(false);
-    // The idle ones stay until every front has found the feed and the server that it tells of.
-    let back = world.now();
-    // One that is just being restarted is asked when it is ready again.
-    let silent = |f: &&Front| f.open.load(Ordering::Acquire) && !says_linked(f);
-    while world.fronts.iter().any(|f| silent(&f)) && world.now() < back + LINKED_WITHIN {
+    // The idle clients stay until every front has found the feed and the server that it added.
+    let back = run.now();
+    // A front that is being restarted is checked when it is ready again.
+    let not_linked = |f: &&Front| f.open.load(Ordering::Acquire) && !has_logged_link(f);
+    while run.fronts.iter().any(|f| not_linked(&f)) && run.now() < back + LINK_TIMEOUT {
         std::thread::sleep(Duration::from_millis(20));
     }
-    let linked_after = world.now() - back;
-    // What they say is held against the kernel's tables; these take long to read, so only of those that served before
-    // and after it as one process, and said so.
-    let serves =
-        |f: &Front| locked(&f.child).as_ref().map(Child::id).filter(|_| f.open.load(Ordering::Acquire));
-    let without = |f: &&Front| {
-        let before = serves(f).filter(|_| says_linked(f));
-        before.is_some() && own_connections(f, new) == 0 && serves(f) == before
+    let linked_after = run.now() - back;
+    // The logged links are compared with the kernel's connection tables. Reading these takes long, so only
+    // fronts are checked that logged the link and served as the same process before and after the reading.
+    let serving_process =
+        |f: &Front| lock(&f.child).as_ref().map(Child::id).filter(|_| f.open.load(Ordering::Acquire));
+    let lacks_connection = |f: &&Front| {
+        let before = serving_process(f).filter(|_| has_logged_link(f));
+        before.is_some() && count_connections(f, new) == 0 && serving_process(f) == before
     };
-    let unlinked = world.fronts.iter().filter(without).count();
+    let unlinked = run.fronts.iter().filter(lacks_connection).count();
     drop(idle);
 
-    world.sleep_until(at(1.0));
-    world.over.store(true, Ordering::Release);
+    run.sleep_until(at(1.0));
+    run.ended.store(true, Ordering::Release);
     for caller in callers {
         let _ = caller.join();
     }
-    rolling.join().map_err(|_| io::Error::other("the restarts"))??;
-    let mut summary = std::mem::take(&mut *locked(&world.summary));
+    restarts.join().map_err(|_| io::Error::other("the thread that restarts the fronts panicked"))??;
+    let mut summary = std::mem::take(&mut *lock(&run.summary));
     summary.unlinked = unlinked;
     summary.linked_after = linked_after;
-    for (n, front) in world.fronts.iter().enumerate() {
-        let Some(mut child) = locked(&front.child).take() else { continue };
+    for (n, front) in run.fronts.iter().enumerate() {
+        let Some(mut child) = lock(&front.child).take() else { continue };
         if child.try_wait()?.is_some() {
             summary.crashed.push(n);
         }
@@ -470,15 +476,15 @@
     Ok((trace, summary))
 }
 
-/// Whether a front has told since its last start that it is linked to the server that is new.
-fn says_linked(front: &Front) -> bool {
+/// Whether a front has logged since its last start that its link to the new server is up.
+fn has_logged_link(front: &Front) -> bool {
     let log = std::fs::read_to_string(front.config.with_extension("log")).unwrap_or_default();
     log.rsplit("in service").next().is_some_and(|last| last.contains("link up of=\"s-new\""))
 }
 
-/// Connections of a front's process to an address, by the kernel's tables.
-fn own_connections(front: &Front, to: SocketAddr) -> usize {
-    let Some(id) = locked(&front.child).as_ref().map(Child::id) else { return 0 };
+/// Number of connections of a front's process to an address, by the kernel's tables.
+fn count_connections(front: &Front, to: SocketAddr) -> usize {
+    let Some(id) = lock(&front.child).as_ref().map(Child::id) else { return 0 };
     let inodes: Vec<String> = std::fs::read_dir(format!("/proc/{id}/fd"))
         .into_iter()
         .flatten()
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -15,8 +15,8 @@
 const ACTION_HEARTBEATS: u32 = 3;
 /// Maximum wait for all checks to hold after the last fault, in heartbeats; reached only when the run fails.
 const MAX_EQUAL_HEARTBEATS: u32 = 300;
-/// Number of servers on the lists. Nothing listens on their addresses: only whether the fronts would use them is
-/// checked.
+/// Number of servers on the lists. Nothing listens on their addresses: only whether the fronts would use them
+/// is checked.
 const SERVER_COUNT: usize = 12;
 
 /// The result of a run.
@@ -48,8 +48,8 @@
     (n % 3) as u16
 }
 
-/// Starts the fleet, runs the plan of the shape's seed, ends all faults and checks; `report_progress` gets each
-/// action.
+/// Starts the fleet, runs the plan of the shape's seed, ends all faults and checks; `report_progress` gets
+/// each action.
 pub fn play(
     shape: &FleetShape,
     steps: usize,
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -79,8 +79,8 @@
         Ok(Relays { shared, addresses, threads })
     }
 
-    /// No relays: fronts send directly to each other, and faults have no effect. For fleets too large for one thread
-    /// per pair.
+    /// No relays: fronts send directly to each other, and faults have no effect. For fleets too large for one
+    /// thread per pair.
     pub fn direct(fronts: &[SocketAddr], seed: u64) -> io::Result<Relays> {
         let mut relays = Relays::start(&[], seed)?;
         relays.addresses = vec![fronts.to_vec(); fronts.len()];
--- a/crates/rig/src/servers.rs
+++ b/crates/rig/src/servers.rs
@@ -67,7 +67,8 @@
         let network = networks();
         let (mut hosted_servers, mut server_addresses) = (Vec::new(), Vec::new());
         for server in 0..servers {
-            // An address of its own: on the usual loopback address, an outgoing connection could take the port.
+            // An address of its own: on the usual loopback address, an outgoing connection could take the
+            // port.
             let at = free_address(network, std::process::id() as usize % 250 * 250 + server)?;
             let core = Server::new(server, at.to_string(), spec(), names.clone(), server as u64);
             hosted_servers.push(HostedServer::start(core, at, MonotonicClock::new(), Trace::default())?);
