--- a/crates/cli/tests/calls.rs
+++ b/crates/cli/tests/calls.rs
@@ -29,7 +29,7 @@
         // A repeat at a third front is answered from the replicated state and not sent to the server again.
         cluster.wait_until("the release replicated to the third front", |fleet| {
             let has_release =
-                |f: usize| fleet.standing(f).unwrap().peers.iter().any(|p| p.name == "f1" && p.facts >= 2);
+                |f: usize| fleet.status(f).unwrap().peers.iter().any(|p| p.name == "f1" && p.facts >= 2);
             has_release(2)
         });
         assert_eq!(status(&send_bye_to(&caller, cluster.front(2), &ok)), 200);
@@ -55,7 +55,7 @@
     cluster.fleet.kill(0);
     cluster.start(0);
     cluster.wait_until("the front to take its call back", |fleet| {
-        fleet.standing(0).unwrap().counts["calls_taken_back"] == 1
+        fleet.status(0).unwrap().counts["calls_taken_back"] == 1
     });
     assert_eq!(status(&send_bye_to(&caller, cluster.front(0), &ok)), 200);
     let (connection, bye) = cluster.server.expect(Method::Bye);
@@ -120,8 +120,8 @@
     }
     // After its restart the front takes back none of the released calls.
     cluster.start(0);
-    cluster.wait_until("the front to catch up", |fleet| fleet.standing(0).unwrap().caught_up);
-    assert_eq!(cluster.fleet.standing(0).unwrap().counts["calls_taken_back"], 0);
+    cluster.wait_until("the front to catch up", |fleet| fleet.status(0).unwrap().caught_up);
+    assert_eq!(cluster.fleet.status(0).unwrap().counts["calls_taken_back"], 0);
     assert_eq!(cluster.server.count(Method::Bye), 0);
 }
 
@@ -153,7 +153,7 @@
         cluster.fleet.kill(0);
         let start = Instant::now();
         cluster.start(0);
-        let taken_back = || cluster.fleet.standing(0).unwrap().counts["calls_taken_back"] as usize;
+        let taken_back = || cluster.fleet.status(0).unwrap().counts["calls_taken_back"] as usize;
         while taken_back() < CALLS && start.elapsed() < Duration::from_secs(1) {
             std::thread::sleep(Duration::from_millis(5));
         }
--- a/crates/cli/tests/common/cluster.rs
+++ b/crates/cli/tests/common/cluster.rs
@@ -25,7 +25,7 @@
     /// Like `new`; with an interval, the fronts store their state on disk that often.
     pub fn with_storage(settings: &str, keep_every: Option<Duration>) -> Cluster {
         let mut shape = FleetShape::new(PROGRAM, 3, 1);
-        (shape.more, shape.keep_every) = (settings.into(), keep_every);
+        (shape.fleet_settings, shape.keep_every) = (settings.into(), keep_every);
         let mut cluster =
             Cluster { fleet: Fleet::new(&shape, None).unwrap(), server: Server::start(), links: 0 };
         for feed in &cluster.fleet.feeds {
@@ -33,7 +33,7 @@
         }
         (0..3).for_each(|front| cluster.start(front));
         cluster.wait_until("all fronts alive", |fleet| {
-            (0..3).all(|f| fleet.standing(f).unwrap().peers.iter().all(|p| p.state == "alive"))
+            (0..3).all(|f| fleet.status(f).unwrap().peers.iter().all(|p| p.state == "alive"))
         });
         cluster
     }
@@ -67,7 +67,7 @@
         caller.send(&in_dialog(&ok, "ACK"));
         self.wait_until("the call replicated to all", |fleet| {
             (0..3).filter(|f| *f != front && fleet.is_up(*f)).all(|f| {
-                let peers = fleet.standing(f).unwrap().peers;
+                let peers = fleet.status(f).unwrap().peers;
                 // Its calls and the one server on its list.
                 peers.iter().any(|p| p.name == format!("f{front}") && p.facts == 1 + nth)
             })
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -6,7 +6,9 @@
 
 use process::{wait_for_value, wait_until, Sockets};
 use shalespindle_console::{Reply, Request};
-use shalespindle_rig::{check, look, play, Breach, Faults, Fleet, FleetShape, Row, Seen, State};
+use shalespindle_rig::{
+    check, collect_reports, play, Breach, Faults, Fleet, FleetShape, FrontReport, Row, State,
+};
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
 use std::time::Duration;
@@ -42,15 +44,15 @@
 }
 
 /// Waits until the replicas of all fronts agree, and returns the state of each front.
-fn wait_until_equal(fleet: &Fleet) -> Vec<Seen> {
-    wait_for_value("equal replicas", || check(&look(fleet).unwrap()), Vec::is_empty);
-    look(fleet).unwrap()
+fn wait_until_equal(fleet: &Fleet) -> Vec<FrontReport> {
+    wait_for_value("equal replicas", || check(&collect_reports(fleet).unwrap()), Vec::is_empty);
+    collect_reports(fleet).unwrap()
 }
 
 #[test]
 fn a_drain_in_one_list_reaches_every_front_and_one_that_restarts_without_state() {
     let mut fleet = start_fleet(3);
-    wait_until("equal replicas", || check(&look(&fleet).unwrap()).is_empty());
+    wait_until("equal replicas", || check(&collect_reports(&fleet).unwrap()).is_empty());
     fleet.feeds[0].set(server(1), row(1, State::Draining, 1));
     for front in 0..3 {
         wait_for_server_state(&fleet, front, 1, "draining");
@@ -60,12 +62,12 @@
     fleet.kill(2);
     fleet.start(2).unwrap();
     wait_for_server_state(&fleet, 2, 1, "draining");
-    wait_until("the restarted front to catch up", || fleet.standing(2).unwrap().caught_up);
+    wait_until("the restarted front to catch up", || fleet.status(2).unwrap().caught_up);
     // The report of a front still applies after that front has crashed.
     fleet.kill(0);
     wait_until("front 0 to be detected as gone", || {
-        let standing = fleet.standing(1).unwrap();
-        standing.peers.iter().any(|p| p.name == "f0" && p.state == "gone")
+        let status = fleet.status(1).unwrap();
+        status.peers.iter().any(|p| p.name == "f0" && p.state == "gone")
     });
     assert_eq!(server_state(&fleet, 1, 1), "draining");
     // A later incarnation of the server that the lists report as ready is used again.
@@ -93,7 +95,7 @@
     wait_for_server_state(&fleet, 2, 2, "out");
     wait_until("both sides to detect the other as gone", || {
         let is_gone = |front: usize, name: &str| {
-            let peers = fleet.standing(front).unwrap().peers;
+            let peers = fleet.status(front).unwrap().peers;
             peers.iter().any(|p| p.name == name && p.state == "gone")
         };
         is_gone(1, "f2") && is_gone(2, "f1")
@@ -104,7 +106,7 @@
     wait_for_server_state(&fleet, 0, 2, "out");
     let seen = wait_until_equal(&fleet);
     // Every front counts and lists each conflict between the pool lists.
-    assert!(seen.iter().all(|s| s.standing.conflict_count >= 2 && s.standing.conflicts.len() == 2));
+    assert!(seen.iter().all(|s| s.status.conflict_count >= 2 && s.status.conflicts.len() == 2));
     let mut command = Command::new(PROGRAM);
     let output = command.args(["fleet", "diff", "--config"]).arg(fleet.settings(1)).output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
@@ -131,18 +133,18 @@
     wait_until_equal(&fleet);
     fleet.feeds[0].set(server(1), row(1, State::Draining, 1));
     wait_for_server_state(&fleet, 2, 1, "draining");
-    let check_with = |modify: &dyn Fn(&mut Vec<Seen>)| {
+    let check_with = |modify: &dyn Fn(&mut Vec<FrontReport>)| {
         let mut seen = wait_until_equal(&fleet);
         modify(&mut seen);
         check(&seen)
     };
-    let found = check_with(&|seen| seen[1].standing.peers[0].digest ^= 1);
+    let found = check_with(&|seen| seen[1].status.peers[0].digest ^= 1);
     assert!(matches!(&found[..], [Breach::CopiesDiffer { of, .. }] if of != "f1"), "{found:?}");
-    let found = check_with(&|seen| seen[1].standing.peers[1].behind = 3);
+    let found = check_with(&|seen| seen[1].status.peers[1].behind = 3);
     assert!(matches!(found[..], [Breach::Behind { by: 3, .. }]), "{found:?}");
-    let found = check_with(&|seen| seen[2].standing.peers[0].state = "gone".into());
+    let found = check_with(&|seen| seen[2].status.peers[0].state = "gone".into());
     assert!(matches!(found[..], [Breach::Unheard { .. }]), "{found:?}");
-    let set_state = |seen: &mut Vec<Seen>, n: u16, status: &str| {
+    let set_state = |seen: &mut Vec<FrontReport>, n: u16, status: &str| {
         let members = &mut seen[2].members.members;
         members.iter_mut().find(|m| m.address == server(n)).unwrap().status = status.into();
     };
@@ -197,7 +199,7 @@
         stranger.send_to(b"INVITE sip:who", to).unwrap();
     }
     wait_until("the foreign and forged frames to be counted", || {
-        let counts = fleet.standing(0).unwrap().counts;
+        let counts = fleet.status(0).unwrap().counts;
         counts["frames_forged"] > 0 && counts["frames_foreign"] > 0
     });
     fleet.feeds[1].set(server(0), row(0, State::Draining, 1));
@@ -211,7 +213,7 @@
     assert!(fleet.end(1).unwrap());
     wait_until("the departure to be known", || {
         [0, 2].iter().all(|front| {
-            let peers = fleet.standing(*front).unwrap().peers;
+            let peers = fleet.status(*front).unwrap().peers;
             peers.iter().any(|p| p.name == "f1" && p.state == "left")
         })
     });
@@ -230,7 +232,7 @@
     fleet.feeds.iter().for_each(|feed| feed.set(server(0), row(0, State::Ready, 1)));
     (0..3).for_each(|f| fleet.start(f).unwrap());
     let states = |fleet: &Fleet, f: usize| -> Vec<(String, String)> {
-        let peers = fleet.standing(f).unwrap().peers;
+        let peers = fleet.status(f).unwrap().peers;
         let mut states: Vec<(String, String)> = peers.into_iter().map(|p| (p.name, p.state)).collect();
         states.sort();
         states
@@ -240,7 +242,7 @@
     wait_for_value("two fronts", || states(&fleet, 0), |got| *got == alive(&["f1"]));
     fleet.feeds[2].set(server(0), row(0, State::Draining, 1));
     wait_until("frames of the unlisted front to be counted", || {
-        fleet.standing(0).unwrap().counts["of_strangers"] > 0
+        fleet.status(0).unwrap().counts["of_strangers"] > 0
     });
     assert_eq!(server_state(&fleet, 0, 0), "in", "reports of an unlisted front are ignored");
     // The front is added to the list and later removed again.
@@ -257,7 +259,7 @@
 fn a_second_process_with_the_same_name_does_not_replace_a_front() {
     let fleet = start_fleet(3);
     wait_until_equal(&fleet);
-    let first = fleet.standing(0).unwrap().incarnation;
+    let first = fleet.status(0).unwrap().incarnation;
     let good = std::fs::read_to_string(fleet.settings(0)).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let (path, console) = (folder.path().join("twin.toml"), folder.path().join("twin.sock"));
@@ -274,14 +276,14 @@
     wait_until("the front to take a later incarnation than its twin", || {
         let reply = shalespindle_console::ask(&console, &Request::Fleet, Duration::from_secs(5));
         let Ok(Reply::Fleet(of_twin)) = reply else { return false };
-        fleet.standing(0).unwrap().incarnation > of_twin.incarnation.max(first)
+        fleet.status(0).unwrap().incarnation > of_twin.incarnation.max(first)
     });
     fleet.feeds[0].set(server(1), row(1, State::Draining, 1));
     wait_for_server_state(&fleet, 1, 1, "draining");
     wait_for_server_state(&fleet, 2, 1, "draining");
     drop(twin);
     wait_until_equal(&fleet);
-    assert!(!fleet.standing(0).unwrap().silenced);
+    assert!(!fleet.status(0).unwrap().silenced);
 }
 
 /// Invalid settings are reported with their key and what is allowed, and the front does not start.
--- a/crates/cli/tests/persistence.rs
+++ b/crates/cli/tests/persistence.rs
@@ -23,7 +23,7 @@
 const KEEP_EVERY: Option<Duration> = Some(Duration::from_millis(20));
 
 fn count(fleet: &Fleet, front: usize, name: &str) -> u64 {
-    fleet.standing(front).unwrap().counts[name]
+    fleet.status(front).unwrap().counts[name]
 }
 
 /// Waits until the current state of a front is on disk, that is, until two more writes are done.
@@ -52,7 +52,7 @@
         if keep_every.is_none() {
             // Control case: without storage no front knows the call any more.
             cluster.wait_until("all fronts to catch up", |fleet| {
-                (0..3).all(|f| fleet.standing(f).unwrap().caught_up)
+                (0..3).all(|f| fleet.status(f).unwrap().caught_up)
             });
             assert_eq!(status(&send_bye_to(&caller, cluster.front(0), &ok)), 481);
             continue;
@@ -95,7 +95,7 @@
         calls.push(cluster.establish_call(&caller, nth, 0).0);
     }
     wait_until_stored(&cluster, 0);
-    cluster.fleet.put_aside(0).unwrap();
+    cluster.fleet.save_stored_state(0).unwrap();
     cluster.start(0);
     cluster.wait_until("the front to take its calls back", |fleet| count(fleet, 0, "calls_taken_back") == 3);
     for ok in &calls[..2] {
@@ -105,17 +105,17 @@
     }
     // The other fronts know that two calls have ended, while the old file holds all three as established.
     cluster.wait_until("the releases replicated", |fleet| {
-        let own = fleet.standing(0).unwrap().own_digest;
+        let own = fleet.status(0).unwrap().own_digest;
         let is_current =
-            |f: usize| fleet.standing(f).unwrap().peers.iter().any(|p| p.name == "f0" && p.digest == own);
+            |f: usize| fleet.status(f).unwrap().peers.iter().any(|p| p.name == "f0" && p.digest == own);
         is_current(1) && is_current(2)
     });
-    cluster.fleet.put_back(0).unwrap();
+    cluster.fleet.restore_stored_state(0).unwrap();
     cluster.start(0);
     cluster.wait_until("the front to take the remaining call back", |fleet| {
         count(fleet, 0, "calls_taken_back") >= 1
     });
-    cluster.wait_until("the front to catch up", |fleet| fleet.standing(0).unwrap().caught_up);
+    cluster.wait_until("the front to catch up", |fleet| fleet.status(0).unwrap().caught_up);
     for ok in &calls[..2] {
         assert_eq!(status(&send_bye_to(&caller, cluster.front(0), ok)), 200, "the call has ended already");
     }
@@ -144,7 +144,7 @@
     wait_until_stored(&cluster, 0);
     kill_all(&mut cluster);
     for (shift, expected) in [(3600.0, false), (-86_400.0, false), (0.0, true)] {
-        let path = cluster.fleet.kept(0).to_path_buf();
+        let path = cluster.fleet.stored_file(0).to_path_buf();
         shift_saved_at(&path, shift);
         std::fs::copy(&path, path.with_extension("shifted")).unwrap();
         cluster.start(0);
@@ -189,17 +189,17 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("another process has it open"));
     // An unreadable file is set aside and a new one created.
     cluster.fleet.kill(1);
-    std::fs::write(cluster.fleet.kept(1), "of no sense").unwrap();
+    std::fs::write(cluster.fleet.stored_file(1), "of no sense").unwrap();
     cluster.start(1);
     wait_until_stored(&cluster, 1);
-    assert_eq!(cluster.fleet.standing(1).unwrap().persistence, PersistenceState::Good);
-    assert_eq!(std::fs::read(cluster.fleet.kept(1).with_extension("spoilt")).unwrap(), b"of no sense");
+    assert_eq!(cluster.fleet.status(1).unwrap().persistence, PersistenceState::Good);
+    assert_eq!(std::fs::read(cluster.fleet.stored_file(1).with_extension("spoilt")).unwrap(), b"of no sense");
     // A file of another front is not used and not changed.
     kill_all(&mut cluster);
-    std::fs::copy(cluster.fleet.kept(2), cluster.fleet.kept(1)).unwrap();
+    std::fs::copy(cluster.fleet.stored_file(2), cluster.fleet.stored_file(1)).unwrap();
     (0..3).for_each(|front| cluster.start(front));
     let failing = |state: PersistenceState, what: &str| matches!(state, PersistenceState::Failing(why) if why.contains(what));
-    assert!(failing(cluster.fleet.standing(1).unwrap().persistence, "another front"));
+    assert!(failing(cluster.fleet.status(1).unwrap().persistence, "another front"));
     // The front takes part in the fleet nevertheless.
     let caller = Caller::new(cluster.front(1));
     caller.send(&caller.invite("1", "idukki"));
@@ -223,12 +223,12 @@
     let address = ([127, 0, 9, 1], 23_000).into();
     fleet.feeds[0].set(address, Row { pool: 1, state: State::Draining, incarnation: 1 });
     wait_until("the other front to replicate it", || {
-        fleet.standing(1).unwrap().peers.iter().any(|p| p.facts == 1 && p.state == "alive")
+        fleet.status(1).unwrap().peers.iter().any(|p| p.facts == 1 && p.state == "alive")
     });
     wait_until("the failing writes to be reported", || {
-        matches!(fleet.standing(0).unwrap().persistence, PersistenceState::Failing(_))
+        matches!(fleet.status(0).unwrap().persistence, PersistenceState::Failing(_))
     });
     fleet.kill(0);
     fleet.start(0).unwrap();
-    wait_until("the front to catch up", || fleet.standing(0).unwrap().caught_up);
+    wait_until("the front to catch up", || fleet.status(0).unwrap().caught_up);
 }
--- a/crates/cli/tests/recovery.rs
+++ b/crates/cli/tests/recovery.rs
@@ -10,7 +10,7 @@
 use shalespindle_peer_wire::front_id;
 use shalespindle_peers::Incarnation;
 use shalespindle_replica::{CallRecord, Fact, Key, ReplicaParams, Replicas};
-use shalespindle_rig::{check, look, Faults, Fleet, FleetShape, Row, State};
+use shalespindle_rig::{check, collect_reports, Faults, Fleet, FleetShape, Row, State};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -36,13 +36,13 @@
 }
 
 fn until_equal(fleet: &Fleet) {
-    process::wait_for_value("equal replicas", || check(&look(fleet).unwrap()), Vec::is_empty);
+    process::wait_for_value("equal replicas", || check(&collect_reports(fleet).unwrap()), Vec::is_empty);
 }
 
 /// Number of facts that a front has replicated from another.
 fn replicated(fleet: &Fleet, front: usize, of: usize) -> usize {
     let name = format!("f{of}");
-    let peers = fleet.standing(front).map(|s| s.peers).unwrap_or_default();
+    let peers = fleet.status(front).map(|s| s.peers).unwrap_or_default();
     peers.iter().find(|p| p.name == name).map_or(0, |p| p.facts)
 }
 
@@ -59,7 +59,7 @@
         fleet.kill(2);
         // Alternates between starting without a file and starting from the stored state.
         if round % 2 == 0 {
-            std::fs::remove_file(fleet.kept(2)).unwrap();
+            std::fs::remove_file(fleet.stored_file(2)).unwrap();
         }
         (0..SERVERS).for_each(|n| set_server(&fleet, 0, n, State::Ready, round as u64 + 2));
         fleet.start(2).unwrap();
@@ -77,20 +77,20 @@
 #[test]
 fn a_front_stopped_for_longer_than_the_retention_time_starts_over() {
     let mut shape = FleetShape::new(PROGRAM, 3, 1);
-    shape.more = "hold_calls = \"300ms\"\nkeep = \"1500ms\"\nremember = \"400ms\"".into();
+    shape.fleet_settings = "hold_calls = \"300ms\"\nkeep = \"1500ms\"\nremember = \"400ms\"".into();
     let mut fleet = fleet(&shape);
-    fleet.hold(2, true).unwrap();
+    fleet.set_paused(2, true).unwrap();
     let start = Instant::now();
     // Its socket buffer fills up, which must not block the others.
     for round in 0..20u64 {
         (0..SERVERS).for_each(|n| set_server(&fleet, 0, n, State::Ready, round + 2));
         let asked = Instant::now();
-        assert!(fleet.standing(1).is_some() && asked.elapsed() < Duration::from_secs(5));
+        assert!(fleet.status(1).is_some() && asked.elapsed() < Duration::from_secs(5));
         std::thread::sleep(Duration::from_millis(20));
     }
     set_server(&fleet, 1, 5, State::Draining, 21);
     std::thread::sleep(Duration::from_millis(2500).saturating_sub(start.elapsed()));
-    fleet.hold(2, false).unwrap();
+    fleet.set_paused(2, false).unwrap();
     until_equal(&fleet);
     assert_eq!(replicated(&fleet, 2, 0), usize::from(SERVERS));
 }
@@ -130,8 +130,8 @@
 /// the first has taken its calls back, and until the others have replicated them.
 fn recover_calls(calls: u64) -> (f64, f64) {
     let mut shape = FleetShape::new(PROGRAM, 3, 1);
-    (shape.keep_every, shape.bytes) = (Some(Duration::from_millis(500)), 8000);
-    shape.more = format!("facts = {}", 3 * calls);
+    (shape.keep_every, shape.max_datagram_bytes) = (Some(Duration::from_millis(500)), 8000);
+    shape.fleet_settings = format!("facts = {}", 3 * calls);
     let mut fleet = Fleet::new(&shape, None).unwrap();
     let (own, wall) = (front_id("f0"), SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64());
     let params = ReplicaParams { max_facts: calls as usize, deletion_retention: 300.0 };
@@ -139,12 +139,12 @@
     (0..calls).for_each(|n| {
         replicas.write(0.0, Key::Call(n), Fact::Call(Box::new(call(n)))).unwrap();
     });
-    let (file, ..) = File::open(fleet.kept(0), own).unwrap();
+    let (file, ..) = File::open(fleet.stored_file(0), own).unwrap();
     file.write(&replicas.changes(0.0, wall, true)).unwrap();
     drop(file);
     let start = Instant::now();
     (0..3).for_each(|front| fleet.start(front).unwrap());
-    let taken_back = || fleet.standing(0).unwrap().counts["calls_taken_back"];
+    let taken_back = || fleet.status(0).unwrap().counts["calls_taken_back"];
     wait_until("the front to take its calls back", || taken_back() == calls);
     let seconds_taken_back = start.elapsed().as_secs_f64();
     wait_until("the calls replicated to the others", || {
--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -73,7 +73,7 @@
 
     /// The status of a site as a front reports it.
     fn site(&self, front: usize, site: usize) -> Option<SiteStatus> {
-        self.fleet.standing(front)?.sites?.sites.into_iter().nth(site)
+        self.fleet.status(front)?.sites?.sites.into_iter().nth(site)
     }
 
     /// Waits until the condition holds for all sites at these fronts.
@@ -133,7 +133,7 @@
     });
     sites.wait_for_site(PER_SITE..FRONTS, 1, has_stage(Stage::Up));
     for server in sites.servers_of(0) {
-        sites.servers.start_again(server).unwrap();
+        sites.servers.restart(server).unwrap();
     }
     (0..PER_SITE).for_each(|front| sites.fleet.start(front).unwrap());
     // The site returns for its own fronts before all others.
@@ -180,7 +180,7 @@
     }
     // A hundred frames of observations take longer than declaring a loss would.
     let epoch = sites.site(4, 0).unwrap().epoch;
-    let frames_sent = |sites: &Sites| sites.fleet.standing(4).unwrap().counts["frames_sent"];
+    let frames_sent = |sites: &Sites| sites.fleet.status(4).unwrap().counts["frames_sent"];
     let start = frames_sent(&sites);
     wait_until("a hundred more frames", || frames_sent(&sites) > start + 100);
     sites.wait_for_all_sites(0..FRONTS, has_stage(Stage::Up));
@@ -209,7 +209,7 @@
 #[test]
 fn an_operators_order_reaches_all_fronts_including_stopped_and_later_ones() {
     let mut sites = Sites::settled();
-    sites.fleet.hold(3, true).unwrap();
+    sites.fleet.set_paused(3, true).unwrap();
     sites.fleet.kill(5);
     let output = Command::new(PROGRAM)
         .args(["fleet", "site", "west", "keep-out", "--for", "10m", "--config"])
@@ -220,7 +220,7 @@
     sites.wait_for_site(0..3, 2, |site| site.stage == Stage::KeptOut && site.excluded_here);
     // The fronts of the site do not use its servers either.
     sites.wait_for_site(4..5, 2, |site| site.stage == Stage::KeptOut && site.excluded_here);
-    sites.fleet.hold(3, false).unwrap();
+    sites.fleet.set_paused(3, false).unwrap();
     sites.fleet.start(5).unwrap();
     sites.wait_for_site(3..FRONTS, 2, |site| site.stage == Stage::KeptOut && site.excluded_here);
     assert!(matches!(sites.order(4, "west", Order::Return, 60.0), Reply::Done { .. }));
@@ -239,10 +239,10 @@
 fn fronts_without_sites_send_no_site_frames_and_work_with_fronts_that_have_them() {
     const SITES_VERSION: u8 = 3;
     let sites = Sites::new(String::new());
-    let all_alive = || sites.fleet.standing(0).unwrap().peers.iter().all(|p| p.state == "alive");
+    let all_alive = || sites.fleet.status(0).unwrap().peers.iter().all(|p| p.state == "alive");
     wait_until("all fronts alive", all_alive);
-    assert!((0..FRONTS).all(|f| sites.fleet.relays.sent_in(f, SITES_VERSION) == 0));
-    assert!(sites.fleet.standing(0).unwrap().sites.is_none());
+    assert!((0..FRONTS).all(|f| sites.fleet.relays.frames_sent(f, SITES_VERSION) == 0));
+    assert!(sites.fleet.status(0).unwrap().sites.is_none());
     let refused = sites.order(0, "north", Order::Lost, 60.0);
     assert!(matches!(&refused, Reply::Bad { why } if why.contains("[[sites]]")), "{refused:?}");
     drop(sites);
@@ -256,9 +256,9 @@
         sites.fleet.start(front).unwrap();
     }
     wait_until("all fronts alive", || {
-        (0..FRONTS).all(|f| sites.fleet.standing(f).unwrap().peers.iter().all(|p| p.state == "alive"))
+        (0..FRONTS).all(|f| sites.fleet.status(f).unwrap().peers.iter().all(|p| p.state == "alive"))
     });
-    assert!([1, 3, 5].iter().all(|f| sites.fleet.standing(*f).unwrap().sites.is_none()));
+    assert!([1, 3, 5].iter().all(|f| sites.fleet.status(*f).unwrap().sites.is_none()));
     // Half of the fronts report no observations, so the others are too few to declare a loss.
     sites.servers_of(2).for_each(|server| sites.servers.stop(server));
     sites.wait_for_site(0..1, 2, |site| site.state == SiteState::Doubtful);
@@ -302,12 +302,12 @@
         match self {
             Fault::Kill(front) => sites.fleet.kill(front),
             Fault::Start(front) => sites.fleet.start(front).unwrap(),
-            Fault::Stop(front) => sites.fleet.hold(front, true).unwrap(),
-            Fault::Continue(front) => sites.fleet.hold(front, false).unwrap(),
+            Fault::Stop(front) => sites.fleet.set_paused(front, true).unwrap(),
+            Fault::Continue(front) => sites.fleet.set_paused(front, false).unwrap(),
             Fault::CutOff(site) => sites.cut_off(site),
             Fault::Heal => sites.heal(),
             Fault::StopServer(server) => sites.servers.stop(server),
-            Fault::StartServer(server) => sites.servers.start_again(server).unwrap(),
+            Fault::StartServer(server) => sites.servers.restart(server).unwrap(),
             // A front that is cut off may refuse the order.
             Fault::Order(front, site, order) if sites.fleet.is_up(front) => {
                 sites.order(front, SITES[site], order, 60.0);
@@ -336,13 +336,13 @@
         std::thread::sleep(INTERVAL);
     }
     sites.heal();
-    servers_down.into_iter().for_each(|server| sites.servers.start_again(server).unwrap());
+    servers_down.into_iter().for_each(|server| sites.servers.restart(server).unwrap());
     for front in 0..FRONTS {
-        sites.fleet.hold(front, false).unwrap();
+        sites.fleet.set_paused(front, false).unwrap();
         sites.fleet.start(front).unwrap();
     }
     wait_until("all fronts alive", || {
-        (0..FRONTS).all(|f| sites.fleet.standing(f).unwrap().peers.iter().all(|p| p.state == "alive"))
+        (0..FRONTS).all(|f| sites.fleet.status(f).unwrap().peers.iter().all(|p| p.state == "alive"))
     });
     for site in SITES {
         wait_until("the order to be accepted", || {
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 
 /// The reported state of one front.
-pub struct Seen {
+pub struct FrontReport {
     /// The pool list of this front.
     pub rows: BTreeMap<SocketAddr, Row>,
-    pub standing: FleetStatus,
+    pub status: FleetStatus,
     pub members: Members,
 }
 
@@ -31,12 +31,12 @@
 }
 
 /// Returns all violated invariants.
-pub fn check(fronts: &[Seen]) -> Vec<Breach> {
+pub fn check(fronts: &[FrontReport]) -> Vec<Breach> {
     let mut breaches = Vec::new();
     check_replicas(fronts, &mut breaches);
-    for seen in fronts {
-        for peer in &seen.standing.peers {
-            let (front, of) = (seen.standing.name.clone(), peer.name.clone());
+    for report in fronts {
+        for peer in &report.status.peers {
+            let (front, of) = (report.status.name.clone(), peer.name.clone());
             if peer.behind > 0 {
                 breaches.push(Breach::Behind { front: front.clone(), of: of.clone(), by: peer.behind });
             }
@@ -44,16 +44,16 @@
                 breaches.push(Breach::Unheard { front, of, state: peer.state.clone() });
             }
         }
-        check_servers(seen, fronts, &mut breaches);
+        check_servers(report, fronts, &mut breaches);
     }
     breaches
 }
 
 /// Each front's replica of a front's state must have the digest that the front itself reports.
-fn check_replicas(fronts: &[Seen], breaches: &mut Vec<Breach>) {
-    for own in fronts.iter().map(|s| &s.standing) {
-        let digest_at = |s: &Seen| match s.standing.peers.iter().find(|p| p.name == own.name) {
-            Some(peer) => (s.standing.name.clone(), peer.digest),
+fn check_replicas(fronts: &[FrontReport], breaches: &mut Vec<Breach>) {
+    for own in fronts.iter().map(|s| &s.status) {
+        let digest_at = |s: &FrontReport| match s.status.peers.iter().find(|p| p.name == own.name) {
+            Some(peer) => (s.status.name.clone(), peer.digest),
             None => (own.name.clone(), own.own_digest),
         };
         let digests: Vec<(String, u64)> = fronts.iter().map(digest_at).collect();
@@ -64,14 +64,14 @@
 }
 
 /// For the latest incarnation of a server, the most restrictive state on any list applies at every front.
-fn check_servers(seen: &Seen, fronts: &[Seen], breaches: &mut Vec<Breach>) {
-    for member in &seen.members.members {
-        let Some(own) = seen.rows.get(&member.address) else { continue };
+fn check_servers(report: &FrontReport, fronts: &[FrontReport], breaches: &mut Vec<Breach>) {
+    for member in &report.members.members {
+        let Some(own) = report.rows.get(&member.address) else { continue };
         let rows = fronts.iter().enumerate().filter_map(|(n, s)| Some((n, *s.rows.get(&member.address)?)));
         let latest = rows.clone().map(|(_, r)| r.incarnation).max().unwrap_or(0);
         let taken_out_by =
             rows.filter(|(_, r)| r.incarnation == latest && r.state != State::Ready).map(|(n, _)| n).next();
-        let (front, server) = (seen.standing.name.clone(), member.address);
+        let (front, server) = (report.status.name.clone(), member.address);
         match taken_out_by {
             Some(by) if member.status == "in" => breaches.push(Breach::LetIn { front, server, by }),
             // No breach if the front's own list does not have the server as ready, or while the front holds
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -31,9 +31,9 @@
     /// Interval at which fronts store their state on disk; none: nothing is stored.
     pub keep_every: Option<Duration>,
     /// Maximum size of a datagram in bytes.
-    pub bytes: usize,
+    pub max_datagram_bytes: usize,
     /// Further lines of `[fleet]` in the settings, before its peers.
-    pub more: String,
+    pub fleet_settings: String,
     /// Further tables at the end of the settings.
     pub tables: String,
     /// Numbers of the pools that attaches may go to.
@@ -52,8 +52,8 @@
             heartbeat_interval,
             seed,
             keep_every: None,
-            bytes: 1200,
-            more: String::new(),
+            max_datagram_bytes: 1200,
+            fleet_settings: String::new(),
             tables: String::new(),
             pools: vec![0, 1, 2],
             relayed: true,
@@ -68,7 +68,7 @@
     console: PathBuf,
     log: PathBuf,
     /// File with the stored state.
-    kept: PathBuf,
+    stored_file: PathBuf,
     process: Option<Child>,
     paused: bool,
 }
@@ -122,7 +122,7 @@
                 settings: path("toml"),
                 console: path("sock"),
                 log: path("log"),
-                kept: path("redb"),
+                stored_file: path("redb"),
                 process: None,
                 paused: false,
             };
@@ -132,7 +132,7 @@
             };
             let peers: String = (0..shape.fronts).map(peer).collect();
             let storage = shape.keep_every.map_or(String::new(), |every| {
-                format!("keep_file = {:?}\nkeep_every = \"{}ms\"\n", front.kept, every.as_millis())
+                format!("keep_file = {:?}\nkeep_every = \"{}ms\"\n", front.stored_file, every.as_millis())
             });
             let text = format!(
                 "[front]\nlisten = \"{}\"\nend_within = \"200ms\"\n[pool_list]\nfeed = \"{}\"\n\
@@ -150,8 +150,8 @@
                 shape.heartbeat_interval.as_millis(),
                 8 * shape.heartbeat_interval.as_millis(),
                 20 * shape.heartbeat_interval.as_millis(),
-                shape.bytes,
-                shape.more,
+                shape.max_datagram_bytes,
+                shape.fleet_settings,
                 shape.tables,
             );
             std::fs::write(&front.settings, text)?;
@@ -179,7 +179,7 @@
         front.process = Some(command.spawn()?);
         self.starts += 1;
         let begin = Instant::now();
-        while self.standing(place).is_none() {
+        while self.status(place).is_none() {
             if let Some(why) = self.ended(place)? {
                 return Err(self.error_with_log(place, &format!("ended while starting: {why}")));
             }
@@ -222,7 +222,7 @@
     }
 
     /// Pauses (SIGSTOP) or resumes (SIGCONT) the process of a front.
-    pub fn hold(&mut self, place: usize, paused: bool) -> io::Result<()> {
+    pub fn set_paused(&mut self, place: usize, paused: bool) -> io::Result<()> {
         let front = &mut self.fronts[place];
         let Some(process) = &front.process else { return Ok(()) };
         front.paused = paused;
@@ -250,9 +250,9 @@
     }
 
     /// The fleet status that a front reports.
-    pub fn standing(&self, place: usize) -> Option<FleetStatus> {
+    pub fn status(&self, place: usize) -> Option<FleetStatus> {
         match self.ask(place, &Request::Fleet)? {
-            Reply::Fleet(standing) => Some(*standing),
+            Reply::Fleet(status) => Some(*status),
             _ => None,
         }
     }
@@ -266,19 +266,19 @@
     }
 
     /// The file with a front's stored state.
-    pub fn kept(&self, place: usize) -> &Path {
-        &self.fronts[place].kept
+    pub fn stored_file(&self, place: usize) -> &Path {
+        &self.fronts[place].stored_file
     }
 
     /// Path of the saved copy of a front's stored state.
     fn saved_copy(&self, place: usize) -> PathBuf {
-        self.fronts[place].kept.with_extension("aside")
+        self.fronts[place].stored_file.with_extension("aside")
     }
 
     /// Kills a front and saves a copy of its stored state.
-    pub fn put_aside(&mut self, place: usize) -> io::Result<()> {
+    pub fn save_stored_state(&mut self, place: usize) -> io::Result<()> {
         self.kill(place);
-        match std::fs::copy(self.kept(place), self.saved_copy(place)) {
+        match std::fs::copy(self.stored_file(place), self.saved_copy(place)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
@@ -286,9 +286,9 @@
 
     /// Kills a front and restores the saved copy of its stored state, if there is one; does not start the
     /// front.
-    pub fn put_back(&mut self, place: usize) -> io::Result<()> {
+    pub fn restore_stored_state(&mut self, place: usize) -> io::Result<()> {
         self.kill(place);
-        match std::fs::copy(self.saved_copy(place), self.kept(place)) {
+        match std::fs::copy(self.saved_copy(place), self.stored_file(place)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -13,12 +13,12 @@
 mod servers;
 mod size;
 
-pub use check::{check, Breach, Seen};
+pub use check::{check, Breach, FrontReport};
 pub use feed::{ListFeed, Row};
 pub use fleet::{Fleet, FleetShape};
 pub use live::{play_live, LiveShape, LiveSummary};
 pub use plan::{plan, Action};
-pub use play::{look, play, Summary};
+pub use play::{collect_reports, play, Summary};
 pub use relay::{Faults, Relays};
 pub use servers::Servers;
 pub use shalespindle_front::pool_list::ServerState as State;
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -1,6 +1,6 @@
 //! Runs a plan of faults on processes, ends all faults and checks the fleet.
 
-use crate::check::{check, Breach, Seen};
+use crate::check::{check, Breach, FrontReport};
 use crate::feed::Row;
 use crate::fleet::{Fleet, FleetShape};
 use crate::plan::{plan, Action};
@@ -77,16 +77,16 @@
     }
     fleet.relays.set(|faults| *faults = Default::default());
     for front in 0..shape.fronts {
-        fleet.hold(front, false)?;
+        fleet.set_paused(front, false)?;
         fleet.start(front)?;
     }
     let healed = Instant::now();
     let heartbeats_since =
         |since: Instant| since.elapsed().as_secs_f64() / shape.heartbeat_interval.as_secs_f64();
-    let (mut breaches, mut seen);
+    let (mut breaches, mut reports);
     loop {
-        seen = look(&fleet)?;
-        breaches = check(&seen);
+        reports = collect_reports(&fleet)?;
+        breaches = check(&reports);
         if breaches.is_empty() || heartbeats_since(healed) > f64::from(MAX_EQUAL_HEARTBEATS) {
             break;
         }
@@ -95,7 +95,7 @@
     let equal_after_beats = heartbeats_since(healed);
     let (frames_passed, frames_lost) = fleet.relays.counts();
     let dropped =
-        |s: &Seen| s.standing.counts.iter().filter(|c| is_drop_counter(c.0)).map(|c| c.1).sum::<u64>();
+        |s: &FrontReport| s.status.counts.iter().filter(|c| is_drop_counter(c.0)).map(|c| c.1).sum::<u64>();
     Ok(Summary {
         scenario: "fleet",
         seed: shape.seed,
@@ -103,10 +103,10 @@
         steps,
         starts: fleet.starts,
         equal_after_beats,
-        meetings: seen.iter().map(|s| s.standing.conflict_count).sum(),
+        meetings: reports.iter().map(|s| s.status.conflict_count).sum(),
         frames_passed,
         frames_lost,
-        frames_dropped: seen.iter().map(dropped).sum(),
+        frames_dropped: reports.iter().map(dropped).sum(),
         breaches: breaches.iter().map(|b: &Breach| format!("{b:?}")).collect(),
     })
 }
@@ -116,12 +116,12 @@
 }
 
 /// The current state of every front, as it reports it.
-pub fn look(fleet: &Fleet) -> io::Result<Vec<Seen>> {
+pub fn collect_reports(fleet: &Fleet) -> io::Result<Vec<FrontReport>> {
     let look_at = |front: usize| {
         let no_answer = || fleet.error_with_log(front, "does not answer");
-        let standing = fleet.standing(front).ok_or_else(no_answer)?;
+        let status = fleet.status(front).ok_or_else(no_answer)?;
         let members = fleet.members(front).ok_or_else(no_answer)?;
-        Ok(Seen { rows: fleet.feeds[front].rows(), standing, members })
+        Ok(FrontReport { rows: fleet.feeds[front].rows(), status, members })
     };
     (0..fleet.count()).map(look_at).collect()
 }
@@ -145,19 +145,19 @@
         Action::Kill(front) => fleet.kill(*front),
         Action::Start(front) => fleet.start(*front)?,
         Action::End(front) => {
-            fleet.hold(*front, false)?;
+            fleet.set_paused(*front, false)?;
             fleet.end(*front)?;
         }
         Action::PutAside(front) => {
-            fleet.put_aside(*front)?;
+            fleet.save_stored_state(*front)?;
             fleet.start(*front)?;
         }
         Action::StartOld(front) => {
-            fleet.put_back(*front)?;
+            fleet.restore_stored_state(*front)?;
             fleet.start(*front)?;
         }
-        Action::Hold(front) => fleet.hold(*front, true)?,
-        Action::Wake(front) => fleet.hold(*front, false)?,
+        Action::Hold(front) => fleet.set_paused(*front, true)?,
+        Action::Wake(front) => fleet.set_paused(*front, false)?,
         Action::CutOff(isolated) => fleet.relays.set(|faults| {
             let separated = |a: usize, b: usize| isolated.contains(&a) != isolated.contains(&b);
             faults.cut = (0..count)
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -98,7 +98,7 @@
     }
 
     /// Number of frames of a version that a front has sent.
-    pub fn sent_in(&self, front: usize, version: u8) -> u64 {
+    pub fn frames_sent(&self, front: usize, version: u8) -> u64 {
         let versions = self.shared.versions.lock().unwrap_or_else(PoisonError::into_inner);
         versions.get(&(front, version)).copied().unwrap_or(0)
     }
--- a/crates/rig/src/servers.rs
+++ b/crates/rig/src/servers.rs
@@ -110,7 +110,7 @@
     }
 
     /// Starts a stopped server again as a new, cold process.
-    pub fn start_again(&self, server: usize) -> io::Result<()> {
+    pub fn restart(&self, server: usize) -> io::Result<()> {
         self.servers[server].start_again()
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Number of calls established at a server.
-    pub fn standing(&self, server: usize) -> u32 {
+    pub fn established(&self, server: usize) -> u32 {
         self.servers[server].core.ask(|core| core.standing()).unwrap_or(0)
     }
 }
--- a/crates/rig/src/size.rs
+++ b/crates/rig/src/size.rs
@@ -44,7 +44,7 @@
 pub fn measure_processes(program: &std::path::Path, fronts: usize, seconds: f64) -> io::Result<ProcessCost> {
     let mut shape = FleetShape::new(program, fronts, 1);
     shape.heartbeat_interval = Duration::from_millis(500);
-    shape.bytes = MAX_DATAGRAM_BYTES;
+    shape.max_datagram_bytes = MAX_DATAGRAM_BYTES;
     shape.relayed = false;
     let mut fleet = Fleet::new(&shape, None)?;
     (0..fronts).try_for_each(|front| fleet.start(front))?;
@@ -71,7 +71,7 @@
 fn wait_until_alive(fleet: &Fleet) -> io::Result<()> {
     let begin = Instant::now();
     let sees_all_alive = |front| {
-        fleet.standing(front).is_some_and(|standing| standing.peers.iter().all(|peer| peer.state == "alive"))
+        fleet.status(front).is_some_and(|status| status.peers.iter().all(|peer| peer.state == "alive"))
     };
     while !(0..fleet.count()).all(sees_all_alive) {
         if begin.elapsed() > ALIVE_TIMEOUT {
@@ -85,8 +85,8 @@
 fn totals(fleet: &Fleet) -> io::Result<Totals> {
     let mut totals = Totals::default();
     for front in 0..fleet.count() {
-        let standing = fleet.standing(front).ok_or_else(|| fleet.error_with_log(front, "does not answer"))?;
-        let count = |name: &str| standing.counts.get(name).copied().unwrap_or(0);
+        let status = fleet.status(front).ok_or_else(|| fleet.error_with_log(front, "does not answer"))?;
+        let count = |name: &str| status.counts.get(name).copied().unwrap_or(0);
         totals.sent_bytes += count("bytes_sent");
         totals.received_bytes += count("bytes_taken");
         totals.sent_frames += count("frames_sent");
