--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -228,7 +228,7 @@
         fronts: Vec<usize>,
         /// Names as scenarios write them; all of them where left out.
         #[arg(long, value_delimiter = ',')]
-        kinds: Vec<shalespindle_lab::scenario::TroubleKind>,
+        kinds: Vec<shalespindle_lab::scenario::FaultKind>,
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -6,7 +6,7 @@
 use shalespindle_lab::compare::{compare, Variant, Where};
 use shalespindle_lab::play::{play, Fronts};
 use shalespindle_lab::scenario::{Scenario, BAD_DAY};
-use shalespindle_lab::summary::{Knowledge, LevelSteps, Report};
+use shalespindle_lab::summary::{DiscoveryStats, LevelSteps, Report};
 use shalespindle_lab::{
     capacity, chain, coordinated, fleet_cost, fleet_size, names, scale, sim, throughput, walk,
 };
@@ -77,7 +77,7 @@
                 let scenario = with_fronts(scenario, fronts);
                 let variant = if plan == Plan::Off { Variant::WithoutPlan } else { variant(baseline) };
                 let run = sim::run(&scenario, with.seed, &sim::Setup::of(variant));
-                if !run.words.is_empty() {
+                if !run.site_records.is_empty() {
                     println!("{}", run.timeline());
                 }
                 if let Some(out) = &with.out {
@@ -86,7 +86,7 @@
                 }
                 let steps = LevelSteps::of(&run.levels, scenario.fleet.fronts);
                 println!("{steps}");
-                println!("{}", Knowledge::of_run(&run, scenario.fleet.fronts));
+                println!("{}", DiscoveryStats::of_run(&run, scenario.fleet.fronts));
                 let apart = steps.apart_by(scenario.levels.least_stay.seconds());
                 if !apart {
                     println!("levels changed sooner than levels.least_stay");
@@ -261,7 +261,7 @@
     if with.out.is_some() {
         write_trace(&folder, &played.trace)?;
     }
-    for (front, s) in played.snapshots.iter().enumerate() {
+    for (front, s) in played.statuses.iter().enumerate() {
         println!(
             "front {front}: lag p50 {:.2} ms, p99 {:.2} ms; held {} attaches, {} legs; {:?}",
             s.lag_p50_ms, s.lag_p99_ms, s.attaches_held, s.legs_held, s.counters
@@ -284,7 +284,7 @@
     let s = &report.summary;
     println!(
         "attaches {}: stood {}, refused {}, failed {}, left {}",
-        s.attaches, s.stood, s.refused, s.failed, s.left
+        s.attaches, s.established, s.refused, s.failed, s.left
     );
     println!(
         "set-ups {}, unanswered {}, front killed meanwhile {}, front stopped meanwhile {}",
@@ -317,7 +317,7 @@
         Ok(scenario) => scenario,
         Err(code) => return Ok(code),
     };
-    let standing = shalespindle_lab::standing::Standing::start(&scenario, feed)?;
+    let standing = shalespindle_lab::stand_ins::StandIns::start(&scenario, feed)?;
     println!("{standing}");
     let mut signals =
         signal_hook::iterator::Signals::new([signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT])?;
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Routers that are measured against, never shipped: they live in the lab alone.
+//! Simple routers that the decision module is compared with; only the lab uses them.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,39 +6,45 @@
 use shalespindle_front::router::{Router, RouterInput};
 use std::collections::{BTreeMap, VecDeque};
 
-struct Asking {
+/// An attach that is not yet established.
+struct PendingAttach {
     procedure: usize,
     gives_up_at: f64,
     tries: u32,
     first_choice: u16,
-    /// Where its setup try is out.
-    out: Option<PoolId>,
+    /// The pool of its setup try in progress.
+    trying: Option<PoolId>,
+    /// Earliest time of the next try, by the release guard.
     not_before: f64,
 }
 
 /// How a baseline picks a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// Any allowed pool in service.
+    /// Any allowed pool in service, at random.
     Random,
-    /// Of two drawn at random the one with fewer set-ups of this front out.
+    /// Of two drawn at random the one with fewer setup tries of this front in progress.
     LeastOfTwo,
-    /// The first choice always; any other only while it is not in service.
+    /// The attach's first choice; a random one while that is not in service.
     FirstChoice,
 }
 
-/// Sends each attach to a pool picked without any estimate, and refuses nothing. It keeps the rules on
-/// tries, drains and the release guard; nothing spares a cold or crowded pool.
+/// Sends each attach to a pool picked without any estimate of load, and throttles none. It keeps the rules on
+/// tries, drains and the release guard, but does not limit the load of cold or overloaded pools.
 pub struct Baseline {
     pick: Pick,
-    /// Set-ups out at each pool.
+    /// Setup tries in progress at each pool.
     outstanding: BTreeMap<PoolId, usize>,
     deployment: Deployment,
     rng: ChaCha8Rng,
+    /// Pool number, and whether the pool is in service.
     pools: BTreeMap<PoolId, (u16, bool)>,
-    asking: BTreeMap<UeId, Asking>,
+    pending: BTreeMap<UeId, PendingAttach>,
+    /// Attaches to decide on now.
     undecided: VecDeque<UeId>,
-    waiting: VecDeque<(f64, UeId)>,
+    /// Attaches that the release guard holds back, with the time until which it does.
+    guarded: VecDeque<(f64, UeId)>,
+    /// Time of the wake-up that was last asked for.
     wake_at: f64,
 }
 
@@ -50,15 +56,15 @@
             deployment,
             rng: ChaCha8Rng::seed_from_u64(seed),
             pools: BTreeMap::new(),
-            asking: BTreeMap::new(),
+            pending: BTreeMap::new(),
             undecided: VecDeque::new(),
-            waiting: VecDeque::new(),
+            guarded: VecDeque::new(),
             wake_at: f64::INFINITY,
         }
     }
 
-    /// A set-up at that pool is no longer out.
-    fn back(&mut self, pool: PoolId) {
+    /// Counts the end of a setup try at that pool.
+    fn try_ended(&mut self, pool: PoolId) {
         if let Some(count) = self.outstanding.get_mut(&pool) {
             *count = count.saturating_sub(1);
         }
@@ -66,8 +72,8 @@
 }
 
 impl Router for Baseline {
-    fn handle(&mut self, now: f64, told: &RouterInput) {
-        match told {
+    fn handle(&mut self, now: f64, input: &RouterInput) {
+        match input {
             RouterInput::PoolsListed { entries, whole } => {
                 if *whole {
                     self.pools.values_mut().for_each(|p| p.1 = false);
@@ -78,28 +84,34 @@
             }
             RouterInput::AttachArrived(new) => {
                 let NewAttach { procedure, gives_up_at, first_choice, .. } = *new;
-                let asking =
-                    Asking { procedure, gives_up_at, tries: 0, first_choice, out: None, not_before: now };
-                self.asking.insert(new.ue, asking);
+                let attach = PendingAttach {
+                    procedure,
+                    gives_up_at,
+                    tries: 0,
+                    first_choice,
+                    trying: None,
+                    not_before: now,
+                };
+                self.pending.insert(new.ue, attach);
                 self.undecided.push_back(new.ue);
             }
             RouterInput::AttachEstablished { ue, .. } | RouterInput::CallerLeft { ue } => {
-                if let Some(pool) = self.asking.remove(ue).and_then(|a| a.out) {
-                    self.back(pool);
+                if let Some(pool) = self.pending.remove(ue).and_then(|a| a.trying) {
+                    self.try_ended(pool);
                 }
             }
             RouterInput::TryEnded { ue, ended, finished, .. } => {
-                let Some(asking) = self.asking.get_mut(ue) else { return };
-                let out = asking.out.take();
+                let Some(attach) = self.pending.get_mut(ue) else { return };
+                let tried = attach.trying.take();
                 if *finished {
-                    self.asking.remove(ue);
+                    self.pending.remove(ue);
                 }
-                let Some(pool) = out else { return };
-                self.back(pool);
-                let Some(asking) = self.asking.get_mut(ue) else { return };
+                let Some(pool) = tried else { return };
+                self.try_ended(pool);
+                let Some(attach) = self.pending.get_mut(ue) else { return };
                 if matches!(ended, EndReason::TimedOut | EndReason::Cut | EndReason::Cancelled) {
-                    asking.not_before = now + self.deployment.release_guard;
-                    self.waiting.push_back((asking.not_before, *ue));
+                    attach.not_before = now + self.deployment.release_guard;
+                    self.guarded.push_back((attach.not_before, *ue));
                 } else {
                     self.undecided.push_back(*ue);
                 }
@@ -110,44 +122,44 @@
     }
 
     fn next_decision(&mut self, now: f64) -> Option<Decision> {
-        while self.waiting.front().is_some_and(|w| w.0 <= now) {
-            self.undecided.extend(self.waiting.pop_front().map(|w| w.1));
+        while self.guarded.front().is_some_and(|w| w.0 <= now) {
+            self.undecided.extend(self.guarded.pop_front().map(|w| w.1));
         }
         while let Some(ue) = self.undecided.pop_front() {
-            let Some(asking) = self.asking.get_mut(&ue) else { continue };
-            let procedure = &self.deployment.procedures[asking.procedure];
-            let left = asking.gives_up_at - now;
+            let Some(attach) = self.pending.get_mut(&ue) else { continue };
+            let procedure = &self.deployment.procedures[attach.procedure];
+            let remaining = attach.gives_up_at - now;
             let usable: Vec<PoolId> = self
                 .pools
                 .iter()
                 .filter(|(_, (number, ready))| *ready && procedure.pools.contains(number))
                 .map(|(name, _)| *name)
                 .collect();
-            if left <= 0.0 || asking.tries >= self.deployment.max_tries || usable.is_empty() {
-                self.asking.remove(&ue);
+            if remaining <= 0.0 || attach.tries >= self.deployment.max_tries || usable.is_empty() {
+                self.pending.remove(&ue);
                 return Some(Decision::Abort { ue });
             }
-            asking.tries += 1;
-            let first = usable.iter().find(|p| self.pools[p].0 == asking.first_choice).copied();
+            attach.tries += 1;
+            let first = usable.iter().find(|p| self.pools[p].0 == attach.first_choice).copied();
             let mut draw = || usable[self.rng.random_range(0..usable.len())];
             let pool = match self.pick {
                 Pick::Random => draw(),
                 Pick::FirstChoice => first.unwrap_or_else(draw),
                 Pick::LeastOfTwo => {
                     let (a, b) = (draw(), draw());
-                    let out = |pool| self.outstanding.get(&pool).copied().unwrap_or(0);
-                    if out(b) < out(a) {
+                    let in_progress = |pool| self.outstanding.get(&pool).copied().unwrap_or(0);
+                    if in_progress(b) < in_progress(a) {
                         b
                     } else {
                         a
                     }
                 }
             };
-            asking.out = Some(pool);
+            attach.trying = Some(pool);
             *self.outstanding.entry(pool).or_default() += 1;
-            return Some(Decision::SetUp { ue, pool, timeout: procedure.latency_target.min(left) });
+            return Some(Decision::SetUp { ue, pool, timeout: procedure.latency_target.min(remaining) });
         }
-        let next = self.waiting.front().map_or(f64::INFINITY, |w| w.0);
+        let next = self.guarded.front().map_or(f64::INFINITY, |w| w.0);
         if next < self.wake_at {
             self.wake_at = next;
             return Some(Decision::Wake { after: next - now });
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,4 +1,5 @@
-//! Two variants of a scenario, paired by seed under virtual time or on sockets, with the noise.
+//! Compares two variants of a scenario over pairs of runs with the same seed, under virtual time or on
+//! sockets, with confidence intervals.
 
 use crate::baseline::Pick;
 use crate::parallel;
@@ -11,18 +12,19 @@
 use std::fmt;
 use std::io;
 
-/// What decides in a run.
+/// Which router decides in a run, and with which features.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
+    /// The decision module as the scenario configures it.
     Module,
-    /// The module without levels of reduced service at the door, whatever the scenario says.
+    /// The module without levels of reduced service at admission, whatever the scenario says.
     WithoutLevels,
     /// The module without the fleet's plan for sites.
     WithoutPlan,
     Baseline(Pick),
 }
 
-/// A difference between pairs: its mean and half the width of its 95 % interval.
+/// Means of A and B, the mean of the paired differences B - A, and half the width of its 95 % interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Difference {
     pub a: f64,
@@ -31,28 +33,30 @@
     pub half: f64,
 }
 
-/// The comparison's outcome.
+/// Result of a comparison.
 #[derive(Clone, Debug)]
 pub struct Comparison {
     pub pairs: u64,
+    /// Whether A broke no rule.
     pub rules_kept: bool,
-    /// By figure: all, then each procedure and tenant.
+    /// Utility within target by key: "all", then each procedure and tenant.
     pub figures: BTreeMap<String, Difference>,
+    /// Number of violations of rules by A and by B.
     pub broken: [u64; 2],
 }
 
-/// Where pairs are run.
+/// How pairs are run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Where {
     VirtualTime,
-    /// On loopback sockets with all fronts in this process, so many pairs at once: both runs of a pair share
-    /// the machine, so that what else goes on meets both alike.
+    /// On loopback sockets with all fronts in this process, that many pairs at a time. Both runs of a pair
+    /// run at the same time, so that other load on the machine affects both equally.
     Sockets {
         pairs_at_once: usize,
     },
 }
 
-fn one(scenario: &Scenario, variant: Variant, place: Where, seed: u64) -> io::Result<Report> {
+fn run_one(scenario: &Scenario, variant: Variant, place: Where, seed: u64) -> io::Result<Report> {
     if place == Where::VirtualTime {
         return Ok(sim::run(scenario, seed, &Setup::of(variant)).report);
     }
@@ -66,21 +70,22 @@
     Ok(play(&scenario, seed, &Fronts::Inside, &mut |_| {})?.report)
 }
 
-/// Runs both variants over `pairs` seeds and pairs them; the first run that cannot be made ends it.
+/// Runs both variants with `pairs` seeds from `first_seed`. The first run that fails ends the comparison with
+/// its error.
 pub fn compare(
     a: (&Scenario, Variant),
     b: (&Scenario, Variant),
     place: Where,
-    first: u64,
+    first_seed: u64,
     pairs: u64,
 ) -> io::Result<Comparison> {
-    let seeds: Vec<u64> = (first..first + pairs).collect();
-    let at_once = match place {
+    let seeds: Vec<u64> = (first_seed..first_seed + pairs).collect();
+    let concurrency = match place {
         Where::VirtualTime => parallel::cores(),
         Where::Sockets { pairs_at_once } => pairs_at_once,
     };
-    let results = parallel::each(&seeds, at_once, |_, &seed| -> io::Result<[Report; 2]> {
-        let run = |(scenario, variant)| one(scenario, variant, place, seed);
+    let results = parallel::each(&seeds, concurrency, |_, &seed| -> io::Result<[Report; 2]> {
+        let run = |(scenario, variant)| run_one(scenario, variant, place, seed);
         if place == Where::VirtualTime {
             return Ok([run(a)?, run(b)?]);
         }
@@ -115,7 +120,7 @@
     all
 }
 
-/// Mean of the differences b - a with the half width of Student's 95 % interval.
+/// Mean of the differences b - a and half the width of their 95 % interval by Student's t distribution.
 pub fn difference(pairs: &[(f64, f64)]) -> Difference {
     let n = pairs.len() as f64;
     if pairs.is_empty() {
@@ -150,7 +155,7 @@
     use super::*;
 
     #[test]
-    fn the_interval_is_students() {
+    fn the_interval_follows_students_t_distribution() {
         let d = difference(&[(0.0, 1.0), (0.0, 2.0), (0.0, 3.0), (0.0, 4.0)]);
         assert_eq!((d.mean, d.b), (2.5, 2.5));
         // t(0.975, 3) = 3.182; standard error = 1.291 / 2.
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,13 +1,13 @@
-//! The laboratory: scenarios, their troubles as a plan of actions, played under virtual time (`sim`) or on
-//! loopback sockets (`play`), the rules checked over what passed, and one summary.
+//! The test laboratory: scenarios whose faults become a list of timed actions, run under virtual time (`sim`)
+//! or on loopback sockets (`play`); the rules are checked over the trace, and a summary is printed.
 
 pub mod baseline;
 pub mod capacity;
 pub mod chain;
 pub mod compare;
 pub mod coordinated;
-pub mod country;
 pub mod fleet_cost;
+pub mod fleet_sites;
 pub mod fleet_size;
 pub mod names;
 mod parallel;
@@ -17,7 +17,7 @@
 pub mod scale;
 pub mod scenario;
 pub mod sim;
-pub mod standing;
+pub mod stand_ins;
 pub mod summary;
 pub mod throughput;
 pub mod walk;
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -1,4 +1,5 @@
-//! A scenario on loopback sockets: fronts as processes of their own (or inside this one), stand-ins here.
+//! Runs a scenario on loopback sockets: fronts as separate processes (or inside this one); the simulated
+//! servers, pool list, name servers and callers inside this process.
 
 use crate::plan::{plan, Action};
 use crate::scenario::Scenario;
@@ -28,44 +29,48 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What a front's messages may take on the loopback sockets of a busy machine, seconds.
+/// Time that fronts allow for their messages on the loopback sockets of a busy machine, seconds.
 pub const MARGIN: f64 = 0.05;
-/// What the checker grants the sockets: half of it, so that the front's margin is what keeps the rules.
-const PASSING: f64 = MARGIN / 2.0;
-/// After the last question: the longest wait for answers, and for releases of what should not stand.
-const ANSWERS_WITHIN: f64 = 12.0;
-const RELEASES_WITHIN: f64 = 6.0;
+/// Delay of the sockets that the checker tolerates, seconds. Half of the fronts' margin, so that the rules
+/// are kept by that margin and not by the checker's tolerance.
+const SOCKET_DELAY: f64 = MARGIN / 2.0;
+/// Maximum wait for answers after callers stop making calls, seconds.
+const ANSWER_TIMEOUT: f64 = 12.0;
+/// Wait after that for the releases of calls that should not remain established, seconds.
+const RELEASE_WAIT: f64 = 6.0;
 
 /// Where the fronts run.
 #[derive(Clone, Debug)]
 pub enum Fronts {
-    /// Each a process of this program, with its settings and log in that folder.
+    /// Each in a process of that program, with its settings and log in that folder.
     Processes { program: PathBuf, folder: PathBuf },
-    /// All inside this process; they cannot be killed or stopped.
+    /// All inside this process, where they cannot be killed or paused.
     Inside,
 }
 
-enum Running {
+/// A front of the run.
+enum FrontHandle {
     Process(Child),
     Inside(Box<Service>),
     Down,
 }
 
-/// What a played run gives.
+/// Results of a run on sockets.
 pub struct Played {
     pub report: Report,
     pub trace: Vec<Entry>,
-    /// State of each front inside this process, taken before it was ended.
-    pub snapshots: Vec<FrontStatus>,
+    /// Status of each front inside this process before it was ended.
+    pub statuses: Vec<FrontStatus>,
 }
 
+/// Everything that runs for a scenario.
 struct Fleet<'a> {
     scenario: &'a Scenario,
     fronts: &'a Fronts,
-    ground: MonotonicClock,
+    clock: MonotonicClock,
     trace: Trace,
     settings: Vec<Settings>,
-    running: Vec<Running>,
+    running: Vec<FrontHandle>,
     servers: Vec<HostedServer>,
     feed: Hosted<Feed>,
     zone: Arc<Mutex<Zone>>,
@@ -74,28 +79,28 @@
     rng: ChaCha8Rng,
 }
 
-/// Kinds of loopback network of a fleet: fronts, servers, name servers.
-const FRONTS: u8 = 0;
-const SERVERS: u8 = 1;
-const NAMES: u8 = 2;
+/// Offsets from the fleet's first loopback network to those of fronts, servers and name servers.
+const FRONT_NETWORK: u8 = 0;
+const SERVER_NETWORK: u8 = 1;
+const NAME_SERVER_NETWORK: u8 = 2;
 
-/// A name server for one front, so that what it is told is known to be told to it.
+/// Starts a name server for one front alone, so that the trace can record which front received an answer.
 fn name_server(
     zone: &Arc<Mutex<Zone>>,
     network: u8,
     front: usize,
-    place: usize,
-    ground: &MonotonicClock,
+    index: usize,
+    clock: &MonotonicClock,
     trace: &Trace,
 ) -> io::Result<(SocketAddr, HostedNames)> {
     let at = free_address(network, front)?;
     let (udp, tcp) = (UdpSocket::bind(at)?, TcpListener::bind(at)?);
-    let (zone, ground, trace) = (zone.clone(), ground.clone(), trace.clone());
+    let (zone, clock, trace) = (zone.clone(), clock.clone(), trace.clone());
     let answer = move |question: &[u8], stream: bool| {
-        let now = ground.now();
+        let now = clock.now();
         let (replies, named) =
-            zone.lock().unwrap_or_else(|e| e.into_inner()).ask(place, now, question, stream);
-        // What passed is in the trace before it can have an effect elsewhere.
+            zone.lock().unwrap_or_else(|e| e.into_inner()).ask(index, now, question, stream);
+        // The trace has the answer before the answer can have an effect.
         if let Some(servers) = named {
             trace.add(now, Seen::Named { front, servers });
         }
@@ -104,16 +109,16 @@
     Ok((at, names::name_server(udp, tcp, Arc::new(answer))?))
 }
 
-/// Plays a scenario; `tell` gets lines of progress.
+/// Runs a scenario; `progress` receives a line for each step.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
     fronts: &Fronts,
-    tell: &mut dyn FnMut(String),
+    progress: &mut dyn FnMut(String),
 ) -> io::Result<Played> {
     let mut fleet = Fleet::new(scenario, seed, fronts)?;
-    let begin = fleet.ground.now();
-    tell(format!(
+    let begin = fleet.clock.now();
+    progress(format!(
         "{}: seed {seed}, {} fronts, {} servers, {:.0} attaches a second, {} s",
         scenario.name,
         scenario.fleet.fronts,
@@ -121,68 +126,73 @@
         scenario.rate(),
         scenario.seconds
     ));
-    let plan = plan(scenario, seed);
-    for (at, action) in plan {
+    for (at, action) in plan(scenario, seed) {
         fleet.wait_until(begin + at);
-        tell(format!("{at:6.1} s  {action:?}"));
+        progress(format!("{at:6.1} s  {action:?}"));
         fleet.act(action)?;
     }
     fleet.wait_until(begin + scenario.seconds);
-    tell(format!("{:6.1} s  callers stop asking", scenario.seconds));
-    let until = fleet.ground.now() + ANSWERS_WITHIN;
-    while fleet.ground.now() < until && fleet.asking() > 0 {
+    progress(format!("{:6.1} s  callers make no more calls", scenario.seconds));
+    let until = fleet.clock.now() + ANSWER_TIMEOUT;
+    while fleet.clock.now() < until && fleet.pending_calls() > 0 {
         std::thread::sleep(Duration::from_millis(50));
     }
-    fleet.wait_until(fleet.ground.now() + RELEASES_WITHIN);
+    fleet.wait_until(fleet.clock.now() + RELEASE_WAIT);
     fleet.finish(seed)
 }
 
 impl<'a> Fleet<'a> {
     fn new(scenario: &'a Scenario, seed: u64, fronts: &'a Fronts) -> io::Result<Fleet<'a>> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (ground, trace) = (MonotonicClock::new(), Trace::default());
+        let (clock, trace) = (MonotonicClock::new(), Trace::default());
         let networks = networks();
         let count = scenario.fleet.fronts;
-        let mut names = HashMap::new();
-        let mut settings = Vec::new();
+        let mut front_by_address = HashMap::new();
+        let mut endpoints = Vec::new();
         let mut listeners = Vec::new();
         for front in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0")?;
-            let (address, feed) = (free_address(networks + FRONTS, front)?, listener.local_addr()?);
-            names.insert(address.to_string(), front);
-            settings.push((address, feed));
+            let (address, feed) = (free_address(networks + FRONT_NETWORK, front)?, listener.local_addr()?);
+            front_by_address.insert(address.to_string(), front);
+            endpoints.push((address, feed));
             listeners.push(listener);
         }
-        let names = Arc::new(names);
+        let front_by_address = Arc::new(front_by_address);
         let mut feed = Feed::new(1, count, scenario.fleet.list_delay);
         feed.silence(scenario.dns.as_ref().is_some_and(|d| d.alone));
         let mut servers = Vec::new();
         let mut addresses = Vec::new();
         for s in 0..scenario.fleet.servers {
-            let address = free_address(networks + SERVERS, s)?;
+            let address = free_address(networks + SERVER_NETWORK, s)?;
             feed.known(s, address, s as u16);
             addresses.push(address);
-            let core = Server::new(s, address.to_string(), scenario.server(s), names.clone(), rng.random());
-            servers.push(HostedServer::start(core, address, ground.clone(), trace.clone())?);
+            let core = Server::new(
+                s,
+                address.to_string(),
+                scenario.server(s),
+                front_by_address.clone(),
+                rng.random(),
+            );
+            servers.push(HostedServer::start(core, address, clock.clone(), trace.clone())?);
         }
         let zone = Arc::new(Mutex::new(Zone::new(scenario, seed, addresses)));
         let mut name_servers = Vec::new();
-        let mut all_settings = Vec::new();
-        for (front, (address, feed)) in settings.into_iter().enumerate() {
+        let mut settings = Vec::new();
+        for (front, (address, feed)) in endpoints.into_iter().enumerate() {
             let mut names = Vec::new();
-            for place in 0..scenario.dns.as_ref().map_or(0, |d| d.name_servers) {
-                let (at, hosted) = name_server(&zone, networks + NAMES, front, place, &ground, &trace)?;
+            for index in 0..scenario.dns.as_ref().map_or(0, |d| d.name_servers) {
+                let (at, hosted) =
+                    name_server(&zone, networks + NAME_SERVER_NETWORK, front, index, &clock, &trace)?;
                 names.push(at);
                 name_servers.push(hosted);
             }
-            all_settings.push(scenario.settings(address, feed, &names, MARGIN));
+            settings.push(scenario.settings(address, feed, &names, MARGIN));
         }
-        let settings = all_settings;
-        let feed = net::feed(feed, listeners, ground.clone(), trace.clone())?;
+        let feed = net::feed(feed, listeners, clock.clone(), trace.clone())?;
         let mut fleet = Fleet {
             scenario,
             fronts,
-            ground,
+            clock,
             trace,
             settings,
             running: Vec::new(),
@@ -194,18 +204,18 @@
             rng,
         };
         for front in 0..count {
-            fleet.running.push(Running::Down);
-            fleet.front_starts(front)?;
+            fleet.running.push(FrontHandle::Down);
+            fleet.start_front(front)?;
         }
-        fleet.callers_start()?;
+        fleet.start_callers()?;
         Ok(fleet)
     }
 
-    fn callers_start(&mut self) -> io::Result<()> {
+    fn start_callers(&mut self) -> io::Result<()> {
         let count = self.scenario.fleet.fronts;
         let rate = self.scenario.rate() / count as f64;
-        // The fronts get a second to connect and to hear the list.
-        let (from, to) = (self.ground.now() + 1.0, self.ground.now() + self.scenario.seconds);
+        // The fronts get a second to connect and to receive the pool list.
+        let (from, to) = (self.clock.now() + 1.0, self.clock.now() + self.scenario.seconds);
         for front in 0..count {
             let udp = UdpSocket::bind("127.0.0.1:0")?;
             let host = udp.local_addr()?.to_string();
@@ -213,50 +223,53 @@
             let seed = self.rng.random();
             let core =
                 Callers::new(front, host, address.to_string(), self.scenario.caller(), rate, seed, from, to);
-            let hosted = net::callers(core, udp, address, self.ground.clone(), self.trace.clone())?;
+            let hosted = net::callers(core, udp, address, self.clock.clone(), self.trace.clone())?;
             self.callers.push(hosted);
         }
         Ok(())
     }
 
     fn wait_until(&self, at: f64) {
-        let left = at - self.ground.now();
+        let left = at - self.clock.now();
         if left > 0.0 {
             std::thread::sleep(Duration::from_secs_f64(left));
         }
     }
 
-    fn asking(&self) -> usize {
+    /// Number of calls that are not answered yet.
+    fn pending_calls(&self) -> usize {
         self.callers.iter().map(|c| c.ask(|core| core.asking()).unwrap_or(0)).sum()
     }
 
-    fn front_starts(&mut self, front: usize) -> io::Result<()> {
+    fn start_front(&mut self, front: usize) -> io::Result<()> {
         let seed = self.rng.random();
         let settings = &mut self.settings[front];
         self.running[front] = match self.fronts {
-            Fronts::Inside => Running::Inside(Box::new(Service::start(settings, seed, self.ground.clone())?)),
+            Fronts::Inside => {
+                FrontHandle::Inside(Box::new(Service::start(settings, seed, self.clock.clone())?))
+            }
             Fronts::Processes { program, folder } => {
-                // TOML's integers end at 63 bits.
+                // TOML integers are signed, with 64 bits.
                 settings.front.seed = Some(seed >> 1);
-                Running::Process(spawn(program, folder, front, settings)?)
+                FrontHandle::Process(spawn(program, folder, front, settings)?)
             }
         };
-        self.trace.add(self.ground.now(), Seen::FrontUp { front });
+        self.trace.add(self.clock.now(), Seen::FrontUp { front });
         Ok(())
     }
 
     fn signal(&self, front: usize, signal: Signal) -> io::Result<()> {
-        if let Running::Process(child) = &self.running[front] {
+        if let FrontHandle::Process(child) = &self.running[front] {
             kill(Pid::from_raw(child.id() as i32), signal).map_err(io::Error::from)?;
         }
         Ok(())
     }
 
     fn act(&mut self, action: Action) -> io::Result<()> {
-        let now = self.ground.now();
+        let now = self.clock.now();
         match action {
-            Action::ServerStops(s) => self.servers[s].stop(),
-            Action::ServerStarts(s) => self.servers[s].start_again()?,
+            Action::StopServer(s) => self.servers[s].stop(),
+            Action::StartServer(s) => self.servers[s].start_again()?,
             Action::List { server, state, anew } => {
                 self.feed.act(move |feed, now| feed.change(now, server, state, anew));
             }
@@ -266,78 +279,82 @@
             Action::AnswersLost(s, share) => {
                 self.servers[s].core.act(move |core, _| core.faults.answers_lost = share);
             }
-            Action::Published(s, there) => self.zone().publish(s, there),
-            Action::NameServer(place, script) => self.zone().script(place, script),
+            Action::Publish(s, present) => self.zone().publish(s, present),
+            Action::NameServer(index, script) => self.zone().script(index, script),
             Action::FeedSilent(silent) => self.feed.act(move |feed, _| feed.silence(silent)),
             Action::ListDelay(delay) => self.feed.act(move |feed, _| feed.delay = delay),
-            Action::FrontKilled(f) => {
+            Action::KillFront(f) => {
                 self.signal(f, Signal::SIGKILL)?;
                 self.trace.add(now, Seen::FrontKilled { front: f });
-                if let Running::Process(mut child) = std::mem::replace(&mut self.running[f], Running::Down) {
+                if let FrontHandle::Process(mut child) =
+                    std::mem::replace(&mut self.running[f], FrontHandle::Down)
+                {
                     child.wait()?;
                 }
             }
-            Action::FrontStarts(f) => self.front_starts(f)?,
-            Action::FrontStops(f) => {
+            Action::StartFront(f) => self.start_front(f)?,
+            Action::PauseFront(f) => {
                 self.trace.add(now, Seen::FrontStopped { front: f });
                 self.signal(f, Signal::SIGSTOP)?;
             }
-            Action::FrontGoesOn(f) => {
+            Action::ResumeFront(f) => {
                 self.signal(f, Signal::SIGCONT)?;
-                self.trace.add(self.ground.now(), Seen::FrontGoesOn { front: f });
+                self.trace.add(self.clock.now(), Seen::FrontGoesOn { front: f });
             }
-            Action::Burst(size) => self.each_callers(move |c| c.faults.burst = size),
-            Action::GiveUp(size) => self.each_callers(move |c| c.faults.give_up = size),
-            Action::Abuse(tenant) => self.each_callers(move |c| c.faults.abuse = tenant),
+            Action::Burst(size) => self.change_callers(move |c| c.faults.burst = size),
+            Action::GiveUp(size) => self.change_callers(move |c| c.faults.give_up = size),
+            Action::Abuse(tenant) => self.change_callers(move |c| c.faults.abuse = tenant),
         }
         Ok(())
     }
 
     fn zone(&self) -> MutexGuard<'_, Zone> {
-        // Whoever panicked with it left whole records behind.
+        // A thread that panicked with the lock held leaves no partial record behind.
         self.zone.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn each_callers(&self, change: impl Fn(&mut Callers) + Send + Clone + 'static) {
+    /// Applies a change to the callers of all fronts.
+    fn change_callers(&self, change: impl Fn(&mut Callers) + Send + Clone + 'static) {
         for callers in &self.callers {
             let change = change.clone();
             callers.act(move |core, _| change(core));
         }
     }
 
+    /// Ends everything, checks the trace and collects the results.
     fn finish(mut self, seed: u64) -> io::Result<Played> {
-        let lost = |what: &str| io::Error::other(format!("{what} did not end in time"));
+        let timed_out = |what: &str| io::Error::other(format!("{what} did not end in time"));
         let entries = self.trace.sorted();
-        let mut snapshots = Vec::new();
+        let mut statuses = Vec::new();
         for running in &mut self.running {
-            match std::mem::replace(running, Running::Down) {
-                Running::Process(mut child) => {
+            match std::mem::replace(running, FrontHandle::Down) {
+                FrontHandle::Process(mut child) => {
                     kill(Pid::from_raw(child.id() as i32), Signal::SIGKILL).map_err(io::Error::from)?;
                     child.wait()?;
                 }
-                Running::Inside(service) => snapshots.extend(service.status()),
-                Running::Down => {}
+                FrontHandle::Inside(service) => statuses.extend(service.status()),
+                FrontHandle::Down => {}
             }
         }
         let mut cores = Vec::new();
         for callers in self.callers.drain(..) {
-            cores.push(callers.finish().ok_or_else(|| lost("callers"))?);
+            cores.push(callers.finish().ok_or_else(|| timed_out("callers"))?);
         }
         for server in self.servers.drain(..) {
-            server.finish().ok_or_else(|| lost("a server"))?;
+            server.finish().ok_or_else(|| timed_out("a server"))?;
         }
-        let verdict = check(&entries, &self.scenario.figures(PASSING));
+        let verdict = check(&entries, &self.scenario.figures(SOCKET_DELAY));
         let callers: Vec<&Callers> = cores.iter().collect();
         let report = report(&self.scenario.name, seed, &callers, verdict);
-        Ok(Played { report, trace: entries, snapshots })
+        Ok(Played { report, trace: entries, statuses })
     }
 }
 
 impl Drop for Fleet<'_> {
     fn drop(&mut self) {
-        // Guards against fronts that outlive a lab that failed half way; only those started here.
+        // Ends the front processes that this run has started if the run fails early.
         for running in &mut self.running {
-            if let Running::Process(child) = running {
+            if let FrontHandle::Process(child) = running {
                 let _ = child.kill();
                 let _ = child.wait();
             }
@@ -345,6 +362,7 @@
     }
 }
 
+/// Starts a front's process; its log is appended to a file.
 fn spawn(program: &Path, folder: &Path, front: usize, settings: &Settings) -> io::Result<Child> {
     let file = folder.join(format!("front-{front}.toml"));
     let text = toml::to_string(settings).map_err(io::Error::other)?;
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -1,33 +1,34 @@
-//! Decisions at scale: utility within target over numbers of fronts and kinds of trouble, the module against
-//! the baselines, the same seeds for each. The servers and the rate of all callers together stay the same, so
-//! that what changes is how small a part each front sees.
+//! Compares the decision module with the baselines, with the same seeds, over numbers of fronts and kinds of
+//! fault. The servers and the total rate of the callers stay the same, so that more fronts mean a smaller
+//! share of the traffic for each.
 
 use crate::baseline::Pick;
 use crate::compare::{difference, Difference, Variant};
 use crate::parallel;
-use crate::scenario::{Scenario, Trouble, TroubleKind};
+use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::sim::{self, Setup};
 use clap::ValueEnum;
 use shalespindle_standin::nameserver::Script;
 use std::fmt;
 
-/// The baselines of the table.
+/// The baselines, in order of the table's columns.
 const BASELINES: [Pick; 3] = [Pick::Random, Pick::LeastOfTwo, Pick::FirstChoice];
 
-/// One row.
+/// The results of one kind of fault and one number of fronts.
 #[derive(Clone, Debug)]
 pub struct Row {
-    pub kind: Option<TroubleKind>,
+    /// None: a run without faults.
+    pub kind: Option<FaultKind>,
     pub fronts: usize,
     /// Utility within target of the module, the mean of the seeds.
     pub module: f64,
-    /// The module less each baseline, paired by seed.
+    /// Utility of the module minus that of each baseline, paired by seed.
     pub gains: Vec<Difference>,
-    /// Rules that the module broke.
+    /// Number of violations of rules by the module.
     pub broken: u64,
 }
 
-/// The table, in order of kinds and then of fronts.
+/// All rows, in order of kinds and then of numbers of fronts.
 #[derive(Clone, Debug)]
 pub struct Table {
     pub rows: Vec<Row>,
@@ -35,48 +36,48 @@
 }
 
 impl Table {
-    /// Whether the module kept the rules everywhere; baselines need not.
+    /// Whether the module kept the rules in all runs; baselines are not checked.
     pub fn rules_kept(&self) -> bool {
         self.rows.iter().all(|r| r.broken == 0)
     }
 }
 
-/// One trouble of a kind in the middle third of a scenario; none is a quiet day.
-fn trouble(kind: TroubleKind, seconds: f64) -> Trouble {
-    let (part, size) = match kind {
-        TroubleKind::Slow => (0.34, 4.0),
-        TroubleKind::Burst => (1.0, 1.6),
-        TroubleKind::AnswerLost => (0.34, 0.5),
-        TroubleKind::GiveUp => (1.0, 0.5),
-        TroubleKind::DiscoveryStale => (1.0, 8.0),
-        TroubleKind::Deploy => (0.5, 0.0),
+/// A fault of that kind in the middle third of a scenario.
+fn fault(kind: FaultKind, seconds: f64) -> Fault {
+    let (share, size) = match kind {
+        FaultKind::Slow => (0.34, 4.0),
+        FaultKind::Burst => (1.0, 1.6),
+        FaultKind::AnswerLost => (0.34, 0.5),
+        FaultKind::GiveUp => (1.0, 0.5),
+        FaultKind::DiscoveryStale => (1.0, 8.0),
+        FaultKind::Deploy => (0.5, 0.0),
         _ => (0.17, 0.0),
     };
-    let (from, lasts) = (seconds / 3.0, seconds / 3.0);
-    Trouble { kind, from, lasts, part, every: None, script: Script::Silent, size }
+    let (from, duration) = (seconds / 3.0, seconds / 3.0);
+    Fault { kind, from, duration, share, period: None, script: Script::Silent, size }
 }
 
-/// Runs the table on all cores. No kinds: all there are, and a quiet day.
-pub fn table(base: &Scenario, fronts: &[usize], kinds: &[TroubleKind], seeds: u64) -> Table {
-    let kinds: Vec<Option<TroubleKind>> = match kinds {
-        [] => std::iter::once(None).chain(TroubleKind::value_variants().iter().map(|k| Some(*k))).collect(),
+/// Runs all rows on all cores. `kinds` empty: a run without faults, and every kind.
+pub fn table(base: &Scenario, fronts: &[usize], kinds: &[FaultKind], seeds: u64) -> Table {
+    let kinds: Vec<Option<FaultKind>> = match kinds {
+        [] => std::iter::once(None).chain(FaultKind::value_variants().iter().map(|k| Some(*k))).collect(),
         some => some.iter().map(|k| Some(*k)).collect(),
     };
-    let jobs: Vec<(Option<TroubleKind>, usize)> =
+    let jobs: Vec<(Option<FaultKind>, usize)> =
         kinds.iter().flat_map(|k| fronts.iter().map(move |f| (*k, *f))).collect();
     let rows = parallel::each(&jobs, parallel::cores(), |_, &(kind, fronts)| row(base, kind, fronts, seeds));
     Table { rows, seeds }
 }
 
-fn row(base: &Scenario, kind: Option<TroubleKind>, fronts: usize, seeds: u64) -> Row {
+fn row(base: &Scenario, kind: Option<FaultKind>, fronts: usize, seeds: u64) -> Row {
     let mut scenario = base.clone();
     scenario.fleet.fronts = fronts;
-    scenario.troubles = kind.iter().map(|k| trouble(*k, base.seconds)).collect();
-    if kind == Some(TroubleKind::DiscoveryStale) {
-        // A late list hurts by what it hides.
-        scenario.troubles.push(trouble(TroubleKind::Deploy, base.seconds));
+    scenario.faults = kind.iter().map(|k| fault(*k, base.seconds)).collect();
+    if kind == Some(FaultKind::DiscoveryStale) {
+        // A late list does harm only while servers change.
+        scenario.faults.push(fault(FaultKind::Deploy, base.seconds));
     }
-    if kind == Some(TroubleKind::NameServer) {
+    if kind == Some(FaultKind::NameServer) {
         scenario.dns.get_or_insert_default().alone = true;
     }
     let utility = |variant, seed| {
@@ -105,7 +106,7 @@
             "{} seeds; utility within target of the module, and its gain over each baseline (half of 95 %)",
             self.seeds
         )?;
-        write!(f, "{:18} {:>6} {:>8} {:>6}", "trouble", "fronts", "module", "broken")?;
+        write!(f, "{:18} {:>6} {:>8} {:>6}", "fault", "fronts", "module", "broken")?;
         writeln!(f, " {:>18} {:>18} {:>18}", "random", "least of two", "first choice")?;
         for row in &self.rows {
             let kind = row.kind.and_then(|k| k.to_possible_value());
--- a/crates/lab/src/sim/fronts.rs
+++ b/crates/lab/src/sim/fronts.rs
@@ -1,157 +1,162 @@
-//! The fronts' side of a scenario under virtual time: what reaches a front, and what comes of its polls.
+//! The fronts' side of a simulation: delivers input to a front and executes its output.
 
-use super::{name_server, FrontNews, Happening, Planted, World, DEAF_FROM};
+use super::{name_server, FrontInput, Planted, SimEvent, Simulation, IGNORES_DNS_FROM};
 use shalespindle_front::{Event, Input, LinkId, Output};
 use shalespindle_membership::ServiceStatus;
 use shalespindle_srv::ResolverInput;
 use shalespindle_standin::trace::Seen;
 use std::net::SocketAddr;
 
-impl World<'_> {
-    /// A stopped front reads what came meanwhile, all of it before it decides anything.
-    pub(super) fn goes_on(&mut self, front: usize) {
-        let Some(kept) = self.hosts[front].stopped.take() else { return };
+impl Simulation<'_> {
+    /// Resumes a paused front. It reads all that arrived meanwhile before it decides anything.
+    pub(super) fn resume_front(&mut self, front: usize) {
+        let Some(queue) = self.hosts[front].paused.take() else { return };
         self.trace.add(self.now, Seen::FrontGoesOn { front });
-        // A wake that fell due meanwhile was passed over: without this it would hide all later ones.
+        // A wake-up whose time passed during the pause was skipped; left in place it would suppress all later
+        // ones.
         self.hosts[front].wake = f64::INFINITY;
-        for (arrived, what) in kept {
-            self.tell_front(front, arrived, &what);
+        for (arrived, what) in queue {
+            self.deliver(front, arrived, &what);
         }
-        self.front_turn(front);
+        self.run_front(front);
     }
 
-    pub(super) fn tell_front(&mut self, front: usize, arrived: f64, what: &FrontNews) {
+    /// Passes to a front what arrived for it at `arrived`.
+    pub(super) fn deliver(&mut self, front: usize, arrived: f64, what: &FrontInput) {
         let now = self.now;
-        let Some(made) = &mut self.hosts[front].front else { return };
+        let Some(running) = &mut self.hosts[front].front else { return };
         let from = SocketAddr::from(([127, 2, 0, 1], 5060));
-        let deaf;
+        let altered;
         let input = match what {
-            FrontNews::Datagram(bytes) => Input::Datagram { from, bytes },
-            FrontNews::Connected(id) => Input::Connected { id: *id },
-            FrontNews::Lost(id) => Input::LinkLost { id: *id },
-            FrontNews::Bytes(id, bytes) => Input::LinkBytes { id: *id, bytes },
-            FrontNews::Feed(bytes) if self.setup.planted == Some(Planted::DeafToDrains) => {
-                deaf = String::from_utf8_lossy(bytes).replace("draining", "ready").replace("gone", "ready");
-                Input::FeedBytes { bytes: deaf.as_bytes() }
+            FrontInput::Datagram(bytes) => Input::Datagram { from, bytes },
+            FrontInput::Connected(id) => Input::Connected { id: *id },
+            FrontInput::Lost(id) => Input::LinkLost { id: *id },
+            FrontInput::Bytes(id, bytes) => Input::LinkBytes { id: *id, bytes },
+            FrontInput::Feed(bytes) if self.setup.planted == Some(Planted::IgnoresDrains) => {
+                altered =
+                    String::from_utf8_lossy(bytes).replace("draining", "ready").replace("gone", "ready");
+                Input::FeedBytes { bytes: altered.as_bytes() }
             }
-            FrontNews::Feed(bytes) => Input::FeedBytes { bytes },
-            FrontNews::FeedUp => Input::FeedConnected,
-            FrontNews::FeedLost => Input::FeedLost,
-            FrontNews::Name { .. }
-                if self.setup.planted == Some(Planted::DeafToDrains) && now > DEAF_FROM =>
+            FrontInput::Feed(bytes) => Input::FeedBytes { bytes },
+            FrontInput::FeedUp => Input::FeedConnected,
+            FrontInput::FeedLost => Input::FeedLost,
+            FrontInput::DnsReply { .. }
+                if self.setup.planted == Some(Planted::IgnoresDrains) && now > IGNORES_DNS_FROM =>
             {
                 return;
             }
-            FrontNews::Name { ticket, tcp: true, bytes, .. } => {
+            FrontInput::DnsReply { ticket, tcp: true, bytes, .. } => {
                 Input::Dns(ResolverInput::Stream { ticket: *ticket, bytes })
             }
-            FrontNews::Name { ticket, place, bytes, .. } => {
-                Input::Dns(ResolverInput::Datagram { ticket: *ticket, from: name_server(*place), bytes })
+            FrontInput::DnsReply { ticket, index, bytes, .. } => {
+                Input::Dns(ResolverInput::Datagram { ticket: *ticket, from: name_server(*index), bytes })
             }
         };
-        made.take(now, arrived, input);
+        running.take(now, arrived, input);
     }
 
-    pub(super) fn front_turn(&mut self, front: usize) {
+    /// Lets a front do its due work, executes its output and schedules its next turn.
+    pub(super) fn run_front(&mut self, front: usize) {
         let now = self.now;
         let delay = self.scenario.fleet.link_delay;
-        let life = self.hosts[front].life;
-        let Some(mut made) = self.hosts[front].front.take() else { return };
-        made.turn(now);
-        while let Some(output) = made.next_output(now) {
+        let incarnation = self.hosts[front].incarnation;
+        let Some(mut running) = self.hosts[front].front.take() else { return };
+        running.turn(now);
+        while let Some(output) = running.next_output(now) {
             match output {
-                Output::Datagram { bytes, .. } => self.datagram_out(front, bytes),
-                Output::Connect { id, to } => self.connect(front, life, id, to),
+                Output::Datagram { bytes, .. } => self.send_datagram(front, bytes),
+                Output::Connect { id, to } => self.connect(front, incarnation, id, to),
                 Output::ToServer { id, bytes } => {
-                    if let Some(&connection) = self.by_link.get(&(front, life, id)) {
+                    if let Some(&connection) = self.by_link.get(&(front, incarnation, id)) {
                         let server = self.connections[&connection].3;
-                        self.second_try(front, life, connection, &bytes);
-                        self.events.set(now + delay, Happening::ToServer { server, connection, bytes });
+                        self.send_second_try(front, incarnation, connection, &bytes);
+                        self.events.set(now + delay, SimEvent::ToServer { server, connection, bytes });
                     }
                 }
                 Output::CloseLink { id, .. } => {
-                    if let Some(&connection) = self.by_link.get(&(front, life, id)) {
+                    if let Some(&connection) = self.by_link.get(&(front, incarnation, id)) {
                         self.drop_connection(connection, false);
                     }
                 }
                 Output::Event(Event::ServerChanged { change, .. }) => {
                     if let Some(&server) = self.by_address.get(&change.address) {
-                        let there = change.status == ServiceStatus::In;
-                        self.verdicts.push((now, front, server, there));
+                        let in_service = change.status == ServiceStatus::In;
+                        self.status_changes.push((now, front, server, in_service));
                     }
                 }
                 Output::Event(Event::LevelChanged { from, to, .. }) => {
                     self.levels.push((now, front, from, to))
                 }
                 Output::DnsQuery { ticket, to, tcp, bytes } => {
-                    let place = usize::from(to.port() - name_server(0).port());
+                    let index = usize::from(to.port() - name_server(0).port());
                     let question = if tcp { bytes[2..].to_vec() } else { bytes };
-                    let ask = Happening::NameAsk { front, life, ticket, place, tcp, question };
-                    self.events.set(now + delay, ask);
+                    let query = SimEvent::DnsQuery { front, incarnation, ticket, index, tcp, question };
+                    self.events.set(now + delay, query);
                 }
-                // What comes after is of a ticket that is no more.
+                // The front ignores replies with a ticket that it has closed.
                 Output::DnsClose { .. } => {}
-                Output::SitesObserved(seen) => {
-                    if let Some(country) = &mut self.country {
-                        country.observed(now, front, &seen);
+                Output::SitesObserved(sample) => {
+                    if let Some(fleet_sites) = &mut self.fleet_sites {
+                        fleet_sites.record_sample(now, front, &sample);
                     }
                 }
                 Output::ServerListed(_) | Output::CallChanged { .. } | Output::FindCall { .. } => {}
                 Output::ToCaller { .. } | Output::CloseCaller { .. } | Output::Event(_) => {}
             }
         }
-        let wake = made.wake_at();
+        let wake = running.wake_at();
         let host = &mut self.hosts[front];
-        host.front = Some(made);
+        host.front = Some(running);
         if wake < host.wake {
             host.wake = wake;
-            self.events.set(wake, Happening::Front(front));
+            self.events.set(wake, SimEvent::Front(front));
         }
     }
 
-    /// A front's datagram to its callers, or what a planted fault makes of it.
-    fn datagram_out(&mut self, front: usize, bytes: Vec<u8>) {
+    /// Delivers a front's datagram to its callers, altered or dropped where a planted fault says so.
+    fn send_datagram(&mut self, front: usize, bytes: Vec<u8>) {
         let now = self.now;
         let refusal = bytes.starts_with(b"SIP/2.0 503");
         match self.setup.planted {
             Some(Planted::NoRefusal) if refusal => return,
             Some(Planted::SecondAnswer) if refusal => {
                 let text = String::from_utf8_lossy(&bytes).replace("SIP/2.0 503", "SIP/2.0 480");
-                self.events.set(now, Happening::ToCallers { front, bytes: text.into_bytes() });
+                self.events.set(now, SimEvent::ToCallers { front, bytes: text.into_bytes() });
             }
             _ => {}
         }
-        self.events.set(now, Happening::ToCallers { front, bytes });
+        self.events.set(now, SimEvent::ToCallers { front, bytes });
     }
 
-    /// The planted fault of rule 2: the same set-up, under another name, to another server as well.
-    fn second_try(&mut self, front: usize, life: u64, connection: u64, bytes: &[u8]) {
+    /// The planted fault of rule 2: sends the same INVITE, under another Call-ID, to a second server as well.
+    fn send_second_try(&mut self, front: usize, incarnation: u64, connection: u64, bytes: &[u8]) {
         if self.setup.planted != Some(Planted::TwoTries) || !bytes.starts_with(b"INVITE") {
             return;
         }
         let other =
-            self.connections.iter().find(|(c, to)| **c != connection && to.0 == front && to.1 == life);
+            self.connections.iter().find(|(c, to)| **c != connection && to.0 == front && to.1 == incarnation);
         if let Some((&connection, &(_, _, _, server))) = other {
             let text = String::from_utf8_lossy(bytes).replace("Call-ID: ", "Call-ID: x");
             let bytes = text.into_bytes();
-            self.events.set(self.now, Happening::ToServer { server, connection, bytes });
+            self.events.set(self.now, SimEvent::ToServer { server, connection, bytes });
         }
     }
 
-    fn connect(&mut self, front: usize, life: u64, id: LinkId, to: SocketAddr) {
+    /// Opens a connection to a server; it is reported lost if no running server has that address.
+    fn connect(&mut self, front: usize, incarnation: u64, id: LinkId, to: SocketAddr) {
         let delay = self.scenario.fleet.link_delay;
         let server = self.by_address.get(&to).copied();
         let running = server.filter(|&s| self.servers[s].is_running());
         let Some(server) = running else {
-            let what = FrontNews::Lost(id);
-            return self.events.set(self.now + 2.0 * delay, Happening::ToFront { front, life, what });
+            let what = FrontInput::Lost(id);
+            return self.events.set(self.now + 2.0 * delay, SimEvent::ToFront { front, incarnation, what });
         };
         self.next_connection += 1;
         let connection = self.next_connection;
-        self.connections.insert(connection, (front, life, id, server));
-        self.by_link.insert((front, life, id), connection);
-        self.events.set(self.now + delay, Happening::ServerConnect { server, connection });
-        let what = FrontNews::Connected(id);
-        self.events.set(self.now + 2.0 * delay, Happening::ToFront { front, life, what });
+        self.connections.insert(connection, (front, incarnation, id, server));
+        self.by_link.insert((front, incarnation, id), connection);
+        self.events.set(self.now + delay, SimEvent::ServerConnect { server, connection });
+        let what = FrontInput::Connected(id);
+        self.events.set(self.now + 2.0 * delay, SimEvent::ToFront { front, incarnation, what });
     }
 }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -1,15 +1,17 @@
-//! A scenario under virtual time: the same fronts, servers, callers and feed as on sockets, in one thread,
-//! with links that only take time. One seed gives one run.
+//! Runs a scenario under virtual time: the same fronts, servers, callers and pool list as on sockets, in one
+//! thread, over links that only add delay. The same seed gives the same run.
 
+mod event;
 mod fronts;
 
 use crate::baseline::{Baseline, Pick};
 use crate::compare::Variant;
-use crate::country::{Country, Frame, Given};
+use crate::fleet_sites::{FleetOutput, FleetSites};
 use crate::plan::{plan, Action};
 use crate::scenario::Scenario;
 use crate::summary::{report, Report};
 use crate::zone::Zone;
+use event::{FrontInput, SimEvent};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_front::{Counters, Front, Input, LinkId};
@@ -24,104 +26,46 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What may take on the way under virtual time: nothing but the link's delay, both ways.
+/// Time that fronts allow for their messages on the way, seconds. Under virtual time only the links' delay,
+/// in both directions, counts against it.
 const MARGIN: f64 = 0.05;
 
-enum Happening {
-    ToFront {
-        front: usize,
-        life: u64,
-        what: FrontNews,
-    },
-    ToServer {
-        server: usize,
-        connection: u64,
-        bytes: Vec<u8>,
-    },
-    ServerConnect {
-        server: usize,
-        connection: u64,
-    },
-    ServerLost {
-        server: usize,
-        connection: u64,
-    },
-    ToCallers {
-        front: usize,
-        bytes: Vec<u8>,
-    },
-    Front(usize),
-    Server(usize),
-    Callers(usize),
-    Feed,
-    NameAsk {
-        front: usize,
-        life: u64,
-        ticket: u64,
-        place: usize,
-        tcp: bool,
-        question: Vec<u8>,
-    },
-    Do(usize),
-    /// The front's part in the fleet: its turn, and a frame of another front.
-    Fleet(usize),
-    FleetFrame {
-        front: usize,
-        life: u64,
-        frame: Frame,
-    },
-}
-
-enum FrontNews {
-    Datagram(Vec<u8>),
-    Connected(LinkId),
-    Lost(LinkId),
-    Bytes(LinkId, Vec<u8>),
-    Feed(Vec<u8>),
-    FeedUp,
-    FeedLost,
-    /// An answer of the name server at that place.
-    Name {
-        ticket: u64,
-        place: usize,
-        tcp: bool,
-        bytes: Vec<u8>,
-    },
-}
-
+/// A front and its state in the simulation.
 struct Host {
-    /// Boxed: it is taken out for each turn, and large.
+    /// None while it is down. Boxed, because it is large and moved out for each turn.
     front: Option<Box<Front>>,
-    /// Counts its starts; what was meant for an earlier one is lost.
-    life: u64,
-    /// While stopped, what comes is kept with its time.
-    stopped: Option<VecDeque<(f64, FrontNews)>>,
+    /// Number of its starts; events for an earlier one are discarded.
+    incarnation: u64,
+    /// While its process is paused: what has arrived since, with the time of arrival.
+    paused: Option<VecDeque<(f64, FrontInput)>>,
+    /// Time of its next scheduled turn.
     wake: f64,
 }
 
-/// What a run gives beside its report.
+/// Results of a run.
 pub struct Run {
     pub report: Report,
     pub counters: Vec<Counters>,
-    /// Changes of level: when, of which front, from, to.
+    /// Changes of level: time, front, old level, new level.
     pub levels: Vec<(f64, usize, usize, usize)>,
-    /// Virtual seconds.
+    /// Virtual time at the end, seconds.
     pub lasted: f64,
     pub trace: Trace,
-    /// When questions came to name servers.
-    pub asked: Vec<f64>,
-    /// Verdicts: when, of which front, on which server, whether it is in service.
-    pub verdicts: Vec<(f64, usize, usize, bool)>,
-    /// Words on sites: when, of which front, on which site.
-    pub words: Vec<(f64, usize, usize, SiteRecord)>,
-    /// What was done to the fleet, and when.
+    /// Times at which queries arrived at name servers.
+    pub dns_queries: Vec<f64>,
+    /// Decisions on servers: time, front, server, whether the server is in service from then on.
+    pub status_changes: Vec<(f64, usize, usize, bool)>,
+    /// Changed records of sites: time, front, site, new record.
+    pub site_records: Vec<(f64, usize, usize, SiteRecord)>,
+    /// All actions of the lab, with their times.
     pub actions: Vec<(f64, Action)>,
 }
 
-/// From then on a front that is deaf to drains takes no answer of name servers.
-const DEAF_FROM: f64 = 4.0;
+/// Time from which a front with `Planted::IgnoresDrains` discards replies of name servers, seconds; before it
+/// the front learns of the servers.
+const IGNORES_DNS_FROM: f64 = 4.0;
 
-/// A fault planted into every front of a run, to see the checker find it.
+/// A fault planted into every front of a run, to test that the checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planted {
     /// Rule 1: a second final answer follows the first.
@@ -130,15 +74,15 @@
     NoRefusal,
     /// Rule 2: every set-up goes to two servers.
     TwoTries,
-    /// Rule 3: news of a drain is read as 'ready'.
-    DeafToDrains,
-    /// Rule 4: starts are taken for long ago, and servers for idle.
-    BlindToCold,
-    /// Rule 5: no guard.
+    /// Rule 3: reports that a server drains or has gone are read as 'ready'.
+    IgnoresDrains,
+    /// Rule 4: pools are picked at random, without regard to cold servers.
+    IgnoresCold,
+    /// Rule 5: the release guard is 0.
     NoGuard,
 }
 
-/// How the fronts of a run are made.
+/// How the fronts of a run are configured.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
     pub variant: Variant,
@@ -151,12 +95,14 @@
     }
 }
 
-struct World<'a> {
+/// State of a run.
+struct Simulation<'a> {
     scenario: &'a Scenario,
     now: f64,
-    events: Timers<Happening>,
+    events: Timers<SimEvent>,
     hosts: Vec<Host>,
     servers: Vec<Server>,
+    /// Times of the next scheduled turns of the servers; likewise for callers, feed and fleet.
     server_wake: Vec<f64>,
     callers: Vec<Callers>,
     caller_wake: Vec<f64>,
@@ -165,44 +111,47 @@
     zone: Zone,
     trace: Trace,
     actions: Vec<(f64, Action)>,
+    /// Server by its address.
     by_address: HashMap<SocketAddr, usize>,
-    /// Connection number at its server to the front's link, and back.
+    /// Connection number to front, its incarnation, its link and the server.
     connections: BTreeMap<u64, (usize, u64, LinkId, usize)>,
+    /// The reverse: front, its incarnation and its link to the connection number.
     by_link: HashMap<(usize, u64, LinkId), u64>,
     next_connection: u64,
     rng: ChaCha8Rng,
     setup: Setup,
-    country: Option<Country>,
+    /// None where no decisions on sites are made.
+    fleet_sites: Option<FleetSites>,
     fleet_wake: Vec<f64>,
-    words: Vec<(f64, usize, usize, SiteRecord)>,
+    site_records: Vec<(f64, usize, usize, SiteRecord)>,
     levels: Vec<(f64, usize, usize, usize)>,
-    verdicts: Vec<(f64, usize, usize, bool)>,
+    status_changes: Vec<(f64, usize, usize, bool)>,
 }
 
 fn server_address(server: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, 0, 1], 6000 + server as u16))
 }
 
-fn name_server(place: usize) -> SocketAddr {
-    SocketAddr::from(([127, 3, 0, 1], 53 + place as u16))
+fn name_server(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 3, 0, 1], 53 + index as u16))
 }
 
 /// Runs a scenario under virtual time.
 pub fn run(scenario: &Scenario, seed: u64, setup: &Setup) -> Run {
-    let mut world = World::new(scenario, seed, *setup);
+    let mut simulation = Simulation::new(scenario, seed, *setup);
     let end = scenario.seconds + 45.0;
-    while world.events.next() <= end {
-        let at = world.events.next();
-        world.now = at.max(world.now);
-        if let Some(happening) = world.events.pop(world.now) {
-            world.happen(happening);
+    while simulation.events.next() <= end {
+        let at = simulation.events.next();
+        simulation.now = at.max(simulation.now);
+        if let Some(event) = simulation.events.pop(simulation.now) {
+            simulation.handle(event);
         }
     }
-    world.finish(seed)
+    simulation.finish(seed)
 }
 
-impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, seed: u64, setup: Setup) -> World<'a> {
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario, seed: u64, setup: Setup) -> Simulation<'a> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let fronts = scenario.fleet.fronts;
         let names: HashMap<String, usize> = (0..fronts).map(|f| (front_host(f), f)).collect();
@@ -228,7 +177,7 @@
             Callers::new(f, host, front_host(f), scenario.caller(), rate, rng.random(), 1.0, scenario.seconds)
         });
         let callers: Vec<Callers> = callers.collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             scenario,
             now: 0.0,
             events: Timers::default(),
@@ -248,32 +197,32 @@
             next_connection: 0,
             rng,
             setup,
-            country: Country::new(scenario).filter(|_| setup.variant != Variant::WithoutPlan),
+            fleet_sites: FleetSites::new(scenario).filter(|_| setup.variant != Variant::WithoutPlan),
             fleet_wake: vec![f64::INFINITY; fronts],
-            words: Vec::new(),
+            site_records: Vec::new(),
             levels: Vec::new(),
-            verdicts: Vec::new(),
+            status_changes: Vec::new(),
         };
         for front in 0..fronts {
-            world.hosts.push(Host { front: None, life: 0, stopped: None, wake: f64::INFINITY });
-            world.front_starts(front);
+            simulation.hosts.push(Host { front: None, incarnation: 0, paused: None, wake: f64::INFINITY });
+            simulation.start_front(front);
         }
-        for place in 0..world.actions.len() {
-            world.events.set(world.actions[place].0, Happening::Do(place));
+        for index in 0..simulation.actions.len() {
+            simulation.events.set(simulation.actions[index].0, SimEvent::Act(index));
         }
         for front in 0..fronts {
-            world.callers_wake(front);
+            simulation.schedule_callers(front);
         }
-        world
+        simulation
     }
 
-    fn front_starts(&mut self, front: usize) {
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
+    fn start_front(&mut self, front: usize) {
+        let unused = SocketAddr::from(([127, 0, 0, 1], 1));
         let count = self.scenario.dns.as_ref().map_or(0, |d| d.name_servers);
         let names: Vec<SocketAddr> = (0..count).map(name_server).collect();
-        let mut settings = self.scenario.settings(nowhere, nowhere, &names, MARGIN);
+        let mut settings = self.scenario.settings(unused, unused, &names, MARGIN);
         settings.levels.on &= matches!(self.setup.variant, Variant::Module | Variant::WithoutPlan);
-        if self.country.is_none() {
+        if self.fleet_sites.is_none() {
             settings.sites.clear();
         }
         let mut params = settings.front_params();
@@ -285,204 +234,227 @@
         let seed = self.rng.random();
         let pick = match self.setup.variant {
             Variant::Baseline(pick) => Some(pick),
-            _ => (planted == Some(Planted::BlindToCold)).then_some(Pick::Random),
+            _ => (planted == Some(Planted::IgnoresCold)).then_some(Pick::Random),
         };
-        let made = if let Some(pick) = pick {
+        let new = if let Some(pick) = pick {
             let router = Baseline::new(pick, seed, params.deployment.clone());
             Front::with_router(params, seed, Box::new(router), self.now)
         } else {
             Front::new(params, seed, self.now)
         };
         let host = &mut self.hosts[front];
-        host.life += 1;
-        host.front = Some(Box::new(made));
-        host.stopped = None;
+        host.incarnation += 1;
+        host.front = Some(Box::new(new));
+        host.paused = None;
         host.wake = f64::INFINITY;
-        let life = host.life;
+        let incarnation = host.incarnation;
         self.trace.add(self.now, Seen::FrontUp { front });
-        if let Some(country) = &mut self.country {
-            country.start(self.now, front);
+        if let Some(fleet_sites) = &mut self.fleet_sites {
+            fleet_sites.start(self.now, front);
         }
-        self.fleet_wake(front);
-        self.events.set(self.now, Happening::ToFront { front, life, what: FrontNews::FeedUp });
+        self.schedule_fleet(front);
+        self.events.set(self.now, SimEvent::ToFront { front, incarnation, what: FrontInput::FeedUp });
         self.feed.connected(self.now, front);
-        self.feed_out();
+        self.send_feed();
     }
 
-    fn front_killed(&mut self, front: usize) {
-        let life = self.hosts[front].life;
+    fn kill_front(&mut self, front: usize) {
+        let incarnation = self.hosts[front].incarnation;
         self.hosts[front].front = None;
-        self.hosts[front].stopped = None;
-        if let Some(country) = &mut self.country {
-            country.kill(front);
+        self.hosts[front].paused = None;
+        if let Some(fleet_sites) = &mut self.fleet_sites {
+            fleet_sites.kill(front);
         }
         self.feed.closed(front);
         self.trace.add(self.now, Seen::FrontKilled { front });
-        let lost: Vec<u64> =
-            self.connections.iter().filter(|(_, c)| c.0 == front && c.1 == life).map(|(k, _)| *k).collect();
+        let lost: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.0 == front && c.1 == incarnation)
+            .map(|(k, _)| *k)
+            .collect();
         for connection in lost {
             self.drop_connection(connection, false);
         }
     }
 
-    /// The front's side went first (`server_first` false) or the server's.
+    /// Closes a connection, from the server's side (`server_first`) or the front's; the other side is
+    /// notified after the link's delay.
     fn drop_connection(&mut self, connection: u64, server_first: bool) {
-        let Some((front, life, id, server)) = self.connections.remove(&connection) else { return };
-        self.by_link.remove(&(front, life, id));
+        let Some((front, incarnation, id, server)) = self.connections.remove(&connection) else { return };
+        self.by_link.remove(&(front, incarnation, id));
         let at = self.now + self.scenario.fleet.link_delay;
         if server_first {
-            self.events.set(at, Happening::ToFront { front, life, what: FrontNews::Lost(id) });
+            self.events.set(at, SimEvent::ToFront { front, incarnation, what: FrontInput::Lost(id) });
         } else {
-            self.events.set(at, Happening::ServerLost { server, connection });
+            self.events.set(at, SimEvent::ServerLost { server, connection });
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn handle(&mut self, event: SimEvent) {
         let now = self.now;
-        match happening {
-            Happening::ToFront { front, life, what } => {
-                if self.hosts[front].life != life {
+        match event {
+            SimEvent::ToFront { front, incarnation, what } => {
+                if self.hosts[front].incarnation != incarnation {
                     return;
                 }
-                if let Some(kept) = &mut self.hosts[front].stopped {
-                    kept.push_back((now, what));
+                if let Some(queue) = &mut self.hosts[front].paused {
+                    queue.push_back((now, what));
                     return;
                 }
-                self.tell_front(front, now, &what);
-                self.front_turn(front);
+                self.deliver(front, now, &what);
+                self.run_front(front);
             }
-            Happening::Front(front) => {
-                if self.hosts[front].wake <= now && self.hosts[front].stopped.is_none() {
+            SimEvent::Front(front) => {
+                if self.hosts[front].wake <= now && self.hosts[front].paused.is_none() {
                     self.hosts[front].wake = f64::INFINITY;
-                    self.front_turn(front);
+                    self.run_front(front);
                 }
             }
-            Happening::ServerConnect { server, connection } => {
+            SimEvent::ServerConnect { server, connection } => {
                 if self.connections.contains_key(&connection) {
                     self.servers[server].connected(connection);
-                    self.server_turn(server);
+                    self.run_server(server);
                 }
             }
-            Happening::ToServer { server, connection, bytes } => {
+            SimEvent::ToServer { server, connection, bytes } => {
                 self.servers[server].bytes(now, connection, &bytes);
-                self.server_turn(server);
+                self.run_server(server);
             }
-            Happening::ServerLost { server, connection } => {
+            SimEvent::ServerLost { server, connection } => {
                 self.servers[server].closed(now, connection);
-                self.server_turn(server);
+                self.run_server(server);
             }
-            Happening::Server(server) => {
+            SimEvent::Server(server) => {
                 if self.server_wake[server] <= now {
                     self.server_wake[server] = f64::INFINITY;
-                    self.server_turn(server);
+                    self.run_server(server);
                 }
             }
-            Happening::ToCallers { front, bytes } => {
+            SimEvent::ToCallers { front, bytes } => {
                 self.callers[front].datagram(now, &bytes);
-                self.callers_turn(front);
+                self.run_callers(front);
             }
-            Happening::Callers(front) => {
+            SimEvent::Callers(front) => {
                 if self.caller_wake[front] <= now {
                     self.caller_wake[front] = f64::INFINITY;
-                    self.callers_turn(front);
+                    self.run_callers(front);
                 }
             }
-            Happening::Feed => {
+            SimEvent::Feed => {
                 self.feed_wake = f64::INFINITY;
                 self.feed.tick(now);
-                self.feed_out();
+                self.send_feed();
             }
-            Happening::NameAsk { front, life, ticket, place, tcp, question } => {
-                self.name_asked(front, life, ticket, place, tcp, &question);
+            SimEvent::DnsQuery { front, incarnation, ticket, index, tcp, question } => {
+                self.query_name_server(front, incarnation, ticket, index, tcp, &question);
             }
-            Happening::Fleet(front) => {
-                if self.fleet_wake[front] <= now && self.hosts[front].stopped.is_none() {
+            SimEvent::Fleet(front) => {
+                if self.fleet_wake[front] <= now && self.hosts[front].paused.is_none() {
                     self.fleet_wake[front] = f64::INFINITY;
-                    self.fleet_turn(front);
+                    self.run_fleet(front);
                 }
             }
-            Happening::FleetFrame { front, life, frame } => {
-                let here = self.hosts[front].life == life && self.hosts[front].stopped.is_none();
-                if let Some(country) = self.country.as_mut().filter(|_| here) {
-                    country.heard(now, front, frame);
-                    self.fleet_wake(front);
+            SimEvent::FleetFrame { front, incarnation, frame } => {
+                let running =
+                    self.hosts[front].incarnation == incarnation && self.hosts[front].paused.is_none();
+                if let Some(fleet_sites) = self.fleet_sites.as_mut().filter(|_| running) {
+                    fleet_sites.receive(now, front, frame);
+                    self.schedule_fleet(front);
                 }
             }
-            Happening::Do(place) => {
-                let action = self.actions[place].1.clone();
+            SimEvent::Act(index) => {
+                let action = self.actions[index].1.clone();
                 self.act(action);
             }
         }
     }
 
-    fn fleet_wake(&mut self, front: usize) {
-        let due = self.country.as_ref().map_or(f64::INFINITY, |country| country.due(front)).max(self.now);
-        if due < self.fleet_wake[front] {
-            self.fleet_wake[front] = due;
-            self.events.set(due, Happening::Fleet(front));
+    fn schedule_fleet(&mut self, front: usize) {
+        let deadline = self
+            .fleet_sites
+            .as_ref()
+            .map_or(f64::INFINITY, |fleet_sites| fleet_sites.next_deadline(front))
+            .max(self.now);
+        if deadline < self.fleet_wake[front] {
+            self.fleet_wake[front] = deadline;
+            self.events.set(deadline, SimEvent::Fleet(front));
         }
     }
 
-    /// A front's turn in the fleet: what it tells others, and what the fleet's word leaves it.
-    fn fleet_turn(&mut self, front: usize) {
+    /// A turn of the front's peer and site state: sends its frames, and applies the restrictions that follow
+    /// from the records of sites.
+    fn run_fleet(&mut self, front: usize) {
         let now = self.now;
-        let Some(country) = &mut self.country else { return };
-        for given in country.turn(now, front) {
-            match given {
-                Given::Frame { to, frame } => {
-                    let (at, life) = (now + self.scenario.fleet.link_delay, self.hosts[to].life);
-                    self.events.set(at, Happening::FleetFrame { front: to, life, frame });
+        let Some(fleet_sites) = &mut self.fleet_sites else { return };
+        for output in fleet_sites.turn(now, front) {
+            match output {
+                FleetOutput::Frame { to, frame } => {
+                    let (at, incarnation) =
+                        (now + self.scenario.fleet.link_delay, self.hosts[to].incarnation);
+                    self.events.set(at, SimEvent::FleetFrame { front: to, incarnation, frame });
                 }
-                Given::Narrow(narrowing) => {
-                    if let Some(made) = &mut self.hosts[front].front {
-                        made.take(now, now, Input::SiteRestriction(narrowing));
+                FleetOutput::Restrict(restrictions) => {
+                    if let Some(running) = &mut self.hosts[front].front {
+                        running.take(now, now, Input::SiteRestriction(restrictions));
                     }
                 }
-                Given::Word { site, word } => self.words.push((now, front, site, word)),
+                FleetOutput::RecordChanged { site, record } => {
+                    self.site_records.push((now, front, site, record))
+                }
             }
         }
-        self.front_turn(front);
-        self.fleet_wake(front);
+        self.run_front(front);
+        self.schedule_fleet(front);
     }
 
+    /// Executes an action of the lab.
     fn act(&mut self, action: Action) {
         let now = self.now;
         match action {
-            Action::ServerStops(s) => {
+            Action::StopServer(s) => {
                 self.servers[s].stop(now);
-                self.server_turn(s);
+                self.run_server(s);
             }
-            Action::ServerStarts(s) => {
+            Action::StartServer(s) => {
                 self.servers[s].start(now, true);
-                self.server_turn(s);
+                self.run_server(s);
             }
             Action::List { server, state, anew } => {
                 self.feed.change(now, server, state, anew);
-                self.feed_out();
+                self.send_feed();
             }
             Action::Slow(s, factor) => self.servers[s].slow(factor),
             Action::Silent(s, on) => self.servers[s].faults.silent = on,
             Action::Hung(s, on) => self.servers[s].faults.hung = on,
             Action::AnswersLost(s, share) => self.servers[s].faults.answers_lost = share,
             Action::ListDelay(delay) => self.feed.delay = delay,
-            Action::Published(s, there) => self.zone.publish(s, there),
-            Action::NameServer(place, script) => self.zone.script(place, script),
+            Action::Publish(s, present) => self.zone.publish(s, present),
+            Action::NameServer(index, script) => self.zone.script(index, script),
             Action::FeedSilent(silent) => self.feed_silent(silent),
-            Action::FrontKilled(f) => self.front_killed(f),
-            Action::FrontStarts(f) => self.front_starts(f),
-            Action::FrontStops(f) => {
+            Action::KillFront(f) => self.kill_front(f),
+            Action::StartFront(f) => self.start_front(f),
+            Action::PauseFront(f) => {
                 self.trace.add(now, Seen::FrontStopped { front: f });
-                self.hosts[f].stopped.get_or_insert_default();
+                self.hosts[f].paused.get_or_insert_default();
             }
-            Action::FrontGoesOn(f) => self.goes_on(f),
+            Action::ResumeFront(f) => self.resume_front(f),
             Action::Burst(size) => self.callers.iter_mut().for_each(|c| c.faults.burst = size),
             Action::GiveUp(size) => self.callers.iter_mut().for_each(|c| c.faults.give_up = size),
             Action::Abuse(tenant) => self.callers.iter_mut().for_each(|c| c.faults.abuse = tenant),
         }
     }
 
-    fn name_asked(&mut self, front: usize, life: u64, ticket: u64, place: usize, tcp: bool, question: &[u8]) {
-        let (replies, named) = self.zone.ask(place, self.now, question, tcp);
+    fn query_name_server(
+        &mut self,
+        front: usize,
+        incarnation: u64,
+        ticket: u64,
+        index: usize,
+        tcp: bool,
+        question: &[u8],
+    ) {
+        let (replies, named) = self.zone.ask(index, self.now, question, tcp);
         if let Some(servers) = named {
             self.trace.add(self.now, Seen::Named { front, servers });
         }
@@ -492,91 +464,96 @@
                 bytes.splice(0..0, (bytes.len() as u16).to_be_bytes());
             }
             let at = self.now + self.scenario.fleet.link_delay + reply.after;
-            let what = FrontNews::Name { ticket, place, tcp, bytes };
-            self.events.set(at, Happening::ToFront { front, life, what });
+            let what = FrontInput::DnsReply { ticket, index, tcp, bytes };
+            self.events.set(at, SimEvent::ToFront { front, incarnation, what });
         }
     }
 
     fn feed_silent(&mut self, silent: bool) {
         self.feed.silence(silent);
         for front in (0..self.hosts.len()).filter(|_| !silent) {
-            let life = self.hosts[front].life;
-            self.events.set(self.now, Happening::ToFront { front, life, what: FrontNews::FeedUp });
+            let incarnation = self.hosts[front].incarnation;
+            self.events.set(self.now, SimEvent::ToFront { front, incarnation, what: FrontInput::FeedUp });
             self.feed.connected(self.now, front);
         }
-        self.feed_out();
+        self.send_feed();
     }
 
-    fn server_turn(&mut self, s: usize) {
+    /// Lets a server do its due work and delivers its output.
+    fn run_server(&mut self, s: usize) {
         let now = self.now;
         self.servers[s].tick(now);
         while let Some(out) = self.servers[s].next_output() {
             match out {
                 ServerOut::Bytes { connection, bytes } => {
-                    if let Some(&(front, life, id, _)) = self.connections.get(&connection) {
+                    if let Some(&(front, incarnation, id, _)) = self.connections.get(&connection) {
                         let at = now + self.scenario.fleet.link_delay;
-                        let what = FrontNews::Bytes(id, bytes);
-                        self.events.set(at, Happening::ToFront { front, life, what });
+                        let what = FrontInput::Bytes(id, bytes);
+                        self.events.set(at, SimEvent::ToFront { front, incarnation, what });
                     }
                 }
                 ServerOut::Close { connection } => self.drop_connection(connection, true),
             }
         }
         self.trace.extend(self.servers[s].take_seen());
-        let due = self.servers[s].due();
-        if due < self.server_wake[s] {
-            self.server_wake[s] = due;
-            self.events.set(due, Happening::Server(s));
+        let at = self.servers[s].due();
+        if at < self.server_wake[s] {
+            self.server_wake[s] = at;
+            self.events.set(at, SimEvent::Server(s));
         }
     }
 
-    fn callers_turn(&mut self, front: usize) {
+    /// Lets a front's callers do their due work and delivers their datagrams.
+    fn run_callers(&mut self, front: usize) {
         let now = self.now;
         self.callers[front].tick(now);
         while let Some(bytes) = self.callers[front].next_output() {
-            let life = self.hosts[front].life;
+            let incarnation = self.hosts[front].incarnation;
             if self.hosts[front].front.is_some() {
-                self.events.set(now, Happening::ToFront { front, life, what: FrontNews::Datagram(bytes) });
+                self.events
+                    .set(now, SimEvent::ToFront { front, incarnation, what: FrontInput::Datagram(bytes) });
             }
         }
         self.trace.extend(self.callers[front].take_seen());
-        self.callers_wake(front);
+        self.schedule_callers(front);
     }
 
-    fn callers_wake(&mut self, front: usize) {
-        let due = self.callers[front].due();
-        if due < self.caller_wake[front] {
-            self.caller_wake[front] = due;
-            self.events.set(due, Happening::Callers(front));
+    fn schedule_callers(&mut self, front: usize) {
+        let at = self.callers[front].due();
+        if at < self.caller_wake[front] {
+            self.caller_wake[front] = at;
+            self.events.set(at, SimEvent::Callers(front));
         }
     }
 
-    fn feed_out(&mut self) {
+    /// Delivers the output of the pool list.
+    fn send_feed(&mut self) {
         while let Some(out) = self.feed.next_output() {
             let front = out.front;
             if let Some(host) = self.hosts.get(front) {
-                let life = host.life;
+                let incarnation = host.incarnation;
                 let what = match out.line {
-                    Some(line) => FrontNews::Feed(line),
+                    Some(line) => FrontInput::Feed(line),
                     None => {
                         self.feed.closed(front);
-                        FrontNews::FeedLost
+                        FrontInput::FeedLost
                     }
                 };
-                self.events.set(self.now, Happening::ToFront { front, life, what });
+                self.events.set(self.now, SimEvent::ToFront { front, incarnation, what });
             }
         }
         self.trace.extend(self.feed.take_seen());
-        let due = self.feed.due();
-        if due < self.feed_wake {
-            self.feed_wake = due;
-            self.events.set(due, Happening::Feed);
+        let at = self.feed.due();
+        if at < self.feed_wake {
+            self.feed_wake = at;
+            self.events.set(at, SimEvent::Feed);
         }
     }
 
+    /// Checks the trace and collects the results.
     fn finish(self, seed: u64) -> Run {
         let entries = self.trace.sorted();
-        // Under virtual time nothing is held up but by the links themselves.
+        // Under virtual time only the links delay a message.
         let figures = self.scenario.figures(2.0 * self.scenario.fleet.link_delay + 0.001);
         let verdict = check(&entries, &figures);
         let callers: Vec<&Callers> = self.callers.iter().collect();
@@ -586,9 +563,9 @@
             levels: self.levels,
             lasted: self.now,
             trace: self.trace,
-            asked: self.zone.asked(),
-            verdicts: self.verdicts,
-            words: self.words,
+            dns_queries: self.zone.asked(),
+            status_changes: self.status_changes,
+            site_records: self.site_records,
             actions: self.actions,
         }
     }
--- a/crates/lab/src/walk.rs
+++ b/crates/lab/src/walk.rs
@@ -1,95 +1,103 @@
-//! Every sequence of what can happen to two sources, to a stated depth, through the membership module's own
-//! code, with invariants checked after each event against an account of its own.
+//! Exhaustive model test of the membership module: runs every sequence of events of its two sources up to a
+//! given depth, and checks invariants after each event against a simple model of the sources.
 
 use shalespindle_membership::{
     DnsRecord, ListEntry, LookupResult, Membership, MembershipParams, ReportedState, ServiceStatus,
 };
 use std::net::SocketAddr;
 
-/// Servers in the walk.
+/// Number of servers.
 const SERVERS: usize = 2;
 
-/// What can happen.
+/// An event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The list tells a server's state; `anew`: of a processor that has just started.
+    /// The pool list reports a server's state; `anew`: of a restarted processor.
     Listed {
         server: usize,
-        told: ReportedState,
+        state: ReportedState,
         anew: bool,
     },
-    /// The list tells all that it knows again, as after a reconnect.
-    Whole,
+    /// The pool list sends its whole contents, as after a reconnect.
+    FullList,
     FeedLost,
-    /// DNS names these servers, by bit; none: an empty answer.
-    Named(u8),
-    LookUpFails,
-    /// Time passes: a moment, longer than a drain, longer than any stale time.
-    Passes(u32),
+    /// A DNS answer names these servers, one bit each; 0: an empty answer.
+    DnsAnswer(u8),
+    LookupFailed,
+    /// So many seconds pass.
+    TimePasses(u32),
 }
 
-/// All steps, in order.
+/// All events, in the order in which they are tried.
 pub fn steps() -> Vec<Step> {
     let mut all = Vec::new();
     for server in 0..SERVERS {
-        all.push(Step::Listed { server, told: ReportedState::Ready, anew: false });
-        all.push(Step::Listed { server, told: ReportedState::Ready, anew: true });
-        all.push(Step::Listed { server, told: ReportedState::Draining, anew: false });
-        all.push(Step::Listed { server, told: ReportedState::Gone, anew: false });
+        all.push(Step::Listed { server, state: ReportedState::Ready, anew: false });
+        all.push(Step::Listed { server, state: ReportedState::Ready, anew: true });
+        all.push(Step::Listed { server, state: ReportedState::Draining, anew: false });
+        all.push(Step::Listed { server, state: ReportedState::Gone, anew: false });
     }
-    all.extend([Step::Whole, Step::FeedLost, Step::LookUpFails]);
-    all.extend((0..1 << SERVERS).map(Step::Named));
-    all.extend([1, 11, 200].map(Step::Passes));
+    all.extend([Step::FullList, Step::FeedLost, Step::LookupFailed]);
+    all.extend((0..1 << SERVERS).map(Step::DnsAnswer));
+    // A moment; longer than the hold of a withdrawal; longer than any record may be stale.
+    all.extend([1, 11, 200].map(Step::TimePasses));
     all
 }
 
-/// A fault planted into the walk, to see each invariant fail.
+/// A fault planted into the test, to check that the invariants detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The module holds no drain against the other source.
+    /// A withdrawal by one source is not held against the other source.
     NoHold,
-    /// The module is told of a drain that nobody ordered.
+    /// The module receives a drain that the model does not have.
     FalseDrain,
-    /// Its changes are not passed on.
-    Deaf,
+    /// Changes are not passed on to the router.
+    DropsChanges,
 }
 
-/// An invariant that did not hold.
+/// A violated invariant, and the events that lead to it.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     pub what: String,
     pub path: Vec<Step>,
 }
 
-/// What a walk came to.
+/// Results of a walk.
 #[derive(Clone, Debug, Default)]
-pub struct Walked {
+pub struct WalkResult {
+    /// Number of states checked.
     pub states: u64,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
 }
 
-/// What the walker itself knows of one server.
+/// The model of one server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Account {
+struct ServerModel {
+    /// State in the pool list, and since when.
     listed: Option<(ReportedState, f64)>,
     incarnation: u64,
-    /// Last named by DNS, and left out by a later answer.
+    /// Time of the last DNS answer that names it.
     named: Option<f64>,
+    /// Time of the first DNS answer after that which does not name it.
     left_out: Option<f64>,
 }
 
+/// The module under test and the model.
 #[derive(Clone)]
-struct World {
+struct WalkState {
     now: f64,
     members: Membership,
-    accounts: [Account; SERVERS],
-    feed_away: Option<f64>,
+    servers: [ServerModel; SERVERS],
+    /// Time since which the pool list is disconnected.
+    feed_lost_at: Option<f64>,
+    /// Time since which DNS answers are empty.
     empty_since: Option<f64>,
-    /// What the router was told, by pulled changes alone.
-    told: [ServiceStatus; SERVERS],
+    /// Status of each server as the router knows it, from the changes pulled so far.
+    router_status: [ServiceStatus; SERVERS],
 }
 
-const LIFETIME: f64 = 60.0;
+/// Lifetime of DNS records, seconds.
+const RECORD_LIFETIME: f64 = 60.0;
 
 fn params() -> MembershipParams {
     MembershipParams::short(16)
@@ -99,101 +107,107 @@
     SocketAddr::from(([127, 0, 0, 1], server as u16 + 1))
 }
 
-impl World {
-    fn new(fault: Option<Fault>) -> World {
+impl WalkState {
+    fn new(fault: Option<Fault>) -> WalkState {
         let mut params = params();
         if fault == Some(Fault::NoHold) {
             params.withdrawal_hold = 0.0;
         }
-        World {
+        WalkState {
             now: 1.0,
             members: Membership::new(params, 1.0),
-            accounts: [Account::default(); SERVERS],
-            feed_away: Some(1.0),
+            servers: [ServerModel::default(); SERVERS],
+            feed_lost_at: Some(1.0),
             empty_since: None,
-            told: [ServiceStatus::Out; SERVERS],
+            router_status: [ServiceStatus::Out; SERVERS],
         }
     }
 
-    fn listed(&self, server: usize, told: ReportedState) -> ListEntry {
-        let account = self.accounts[server];
+    fn list_entry(&self, server: usize, state: ReportedState) -> ListEntry {
+        let model = self.servers[server];
         ListEntry {
             address: address(server),
             pool: server as u16,
-            state: told,
-            incarnation: account.incarnation,
-            started: account.incarnation as f64,
+            state,
+            incarnation: model.incarnation,
+            started: model.incarnation as f64,
         }
     }
 
     fn step(&mut self, step: Step, fault: Option<Fault>) {
-        // Nothing happens at the very same moment.
+        // No two events have the same time.
         self.now += 0.01;
         let now = self.now;
         match step {
-            Step::Listed { server, told, anew } => {
-                self.feed_away = None;
-                let account = &mut self.accounts[server];
-                account.incarnation += u64::from(anew);
-                let since = account.listed.filter(|l| l.0 == told && !anew).map_or(now, |l| l.1);
-                account.listed = Some((told, since));
-                let line = self.listed(server, told);
+            Step::Listed { server, state, anew } => {
+                self.feed_lost_at = None;
+                let model = &mut self.servers[server];
+                model.incarnation += u64::from(anew);
+                let since = model.listed.filter(|l| l.0 == state && !anew).map_or(now, |l| l.1);
+                model.listed = Some((state, since));
+                let line = self.list_entry(server, state);
                 self.members.apply_list(now, false, &[line]);
-                if fault == Some(Fault::FalseDrain) && told == ReportedState::Ready {
-                    let line = self.listed(server, ReportedState::Draining);
+                if fault == Some(Fault::FalseDrain) && state == ReportedState::Ready {
+                    let line = self.list_entry(server, ReportedState::Draining);
                     self.members.apply_list(now, false, &[line]);
                 }
             }
-            Step::Whole => {
-                self.feed_away = None;
-                let known =
-                    |s: &usize| matches!(self.accounts[*s].listed, Some((t, _)) if t != ReportedState::Gone);
+            Step::FullList => {
+                self.feed_lost_at = None;
+                let known = |s: &usize| {
+                    self.servers[*s].listed.is_some_and(|(state, _)| state != ReportedState::Gone)
+                };
                 let all: Vec<usize> = (0..SERVERS).filter(known).collect();
-                let told = |s: usize| self.accounts[s].listed.map_or(ReportedState::Gone, |l| l.0);
-                let lines: Vec<ListEntry> = all.iter().map(|s| self.listed(*s, told(*s))).collect();
+                let state = |s: usize| self.servers[s].listed.map_or(ReportedState::Gone, |l| l.0);
+                let lines: Vec<ListEntry> = all.iter().map(|s| self.list_entry(*s, state(*s))).collect();
                 self.members.apply_list(now, true, &lines);
             }
             Step::FeedLost => {
-                self.feed_away.get_or_insert(now);
+                self.feed_lost_at.get_or_insert(now);
                 self.members.feed_lost(now);
             }
-            Step::Named(0) => {
+            Step::DnsAnswer(0) => {
                 self.empty_since.get_or_insert(now);
                 self.members.apply_lookup(now, 0, &LookupResult::Empty);
             }
-            Step::Named(which) => self.named(which),
-            Step::LookUpFails => self.members.apply_lookup(now, 0, &LookupResult::Failed),
-            Step::Passes(seconds) => self.pass(f64::from(seconds)),
+            Step::DnsAnswer(servers) => self.dns_answer(servers),
+            Step::LookupFailed => self.members.apply_lookup(now, 0, &LookupResult::Failed),
+            Step::TimePasses(seconds) => self.pass(f64::from(seconds)),
         }
         self.members.evaluate(self.now);
-        if fault != Some(Fault::Deaf) {
+        if fault != Some(Fault::DropsChanges) {
             self.pull();
         }
     }
 
-    fn named(&mut self, which: u8) {
+    /// A DNS answer with at least one server.
+    fn dns_answer(&mut self, servers: u8) {
         let (now, stale) = (self.now, params().max_stale);
         self.empty_since = None;
         let mut found = Vec::new();
-        for (server, account) in self.accounts.iter_mut().enumerate() {
-            if which >> server & 1 == 1 {
-                (account.named, account.left_out) = (Some(now), None);
+        for (server, model) in self.servers.iter_mut().enumerate() {
+            if servers >> server & 1 == 1 {
+                (model.named, model.left_out) = (Some(now), None);
                 found.push(DnsRecord {
                     address: address(server),
                     pool: server as u16,
                     priority: 1,
                     weight: 1,
                 });
-            } else if account.left_out.is_none() {
-                // A word that lapsed long ago is not withdrawn now.
-                account.named = account.named.filter(|at| now < at + LIFETIME + stale);
-                account.left_out = account.named.map(|_| now);
+            } else if model.left_out.is_none() {
+                // A record that expired beyond its stale time can no longer be withdrawn.
+                model.named = model.named.filter(|at| now < at + RECORD_LIFETIME + stale);
+                model.left_out = model.named.map(|_| now);
             }
         }
-        self.members.apply_lookup(now, 0, &LookupResult::Servers { records: found, lifetime: LIFETIME });
+        self.members.apply_lookup(
+            now,
+            0,
+            &LookupResult::Servers { records: found, lifetime: RECORD_LIFETIME },
+        );
     }
 
-    /// As a host does: wakes when the module asks to be woken.
+    /// Lets time pass, and calls the module at each of its deadlines, as a front does.
     fn pass(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.members.next_deadline(self.now) < end {
@@ -204,83 +218,90 @@
         self.now = end;
     }
 
+    /// Passes the module's changes to the router.
     fn pull(&mut self) {
         while let Some(change) = self.members.next_change() {
-            self.told[change.address.port() as usize - 1] = change.status;
+            self.router_status[change.address.port() as usize - 1] = change.status;
         }
     }
 
-    /// What must always hold, from the walker's own account.
-    fn broken(&mut self) -> Option<String> {
+    /// Returns the first violated invariant.
+    fn violation(&mut self) -> Option<String> {
         let (now, params) = (self.now, params());
-        let silent = self.feed_away.is_some_and(|at| now >= at + params.list_timeout);
-        let mut lives = false;
-        for (server, account) in self.accounts.iter().enumerate() {
-            let told_in = self.told[server] == ServiceStatus::In;
-            let withdrawn = account.left_out.is_some_and(|at| now < at + params.withdrawal_hold);
-            let list_took = account.listed.is_some_and(|(told, since)| {
-                let again = account.named.filter(|_| account.left_out.is_none());
-                told != ReportedState::Ready
-                    && !(silent && again.is_some_and(|at| at >= since + params.withdrawal_hold))
+        let list_timed_out = self.feed_lost_at.is_some_and(|at| now >= at + params.list_timeout);
+        let mut any_available = false;
+        for (server, model) in self.servers.iter().enumerate() {
+            let in_service = self.router_status[server] == ServiceStatus::In;
+            let withdrawn = model.left_out.is_some_and(|at| now < at + params.withdrawal_hold);
+            let removed_by_list = model.listed.is_some_and(|(state, since)| {
+                let named_again_at = model.named.filter(|_| model.left_out.is_none());
+                state != ReportedState::Ready
+                    && !(list_timed_out
+                        && named_again_at.is_some_and(|at| at >= since + params.withdrawal_hold))
             });
-            if told_in && (withdrawn || list_took) {
+            if in_service && (withdrawn || removed_by_list) {
                 return Some(format!("server {server} is in service although a source took it out"));
             }
-            let ready =
-                account.listed.is_some_and(|l| l.0 == ReportedState::Ready) && account.left_out.is_none();
-            let by_dns = account.listed.is_none()
-                && account.left_out.is_none()
+            let ready = model.listed.is_some_and(|l| l.0 == ReportedState::Ready) && model.left_out.is_none();
+            let by_dns = model.listed.is_none()
+                && model.left_out.is_none()
                 && self.empty_since.is_none()
-                && account.named.is_some_and(|at| now < at + LIFETIME);
-            lives |= ready || by_dns;
+                && model.named.is_some_and(|at| now < at + RECORD_LIFETIME);
+            any_available |= ready || by_dns;
         }
-        if lives && !self.told.contains(&ServiceStatus::In) {
+        if any_available && !self.router_status.contains(&ServiceStatus::In) {
             return Some("no server is in service although one is known to live".into());
         }
         for member in self.members.members() {
             let server = member.address().port() as usize - 1;
-            if member.status() != self.told[server] && self.told[server] == ServiceStatus::In {
-                return Some(format!("server {server}: the router was told {:?}", self.told[server]));
+            if member.status() != self.router_status[server]
+                && self.router_status[server] == ServiceStatus::In
+            {
+                return Some(format!(
+                    "server {server}: the last status sent to the router is {:?}",
+                    self.router_status[server]
+                ));
             }
         }
-        // Nothing is left to say, and time alone says when to look again.
+        // A second evaluation at the same time must give no changes, and the next deadline must be later.
         self.members.evaluate(now);
         if self.members.next_change().is_some() || self.members.next_deadline(now) <= now {
-            return Some("the ruling does not come to rest".into());
+            return Some("another evaluation at the same time gives changes or a deadline".into());
         }
         None
     }
 }
 
-/// Walks all sequences of `depth` steps; stops at the first `most` broken ones.
-pub fn walk(depth: usize, fault: Option<Fault>, most: usize) -> Walked {
-    let mut walked = Walked::default();
+/// Runs all sequences of `depth` events; stops after `max_violations`.
+pub fn walk(depth: usize, fault: Option<Fault>, max_violations: usize) -> WalkResult {
+    let mut result = WalkResult::default();
     let mut path = Vec::new();
-    go(&World::new(fault), depth, fault, most, &steps(), &mut path, &mut walked);
-    walked
+    extend(&WalkState::new(fault), depth, fault, max_violations, &steps(), &mut path, &mut result);
+    result
 }
 
-fn go(
-    world: &World,
+/// Extends `path` by each event, and recurses while no invariant is violated.
+fn extend(
+    state: &WalkState,
     depth: usize,
     fault: Option<Fault>,
-    most: usize,
+    max_violations: usize,
     steps: &[Step],
     path: &mut Vec<Step>,
-    walked: &mut Walked,
+    result: &mut WalkResult,
 ) {
     for step in steps {
-        if walked.broken.len() >= most {
+        if result.broken.len() >= max_violations {
             return;
         }
-        let mut next = world.clone();
+        let mut next = state.clone();
         next.step(*step, fault);
-        walked.states += 1;
+        result.states += 1;
         path.push(*step);
-        if let Some(what) = next.broken() {
-            walked.broken.push(Broken { what, path: path.clone() });
+        if let Some(what) = next.violation() {
+            result.broken.push(Violation { what, path: path.clone() });
         } else if depth > 1 {
-            go(&next, depth - 1, fault, most, steps, path, walked);
+            extend(&next, depth - 1, fault, max_violations, steps, path, result);
         }
         path.pop();
     }
--- a/crates/lab/src/zone.rs
+++ b/crates/lab/src/zone.rs
@@ -1,4 +1,5 @@
-//! The zone of a scenario: each server a target of one SRV name, on one or more scripted name servers.
+//! The DNS zone of a scenario: each server is a target of one SRV name, served by one or more scripted name
+//! servers.
 
 use crate::scenario::Scenario;
 use hickory_proto::rr::Name;
@@ -16,11 +17,14 @@
     format!("s{server}.auth.lab.")
 }
 
-/// Name servers with what they know.
+/// The name servers and the records that they publish.
 pub struct Zone {
     servers: Vec<NameServer>,
+    /// Addresses of the servers of the fleet, by index.
     addresses: Vec<SocketAddr>,
+    /// Whether the record of a server is in the zone.
     published: Vec<bool>,
+    /// Lifetime of records, seconds.
     ttl: u32,
 }
 
@@ -39,11 +43,12 @@
         let servers = (0..dns.name_servers).map(|_| server()).collect();
         let published = vec![true; addresses.len()];
         let mut zone = Zone { servers, addresses, published, ttl: dns.ttl };
-        zone.tell();
+        zone.publish_all();
         zone
     }
 
-    fn tell(&mut self) {
+    /// Gives the current records to all name servers.
+    fn publish_all(&mut self) {
         let entry = |s: usize| Entry {
             target: name(&target(s)),
             port: self.addresses[s].port(),
@@ -58,32 +63,33 @@
         }
     }
 
-    /// A server's record is there, or no longer.
-    pub fn publish(&mut self, server: ServerId, there: bool) {
-        self.published[server] = there;
-        self.tell();
+    /// Adds a server's record to the zone, or withdraws it.
+    pub fn publish(&mut self, server: ServerId, present: bool) {
+        self.published[server] = present;
+        self.publish_all();
     }
 
-    pub fn script(&mut self, place: usize, script: Script) {
-        self.servers[place].script = script;
+    /// Sets the behaviour of a name server.
+    pub fn script(&mut self, index: usize, script: Script) {
+        self.servers[index].script = script;
     }
 
-    /// Answers a question at the name server of that place; with it the servers that the last answer names,
-    /// where it is one that a resolver may take.
+    /// Sends a question to the name server of that index. Returns its replies, and the servers that the last
+    /// reply names that a resolver may accept.
     pub fn ask(
         &mut self,
-        place: usize,
+        index: usize,
         now: f64,
         question: &[u8],
         tcp: bool,
     ) -> (Vec<Reply>, Option<Vec<ServerId>>) {
-        let replies = self.servers[place].ask(now, question, tcp);
+        let replies = self.servers[index].ask(now, question, tcp);
         let named = replies.iter().filter_map(|r| targets(question, &r.bytes)).next_back();
         let server = |n: &Name| (0..self.addresses.len()).find(|s| &name(&target(*s)) == n);
         (replies, named.map(|names| names.iter().filter_map(server).collect()))
     }
 
-    /// When each question came, over all name servers.
+    /// Arrival times of the questions at all name servers, in order.
     pub fn asked(&self) -> Vec<f64> {
         let mut all: Vec<f64> = self.servers.iter().flat_map(|s| s.asked.iter().copied()).collect();
         all.sort_by(f64::total_cmp);
@@ -91,7 +97,7 @@
     }
 }
 
-/// A name of the lab's own making.
+/// Parses a name that the lab generates itself and that is always valid.
 fn name(text: &str) -> Name {
     Name::from_ascii(text).unwrap_or_default()
 }
--- a/crates/lab/tests/names.rs
+++ b/crates/lab/tests/names.rs
@@ -20,16 +20,16 @@
             .into_iter()
             .enumerate()
     {
-        day.troubles.retain(|t| t.script == Script::Plain);
-        let mut names = day.troubles[0].clone();
-        names.kind = shalespindle_lab::scenario::TroubleKind::NameServer;
-        (names.from, names.lasts, names.part, names.script) = (10.0, 30.0, 1.0, script);
-        day.troubles.push(names);
+        day.faults.retain(|t| t.script == Script::Plain);
+        let mut names = day.faults[0].clone();
+        names.kind = shalespindle_lab::scenario::FaultKind::NameServer;
+        (names.from, names.duration, names.share, names.script) = (10.0, 30.0, 1.0, script);
+        day.faults.push(names);
         let run = sim::run(&day, seed as u64, &Setup::of(Variant::Module));
         assert!(run.report.rules_kept(), "{script:?}: {:?}", run.report.verdict.broken.first());
         assert_eq!(run.report.summary.unanswered, 0);
-        stood += run.report.summary.stood;
-        asked += run.asked.len();
+        stood += run.report.summary.established;
+        asked += run.dns_queries.len();
     }
     assert!(stood > 10_000 && asked > 1000, "{stood} stood, {asked} questions");
 }
@@ -42,7 +42,7 @@
     (dns.alone, dns.ttl) = (true, 1);
     let good = sim::run(&day, 1, &Setup::of(Variant::Module));
     assert!(good.report.rules_kept(), "{:?}", good.report.verdict.broken.first());
-    let planted = Setup { variant: Variant::Module, planted: Some(Planted::DeafToDrains) };
+    let planted = Setup { variant: Variant::Module, planted: Some(Planted::IgnoresDrains) };
     let broken = sim::run(&day, 1, &planted).report.summary.rules_broken;
     assert!(broken["3"] > 0, "{broken:?}");
 }
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -2,7 +2,7 @@
 
 use shalespindle_lab::baseline::Pick;
 use shalespindle_lab::compare::{compare, Variant, Where};
-use shalespindle_lab::scenario::{Scenario, TroubleKind};
+use shalespindle_lab::scenario::{FaultKind, Scenario};
 use shalespindle_lab::sim::{self, Planted, Setup};
 
 fn bad_day() -> Scenario {
@@ -33,8 +33,8 @@
         (Planted::SecondAnswer, 1),
         (Planted::NoRefusal, 1),
         (Planted::TwoTries, 2),
-        (Planted::DeafToDrains, 3),
-        (Planted::BlindToCold, 4),
+        (Planted::IgnoresDrains, 3),
+        (Planted::IgnoresCold, 4),
         (Planted::NoGuard, 5),
     ];
     for (planted, rule) in faults {
@@ -105,10 +105,10 @@
 fn the_table_over_sizes_pairs_the_module_with_each_baseline() {
     let mut day = bad_day();
     day.seconds = 12.0;
-    let table = shalespindle_lab::scale::table(&day, &[2, 6], &[TroubleKind::Slow, TroubleKind::Burst], 2);
+    let table = shalespindle_lab::scale::table(&day, &[2, 6], &[FaultKind::Slow, FaultKind::Burst], 2);
     assert!(table.rules_kept(), "{table}");
     let rows: Vec<_> = table.rows.iter().map(|r| (r.kind, r.fronts, r.gains.len())).collect();
-    let (slow, burst) = (Some(TroubleKind::Slow), Some(TroubleKind::Burst));
+    let (slow, burst) = (Some(FaultKind::Slow), Some(FaultKind::Burst));
     assert_eq!(rows, [(slow, 2, 3), (slow, 6, 3), (burst, 2, 3), (burst, 6, 3)]);
     assert!(table.rows[..2].iter().all(|r| r.gains[0].mean > 0.0), "{table}");
     assert_eq!(table.to_string().lines().count(), 2 + 4);
--- a/crates/lab/tests/walk.rs
+++ b/crates/lab/tests/walk.rs
@@ -12,9 +12,11 @@
 
 #[test]
 fn planted_faults_are_found() {
-    for (fault, what) in
-        [(Fault::NoHold, "took it out"), (Fault::FalseDrain, "known to live"), (Fault::Deaf, "known to live")]
-    {
+    for (fault, what) in [
+        (Fault::NoHold, "took it out"),
+        (Fault::FalseDrain, "known to live"),
+        (Fault::DropsChanges, "known to live"),
+    ] {
         let walked = walk(4, Some(fault), 200);
         assert!(
             walked.broken.iter().any(|b| b.what.contains(what)),
