--- a/crates/lab/src/capacity/data.rs
+++ b/crates/lab/src/capacity/data.rs
@@ -1,33 +1,33 @@
-//! The runs that the capacity page rests on, as kept under `docs/capacity/`.
+//! Reads the measured runs behind the capacity page, stored under `docs/capacity/`.
 
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use std::path::Path;
 
-/// A run that cannot be read.
+/// Error reading the runs.
 #[derive(Debug, thiserror::Error)]
 pub enum RunsFault {
-    /// The file is not there, or cannot be read.
+    /// The file is missing or cannot be read.
     #[error("{file}: {why}; run the command that docs/CAPACITY.md names for it")]
     File {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// What the system says.
+        /// Error of the operating system.
         why: std::io::Error,
     },
-    /// A line is not what the command prints.
-    #[error("{file}, line {line}: {why}; the file holds lines as the command prints them")]
+    /// A line is not valid output of the command.
+    #[error("{file}, line {line}: {why}; every line must be one line of the command's output")]
     Line {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// Counted from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         why: serde_json::Error,
     },
 }
 
-/// Fronts that tell each other, simulated: `lab fleet-size`.
+/// Simulated fronts that replicate to each other: a line of `lab fleet-size`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Gossip {
     pub fronts: usize,
@@ -40,7 +40,7 @@
     pub spread_all: f64,
 }
 
-/// The same as processes: `lab fleet-size --processes`.
+/// Front processes that replicate to each other: a line of `lab fleet-size --processes`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Processes {
     pub fronts: usize,
@@ -50,7 +50,7 @@
     pub memory_mb_max: f64,
 }
 
-/// Fronts with coordinators, simulated: `lab fleet-size --coordinators`.
+/// Simulated fronts with coordinators: a line of `lab fleet-size --coordinators`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Coordinated {
     pub fronts: usize,
@@ -62,7 +62,7 @@
     pub coordinator_core_share: f64,
     pub front_memory_mb: f64,
     pub change_all_s: f64,
-    /// None: never.
+    /// None: the fleet did not recover within the run.
     pub recovered_s: Option<f64>,
     pub age_max_s: f64,
     pub suspected_wrongly: u64,
@@ -71,7 +71,7 @@
     pub resurrected: u64,
 }
 
-/// A chain of fronts, simulated: `lab chain`.
+/// A simulated chain of fronts: a line of `lab chain`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Chain {
     pub hops: usize,
@@ -85,7 +85,7 @@
     pub run_for_nobody: f64,
 }
 
-/// What a front adds on sockets: `lab throughput --rate`.
+/// Latency that a front adds on sockets: a line of `lab throughput --rate`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Added {
     pub rate: f64,
@@ -97,7 +97,7 @@
     pub failed: u64,
 }
 
-/// All runs.
+/// All runs, one list per file.
 #[derive(Clone, Debug)]
 pub struct Runs {
     pub gossip: Vec<Gossip>,
@@ -110,7 +110,7 @@
 }
 
 impl Runs {
-    /// Reads the runs of a folder.
+    /// Reads all runs from a folder.
     pub fn read(folder: &Path) -> Result<Runs, RunsFault> {
         Ok(Runs {
             gossip: lines(folder, "gossip-idle.jsonl")?,
--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -1,18 +1,18 @@
-//! Least-squares lines through measured points.
+//! Least-squares line fit.
 
-/// `y = base + slope * x`.
+/// The line `y = base + slope * x`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// At x = 0.
+    /// Value at x = 0.
     pub base: f64,
-    /// For each unit of x.
+    /// Increase per unit of x.
     pub slope: f64,
-    /// Root of the mean square of what the line misses.
+    /// Root mean square of the residuals.
     pub residual: f64,
 }
 
 impl Line {
-    /// Through at least two points at different places; none otherwise.
+    /// Fits a line; none unless at least two points differ in x.
     pub fn through(points: &[(f64, f64)]) -> Option<Line> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
@@ -27,7 +27,7 @@
         Some(Line { base, slope, residual: (missed / count).sqrt() })
     }
 
-    /// The line's value at a place.
+    /// Value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.base + self.slope * x
     }
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! The capacity page: its tables are written from the runs kept beside it, never by hand.
+//! Generates the tables of the capacity page from the stored runs; the tables are never edited by hand.
 
 mod data;
 mod fit;
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -1,18 +1,18 @@
-//! The page's blocks: between `<!-- table: NAME -->` and `<!-- end -->` stands what the runs give.
+//! Fills the blocks of the page, from `<!-- table: NAME -->` to `<!-- end -->`, with the generated tables.
 
 use super::data::Runs;
 use super::tables;
 
-/// A page that cannot be filled.
+/// Error filling the page.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PageFault {
-    /// A block of a name that is not known.
-    #[error("no table is named {0}; there are: {known}", known = tables::NAMES.join(", "))]
+    /// A block with an unknown name.
+    #[error("unknown table {0}; known tables: {known}", known = tables::NAMES.join(", "))]
     Unknown(String),
-    /// A block that does not end.
+    /// A block without an end marker.
     #[error("the table {0} does not end with <!-- end -->")]
     Endless(String),
-    /// A table that the page does not have.
+    /// A table without a block on the page.
     #[error("the page has no block <!-- table: {0} -->")]
     Missing(&'static str),
 }
@@ -21,7 +21,7 @@
 const BEGIN_ENDS: &str = " -->\n";
 const ENDS: &str = "<!-- end -->";
 
-/// The page with its tables as the runs give them.
+/// Returns the page with the content of every block replaced by the table generated from the runs.
 pub fn fill(page: &str, runs: &Runs) -> Result<String, PageFault> {
     let (mut filled, mut rest) = (String::new(), page);
     let mut missing = tables::NAMES.to_vec();
--- a/crates/lab/src/capacity/tables.rs
+++ b/crates/lab/src/capacity/tables.rs
@@ -1,24 +1,32 @@
-//! The tables of the capacity page.
+//! The tables of the capacity page, in Markdown.
 
 use super::data::{Coordinated, Runs};
 use super::fit::Line;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The stated size, and what the operators allow a front and the fleet.
+// The size of fleet that the operators stated, and the limits that they set for a front and for the fleet.
+
+/// Fronts in a fleet of the stated size.
 const FRONTS: f64 = 600.0;
+/// Calls per second of the whole fleet.
 const CALLS_A_SECOND: f64 = 160_000.0;
+/// Maximum traffic of a front between nodes, bytes per second.
 const BYTES: f64 = 2000.0;
+/// Maximum share of one core for a front.
 const CORE_SHARE: f64 = 0.04;
+/// Maximum memory of a front, megabytes.
 const MEMORY_MB: f64 = 64.0;
+/// Maximum time until a change is in force on all fronts, seconds.
 const EVERYWHERE_S: f64 = 7.0;
+/// Maximum time that a front adds to a set-up, microseconds.
 const ADDED_US: f64 = 600.0;
 
 /// The names of all tables.
 pub(crate) const NAMES: [&str; 7] =
     ["ranking", "held-against", "gossip", "steady", "troubles", "added", "chain"];
 
-/// A table by its name.
+/// Returns the table with that name; none if there is no such table.
 pub(crate) fn table(name: &str, runs: &Runs) -> Option<String> {
     match name {
         "ranking" => Some(ranking(runs)),
@@ -32,6 +40,7 @@
     }
 }
 
+/// A Markdown table under construction.
 struct Table(String);
 
 impl Table {
@@ -49,7 +58,7 @@
     }
 }
 
-/// With as many digits as a reader can use.
+/// Formats a number with a precision that depends on its size.
 fn figure(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 => thousands(value.round() as i64),
@@ -59,6 +68,7 @@
     }
 }
 
+/// Formats a number with a comma between groups of three digits.
 fn thousands(value: i64) -> String {
     let digits = value.unsigned_abs().to_string();
     let mut out = String::new();
@@ -75,11 +85,13 @@
     }
 }
 
-fn percent(part: f64) -> String {
-    format!("{:+.1}%", part * 100.0)
+/// Formats a fraction as a signed percentage.
+fn percent(fraction: f64) -> String {
+    format!("{:+.1}%", fraction * 100.0)
 }
 
-/// A line through the points below the stated size, and the point at it.
+/// A line fitted to the runs below the stated size, its value at that size, and the run of that size if
+/// there is one.
 struct Prediction {
     line: Line,
     predicted: f64,
@@ -93,6 +105,7 @@
     Some(Prediction { line, predicted: line.at(FRONTS), measured })
 }
 
+/// Table of predictions, one row per figure.
 fn predictions(rows: &[(&str, Vec<(f64, f64)>)]) -> String {
     let mut table =
         Table::new(&["figure", "line", "residual", "predicted for 600", "run at 600", "difference"]);
@@ -111,6 +124,7 @@
     table.0
 }
 
+/// Compares processes with simulated fleets of the same size.
 fn held_against(runs: &Runs) -> String {
     let mut table = Table::new(&[
         "fronts",
@@ -123,16 +137,16 @@
         "processes: MB at most",
     ]);
     for process in &runs.processes {
-        let Some(hollow) = runs.gossip.iter().find(|hollow| hollow.fronts == process.fronts) else {
+        let Some(simulated) = runs.gossip.iter().find(|simulated| simulated.fronts == process.fronts) else {
             continue;
         };
         table.row(&[
             process.fronts.to_string(),
             figure(process.sent_bytes),
-            figure(hollow.idle_bytes),
-            percent((hollow.idle_bytes - process.sent_bytes) / process.sent_bytes),
+            figure(simulated.idle_bytes),
+            percent((simulated.idle_bytes - process.sent_bytes) / process.sent_bytes),
             figure(process.sent_frames),
-            figure(hollow.idle_frames),
+            figure(simulated.idle_frames),
             figure(process.core_share),
             figure(process.memory_mb_max),
         ]);
@@ -208,6 +222,7 @@
     format!("{}\n{}", table.0, predictions(&rows))
 }
 
+/// Maximum of a figure over the runs.
 fn worst(runs: &[&Coordinated], value: impl Fn(&Coordinated) -> f64) -> f64 {
     runs.iter().map(|run| value(run)).fold(0.0, f64::max)
 }
@@ -302,7 +317,7 @@
     table.0
 }
 
-/// What breaks first: needed over allowed, the largest first.
+/// Ranks the limits by needed over allowed, the largest first: the first row is the limit reached first.
 fn ranking(runs: &Runs) -> String {
     struct Row {
         what: &'static str,
@@ -322,11 +337,11 @@
         .iter()
         .filter_map(|churn| {
             let idle = runs.gossip.iter().find(|idle| idle.fronts == churn.fronts)?;
-            // One call a second at each front: as many in the fleet as there are fronts.
+            // One call per second at each front: the number of fronts is the fleet's calls per second.
             Some((churn.fronts as f64, churn.churn_bytes - idle.idle_bytes))
         })
         .collect();
-    let a_call = Line::through(&churn).map(|line| line.slope);
+    let bytes_per_call = Line::through(&churn).map(|line| line.slope);
     let at_size = |all: &[Coordinated], value: fn(&Coordinated) -> f64| {
         all.iter().filter(|run| run.fronts as f64 == FRONTS).map(value).max_by(f64::total_cmp)
     };
@@ -337,7 +352,7 @@
     let added = added.get(added.len() / 2).copied();
     row(
         "facts of calls between fronts, bytes a second a front",
-        a_call.map(|bytes| bytes * CALLS_A_SECOND),
+        bytes_per_call.map(|bytes| bytes * CALLS_A_SECOND),
         BYTES,
         "slope x 160,000 calls a second; estimated",
         "none, missing: the call itself is to carry them",
--- a/crates/lab/src/fleet_cost.rs
+++ b/crates/lab/src/fleet_cost.rs
@@ -1,6 +1,8 @@
-//! What telling the other fronts costs on the ordinary path: the same load through a front that knows no others, one
-//! of four fronts that tell each other, and the same with what it knows kept on disk; in turn, in one run. All of
-//! them share this machine's cores, so the others' work counts against the front that is measured.
+//! Measures what replication between fronts costs on the call path.
+//!
+//! The same load goes through a front without peers, one of four fronts that replicate to each other, and one
+//! of four that also store their records on disk; in turn, in one run. All of them share this machine's cores,
+//! so the peers' work counts against the measured front.
 
 use crate::throughput::{drive, scenario, servers, Load, Measured, Pace, SERVERS, WINDOW};
 use shalespindle_settings::{FleetSettings, Settings};
@@ -13,22 +15,25 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Fronts of a fleet.
+/// Number of fronts in a fleet.
 const FRONTS: usize = 4;
-/// How long a call stands: long enough that its facts are told before it ends.
+/// Duration of a call: long enough that its records are replicated before it ends.
 const STANDS: Duration = Duration::from_secs(1);
 
-/// A front in a closed loop, then in an open loop at half of the plain front's rate.
+/// Results of one front: in a closed loop, then in an open loop at half of the rate of the front without
+/// peers.
 pub type Both = (Measured, Measured);
 
-/// Both of the plain front, the one of four, and that with a file.
+/// The comparison over all rounds.
 #[derive(Clone, Debug, Default)]
 pub struct FleetCost {
+    /// Per round: the front without peers, one of four fronts, one of four fronts with a file.
     pub rounds: Vec<[Both; 3]>,
-    /// Bytes a second that the measured front sent to its peers meanwhile, without and with a file.
+    /// Bytes per second that the measured front sent to its peers under load, without and with a file.
     pub sent_a_second: [f64; 2],
 }
 
+/// Fleet settings of the front with the index `place`; `keeps` adds a file for its records.
 fn fleet(
     folder: &Path,
     place: usize,
@@ -52,7 +57,7 @@
     toml::from_str(&text).map_err(io::Error::other)
 }
 
-/// Measures `rounds` rounds of six parts of `seconds` each.
+/// Measures `rounds` rounds of six measurements of `seconds` each.
 pub fn measure(seconds: f64, rounds: usize) -> io::Result<FleetCost> {
     let scenario = scenario(SERVERS)?;
     let ground = MonotonicClock::new();
@@ -130,6 +135,6 @@
             )?;
         }
         let [told, kept] = self.sent_a_second;
-        writeln!(f, "to its peers the front sent {told:.0} bytes a second of load, {kept:.0} with a file")
+        writeln!(f, "bytes per second of load sent to peers: {told:.0} without a file, {kept:.0} with a file")
     }
 }
--- a/crates/lab/src/fleet_size.rs
+++ b/crates/lab/src/fleet_size.rs
@@ -1,5 +1,7 @@
-//! How what crosses between fronts grows with the fleet: the fronts' own cores and codec under virtual time, with a
-//! network that delays and loses; figures of simulated fronts, not of sockets.
+//! Measures how the traffic between fronts grows with the size of the fleet.
+//!
+//! The replication state machines and the codec of the fronts run under virtual time over a network that delays
+//! and loses frames. The figures are those of simulated fronts, not of sockets.
 
 use crate::resources::{resident_bytes, thread_seconds};
 use rand::{Rng, SeedableRng};
@@ -11,89 +13,97 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Seconds between two beats, as the settings have it where they say nothing.
+/// Heartbeat interval, seconds: the default of the settings.
 const EVERY: f64 = 0.5;
-/// Parts of a beat between two looks at the clock.
+/// Simulation steps per heartbeat interval.
 const FINE: f64 = 20.0;
-/// A frame's way, seconds: at least, and so much more at most.
+/// Network delay of a frame, seconds: the minimum, and the maximum of the random time added to it.
 const DELAY: (f64, f64) = (0.02, 0.02);
-/// How long a call stands in the churn, seconds.
+/// Duration of a call in the churn, seconds.
 const STANDS: f64 = 10.0;
-/// A start in milliseconds of Unix time.
+/// Base of incarnation numbers: milliseconds of Unix time, as real processes use.
 const LIFE_BASE: u64 = 1_790_000_000_000;
-/// How long a fleet in which nothing happens is measured, seconds.
+/// Duration of the measurement of an idle fleet, seconds.
 const IDLE: f64 = 10.0;
 
-/// What is measured.
+/// Parameters of one measurement.
 #[derive(Clone, Debug)]
 pub struct SizeShape {
+    /// Number of fronts.
     pub fronts: usize,
-    /// Calls that stand in the whole fleet when one front returns empty.
-    /// None: no front returns.
+    /// Established calls in the whole fleet when one front restarts without state; 0: no front restarts.
     pub calls: u64,
-    /// Calls that begin at each front in a second of the churn; none: no churn.
+    /// Calls per second that begin at each front during the churn; 0: no churn.
     pub calls_a_second: f64,
+    /// Fraction of the frames that is lost.
     pub loss: f64,
+    /// Seed of the random generator.
     pub seed: u64,
 }
 
-/// What came of it. Bytes are of frames, without IP and UDP.
+/// Results of one measurement. Bytes are those of frames, without IP and UDP headers.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Size {
     pub fronts: usize,
     pub calls: u64,
     pub loss: f64,
-    /// Sent by a front in a second when nothing happens; and frames of it.
+    /// Bytes per second that a front sends when idle.
     pub idle_bytes: f64,
+    /// Frames per second that a front sends when idle.
     pub idle_frames: f64,
-    /// Received by a front in a second when nothing happens.
+    /// Bytes per second that a front receives when idle.
     pub idle_received_bytes: f64,
-    /// The most that any front sent and received together.
+    /// Maximum over the fronts of the bytes per second sent and received when idle.
     pub idle_bytes_max: f64,
-    /// Of the bytes sent idle, those of digests; the rest are of parts.
+    /// The share of `idle_bytes` that is digests, bytes per second; the rest is deltas.
     pub idle_digest_bytes: f64,
-    /// Processor time of a front over its time, idle; the simulated network's own work is in it.
+    /// Processor time of an idle front divided by elapsed virtual time; includes the simulated network's
+    /// work.
     pub idle_core_share: f64,
-    /// Resident memory that a front adds to the process, megabytes; frames under way are in it.
+    /// Resident memory that a front adds to the process, megabytes; includes frames in flight.
     pub memory_mb: f64,
-    /// Sent by a front in a second while calls come and go.
+    /// Bytes per second that a front sends while calls begin and end.
     pub churn_bytes: f64,
-    /// Seconds until a warning of one front is known to half of the others, and to all.
+    /// Seconds until a warning of one front is known to more than half of the fronts.
     pub spread_half: f64,
+    /// Seconds until a warning of one front is known to all fronts.
     pub spread_all: f64,
-    /// Seconds and bytes until a front that returns empty has what the others have; its own calls among it are its own again.
+    /// Seconds until a front that restarted without state holds the records of all calls, its own included.
     pub catch_up: f64,
+    /// Bytes sent by all fronts during the catch-up, idle traffic subtracted.
     pub catch_up_bytes: u64,
-    /// Of the most that one other front sent in a second meanwhile, beside what it sends in the idle state.
+    /// Maximum over the other fronts of the bytes per second sent during the catch-up, idle traffic
+    /// subtracted.
     pub most_asked: f64,
-    /// Seconds until all hear all at the start.
+    /// Seconds from the start until every front knows the incarnation of every other front.
     pub met_after: f64,
 }
 
+/// The simulated fleet and its network.
 struct Sim {
     params: FleetParams,
     now: f64,
     names: Vec<FrontId>,
     places: BTreeMap<FrontId, usize>,
     fronts: Vec<Option<(Fleet, Codec)>>,
-    /// By the look at which they arrive: to, from, frame.
+    /// Frames in flight, by the step at which they arrive: destination and frame.
     under_way: BTreeMap<u64, Vec<(usize, Vec<u8>)>>,
     look: u64,
     rng: ChaCha8Rng,
     loss: f64,
-    /// Frames and bytes sent by each front.
+    /// Frames and bytes that each front has sent.
     sent: Vec<(u64, u64)>,
     received_bytes: Vec<u64>,
     digest_bytes: u64,
 }
 
-/// What fronts sent and received in a second of some time.
+/// Traffic of the average front over an interval, per second.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rates {
     frames: f64,
     bytes: f64,
     received_bytes: f64,
-    /// Both ways, of the front with the most.
+    /// Sent and received together, of the front with the most traffic.
     bytes_max: f64,
     digest_bytes: f64,
     core_share: f64,
@@ -123,11 +133,12 @@
         sim
     }
 
+    /// Starts a front without state; `life` is the number of the start.
     fn start(&mut self, place: usize, life: u64) {
-        // As large as a process has them: its start in milliseconds of Unix time, and 64 random bits.
+        // As large as in a real process: the start time in milliseconds of Unix time and 64 random bits.
         let life = Incarnation { number: LIFE_BASE + life, nonce: self.rng.random() };
         let own = self.names[place];
-        // Beats of fronts are not in step.
+        // Heartbeats of different fronts are not synchronized.
         let begin = self.now + EVERY * self.rng.random::<f64>();
         let fleet = Fleet::new(self.params.clone(), own, life, &self.names, place as u64, begin);
         self.fronts[place] = Some((fleet, Codec::new([7; 32], own, self.names.len())));
@@ -137,6 +148,7 @@
         self.fronts[place].as_mut().map(|front| &mut front.0)
     }
 
+    /// Advances the clock by one step: delivers frames, runs expired timers and sends output.
     fn step(&mut self) {
         let fine = EVERY / FINE;
         self.look += 1;
@@ -171,6 +183,7 @@
         }
     }
 
+    /// Steps for that many seconds of virtual time.
     fn pass(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
@@ -178,7 +191,7 @@
         }
     }
 
-    /// Steps until it holds, `most` seconds at most: seconds.
+    /// Steps until the condition holds, at most `most` seconds; returns the elapsed seconds.
     fn until(&mut self, most: f64, mut holds: impl FnMut(&mut Sim) -> bool) -> f64 {
         let begin = self.now;
         while !holds(self) && self.now - begin < most {
@@ -187,6 +200,7 @@
         self.now - begin
     }
 
+    /// Steps for that many seconds, calls `each` after every step and returns the traffic of the interval.
     fn rates(&mut self, seconds: f64, mut each: impl FnMut(&mut Sim)) -> Rates {
         let (sent, received) = (self.sent.clone(), self.received_bytes.clone());
         let (digests, processor) = (self.digest_bytes, thread_seconds());
@@ -212,6 +226,7 @@
     }
 }
 
+/// A call record whose fields have realistic lengths.
 fn call(n: u64) -> CallRecord {
     let at = SocketAddr::from(([10, 0, (n / 250 % 250) as u8, (n % 250) as u8], 5060));
     CallRecord {
@@ -229,7 +244,7 @@
     }
 }
 
-/// Measures one fleet.
+/// Measures one simulated fleet.
 pub fn measure(shape: &SizeShape) -> Size {
     let resident_before = resident_bytes();
     let mut sim = Sim::new(shape);
@@ -237,7 +252,7 @@
     let mut out = Size { fronts: count, calls: shape.calls, loss: shape.loss, ..Size::default() };
     out.met_after = sim.until(120.0, |sim| {
         let names = sim.names.clone();
-        // Looked at now and then: a look at all is dear.
+        // Checked on every 20th step only: the check compares all pairs of fronts.
         sim.look % 20 == 0
             && (0..count).all(|n| {
                 let knows = |f: &mut Fleet| names.iter().all(|of| f.replicas().incarnation(*of).number > 0);
@@ -259,6 +274,7 @@
     out
 }
 
+/// Measures how long a warning of one front takes to reach the others.
 fn spread(sim: &mut Sim, out: &mut Size) {
     let now = sim.now;
     let address = SocketAddr::from(([10, 1, 0, 1], 5060));
@@ -278,6 +294,7 @@
     out.spread_half = half.unwrap_or(f64::INFINITY);
 }
 
+/// Measures the traffic while calls begin and end.
 fn churn(sim: &mut Sim, shape: &SizeShape, out: &mut Size) {
     let mut ending: BTreeMap<u64, Vec<(usize, u64)>> = BTreeMap::new();
     let (mut next, mut due) = (1 << 40, vec![0.0; shape.fronts]);
@@ -302,10 +319,10 @@
             }
         }
     };
-    // Until as many end as begin.
+    // Warm-up until calls end at the rate at which they begin.
     sim.rates(STANDS, &mut each);
     out.churn_bytes = sim.rates(10.0, &mut each).bytes;
-    // The rest ends, so that what follows begins from nothing.
+    // Ends the remaining calls, so that the next measurement starts without calls.
     for (place, n) in std::mem::take(&mut ending).into_values().flatten() {
         let now = sim.now;
         if let Some(front) = sim.at(place) {
@@ -315,6 +332,7 @@
     sim.pass(10.0);
 }
 
+/// Measures how a front that restarts without state gets the call records of the fleet.
 fn catch_up(sim: &mut Sim, shape: &SizeShape, out: &mut Size) {
     let count = shape.fronts;
     for n in 0..shape.calls {
--- a/crates/lab/src/parallel.rs
+++ b/crates/lab/src/parallel.rs
@@ -1,14 +1,14 @@
-//! Independent runs, some at once.
+//! Runs independent jobs on several threads.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// As many as there are cores.
+/// Number of available cores, 1 if it is unknown.
 pub fn cores() -> usize {
     std::thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// Runs every job, so many at once, and gives what they came to in the order of the jobs.
+/// Runs every job on `at_once` threads and returns the results in the order of the jobs.
 pub fn each<J: Sync, R: Send>(jobs: &[J], at_once: usize, run: impl Fn(usize, &J) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let done = Mutex::new(Vec::with_capacity(jobs.len()));
