--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -17,14 +17,14 @@
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        if points.len() < 2 || spread <= 0.0 {
+        let variation: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        if points.len() < 2 || variation <= 0.0 {
             return None;
         }
-        let slope = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / spread;
+        let slope = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / variation;
         let base = mean_y - slope * mean_x;
-        let missed: f64 = points.iter().map(|(x, y)| (y - base - slope * x).powi(2)).sum();
-        Some(Line { base, slope, residual: (missed / count).sqrt() })
+        let squared_residuals: f64 = points.iter().map(|(x, y)| (y - base - slope * x).powi(2)).sum();
+        Some(Line { base, slope, residual: (squared_residuals / count).sqrt() })
     }
 
     /// Value of the line at `x`.
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -11,27 +11,27 @@
     Unknown(String),
     /// A block without an end marker.
     #[error("the table {0} does not end with <!-- end -->")]
-    Endless(String),
+    Unterminated(String),
     /// A table without a block on the page.
     #[error("the page has no block <!-- table: {0} -->")]
     Missing(&'static str),
 }
 
-const BEGINS: &str = "<!-- table: ";
-const BEGIN_ENDS: &str = " -->\n";
-const ENDS: &str = "<!-- end -->";
+const BLOCK_START: &str = "<!-- table: ";
+const NAME_END: &str = " -->\n";
+const BLOCK_END: &str = "<!-- end -->";
 
 /// Returns the page with the content of every block replaced by the table generated from the runs.
 pub fn fill(page: &str, runs: &Runs) -> Result<String, PageFault> {
     let (mut filled, mut rest) = (String::new(), page);
     let mut missing = tables::NAMES.to_vec();
-    while let Some((before, block)) = rest.split_once(BEGINS) {
-        let endless = || PageFault::Endless(block.lines().next().unwrap_or_default().to_string());
-        let (name, body) = block.split_once(BEGIN_ENDS).ok_or_else(endless)?;
-        let (_, after) = body.split_once(ENDS).ok_or_else(endless)?;
+    while let Some((before, block)) = rest.split_once(BLOCK_START) {
+        let unterminated = || PageFault::Unterminated(block.lines().next().unwrap_or_default().to_string());
+        let (name, body) = block.split_once(NAME_END).ok_or_else(unterminated)?;
+        let (_, after) = body.split_once(BLOCK_END).ok_or_else(unterminated)?;
         let table = tables::table(name, runs).ok_or_else(|| PageFault::Unknown(name.to_string()))?;
         missing.retain(|missing| *missing != name);
-        filled.push_str(&format!("{before}{BEGINS}{name}{BEGIN_ENDS}{table}{ENDS}"));
+        filled.push_str(&format!("{before}{BLOCK_START}{name}{NAME_END}{table}{BLOCK_END}"));
         rest = after;
     }
     if let Some(name) = missing.first() {
--- a/crates/lab/src/capacity/tables.rs
+++ b/crates/lab/src/capacity/tables.rs
@@ -8,19 +8,19 @@
 // The size of fleet that the operators stated, and the limits that they set for a front and for the fleet.
 
 /// Fronts in a fleet of the stated size.
-const FRONTS: f64 = 600.0;
+const STATED_FRONTS: f64 = 600.0;
 /// Calls per second of the whole fleet.
-const CALLS_A_SECOND: f64 = 160_000.0;
+const CALLS_PER_SECOND: f64 = 160_000.0;
 /// Maximum traffic of a front between nodes, bytes per second.
-const BYTES: f64 = 2000.0;
+const MAX_FRONT_BYTES: f64 = 2000.0;
 /// Maximum share of one core for a front.
-const CORE_SHARE: f64 = 0.04;
+const MAX_CORE_SHARE: f64 = 0.04;
 /// Maximum memory of a front, megabytes.
-const MEMORY_MB: f64 = 64.0;
+const MAX_MEMORY_MB: f64 = 64.0;
 /// Maximum time until a change is in force on all fronts, seconds.
-const EVERYWHERE_S: f64 = 7.0;
+const MAX_CHANGE_S: f64 = 7.0;
 /// Maximum time that a front adds to a set-up, microseconds.
-const ADDED_US: f64 = 600.0;
+const MAX_ADDED_US: f64 = 600.0;
 
 /// The names of all tables.
 pub(crate) const NAMES: [&str; 7] =
@@ -99,10 +99,11 @@
 }
 
 fn predict(points: &[(f64, f64)]) -> Option<Prediction> {
-    let below: Vec<(f64, f64)> = points.iter().copied().filter(|(fronts, _)| *fronts < FRONTS).collect();
+    let below: Vec<(f64, f64)> =
+        points.iter().copied().filter(|(fronts, _)| *fronts < STATED_FRONTS).collect();
     let line = Line::through(&below)?;
-    let measured = points.iter().find(|(fronts, _)| *fronts == FRONTS).map(|(_, value)| *value);
-    Some(Prediction { line, predicted: line.at(FRONTS), measured })
+    let measured = points.iter().find(|(fronts, _)| *fronts == STATED_FRONTS).map(|(_, value)| *value);
+    Some(Prediction { line, predicted: line.at(STATED_FRONTS), measured })
 }
 
 /// Table of predictions, one row per figure.
@@ -343,73 +344,73 @@
         .collect();
     let bytes_per_call = Line::through(&churn).map(|line| line.slope);
     let at_size = |all: &[Coordinated], value: fn(&Coordinated) -> f64| {
-        all.iter().filter(|run| run.fronts as f64 == FRONTS).map(value).max_by(f64::total_cmp)
+        all.iter().filter(|run| run.fronts as f64 == STATED_FRONTS).map(value).max_by(f64::total_cmp)
     };
-    let gossip_at_size = runs.gossip.iter().find(|run| run.fronts as f64 == FRONTS);
+    let gossip_at_size = runs.gossip.iter().find(|run| run.fronts as f64 == STATED_FRONTS);
     let largest_process = runs.processes.iter().max_by_key(|run| run.fronts);
     let mut added: Vec<f64> = runs.added.iter().map(|run| run.added_p99_us as f64).collect();
     added.sort_by(f64::total_cmp);
     let added = added.get(added.len() / 2).copied();
     row(
         "facts of calls between fronts, bytes a second a front",
-        bytes_per_call.map(|bytes| bytes * CALLS_A_SECOND),
-        BYTES,
+        bytes_per_call.map(|bytes| bytes * CALLS_PER_SECOND),
+        MAX_FRONT_BYTES,
         "slope x 160,000 calls a second; estimated",
         "none, missing: the call itself is to carry them",
     );
     row(
         "fronts that tell each other, idle, bytes a second both ways",
         gossip_at_size.map(|run| run.idle_bytes + run.idle_received_bytes),
-        BYTES,
+        MAX_FRONT_BYTES,
         "simulated at 600",
         "coordinators, below",
     );
     row(
         "coordinators, a day's changes in ten minutes, bytes a second of the worst front",
         at_size(&runs.steady, |run| run.front_bytes_max),
-        BYTES,
+        MAX_FRONT_BYTES,
         "simulated at 600",
         "crates/coordinator (core; not yet on sockets)",
     );
     row(
         "coordinators, all down and back, bytes a second of the worst front",
         at_size(&runs.troubles, |run| run.front_bytes_max),
-        BYTES,
+        MAX_FRONT_BYTES,
         "simulated at 600, all scenarios and seeds",
         "crates/coordinator (core; not yet on sockets)",
     );
     row(
         "a change everywhere, s",
         at_size(&runs.steady, |run| run.change_all_s),
-        EVERYWHERE_S,
+        MAX_CHANGE_S,
         "simulated at 600",
         "crates/coordinator (core; not yet on sockets)",
     );
     row(
         "after a trouble all up to date, s",
         at_size(&runs.troubles, |run| run.recovered_s.unwrap_or(f64::INFINITY)),
-        EVERYWHERE_S,
+        MAX_CHANGE_S,
         "simulated at 600, all scenarios and seeds",
         "crates/coordinator (core; not yet on sockets)",
     );
     row(
         "time added to a set-up, us, 99 in 100",
         added,
-        ADDED_US,
+        MAX_ADDED_US,
         "median round on sockets; the relay's own 99th percentile varies by more: not resolved",
         "the front in service on SIP",
     );
     row(
         "core share of an idle process that tells 99 others",
         largest_process.map(|run| run.core_share),
-        CORE_SHARE,
+        MAX_CORE_SHARE,
         "processes",
         "the front's process",
     );
     row(
         "memory of that process, MB",
         largest_process.map(|run| run.memory_mb_max),
-        MEMORY_MB,
+        MAX_MEMORY_MB,
         "processes",
         "the front's process",
     );
--- a/crates/lab/src/fleet_size.rs
+++ b/crates/lab/src/fleet_size.rs
@@ -1,7 +1,7 @@
 //! Measures how the traffic between fronts grows with the size of the fleet.
 //!
-//! The replication state machines and the codec of the fronts run under virtual time over a network that delays
-//! and loses frames. The figures are those of simulated fronts, not of sockets.
+//! The replication state machines and the codec of the fronts run under virtual time over a network that
+//! delays and loses frames. The figures are those of simulated fronts, not of sockets.
 
 use crate::resources::{resident_bytes, thread_seconds};
 use rand::{Rng, SeedableRng};
@@ -14,17 +14,17 @@
 use std::net::SocketAddr;
 
 /// Heartbeat interval, seconds: the default of the settings.
-const EVERY: f64 = 0.5;
+const HEARTBEAT_INTERVAL: f64 = 0.5;
 /// Simulation steps per heartbeat interval.
-const FINE: f64 = 20.0;
+const STEPS_PER_HEARTBEAT: f64 = 20.0;
 /// Network delay of a frame, seconds: the minimum, and the maximum of the random time added to it.
-const DELAY: (f64, f64) = (0.02, 0.02);
+const NETWORK_DELAY: (f64, f64) = (0.02, 0.02);
 /// Duration of a call in the churn, seconds.
-const STANDS: f64 = 10.0;
+const CALL_DURATION: f64 = 10.0;
 /// Base of incarnation numbers: milliseconds of Unix time, as real processes use.
-const LIFE_BASE: u64 = 1_790_000_000_000;
+const INCARNATION_BASE: u64 = 1_790_000_000_000;
 /// Duration of the measurement of an idle fleet, seconds.
-const IDLE: f64 = 10.0;
+const IDLE_DURATION: f64 = 10.0;
 
 /// Parameters of one measurement.
 #[derive(Clone, Debug)]
@@ -84,11 +84,11 @@
     params: FleetParams,
     now: f64,
     names: Vec<FrontId>,
-    places: BTreeMap<FrontId, usize>,
+    indices: BTreeMap<FrontId, usize>,
     fronts: Vec<Option<(Fleet, Codec)>>,
     /// Frames in flight, by the step at which they arrive: destination and frame.
-    under_way: BTreeMap<u64, Vec<(usize, Vec<u8>)>>,
-    look: u64,
+    in_flight: BTreeMap<u64, Vec<(usize, Vec<u8>)>>,
+    step_number: u64,
     rng: ChaCha8Rng,
     loss: f64,
     /// Frames and bytes that each front has sent.
@@ -112,16 +112,16 @@
 impl Sim {
     fn new(shape: &SizeShape) -> Sim {
         let names: Vec<FrontId> = (0..shape.fronts).map(|n| front_id(&format!("f{n}"))).collect();
-        let mut params = FleetParams::with_heartbeat_interval(EVERY);
+        let mut params = FleetParams::with_heartbeat_interval(HEARTBEAT_INTERVAL);
         params.replicas.max_facts = 2_000_000;
         let mut sim = Sim {
             params,
             now: 0.0,
-            places: names.iter().enumerate().map(|(place, name)| (*name, place)).collect(),
+            indices: names.iter().enumerate().map(|(index, name)| (*name, index)).collect(),
             names,
             fronts: Vec::new(),
-            under_way: BTreeMap::new(),
-            look: 0,
+            in_flight: BTreeMap::new(),
+            step_number: 0,
             rng: ChaCha8Rng::seed_from_u64(shape.seed),
             loss: shape.loss,
             sent: vec![(0, 0); shape.fronts],
@@ -129,40 +129,40 @@
             digest_bytes: 0,
         };
         (0..shape.fronts).for_each(|_| sim.fronts.push(None));
-        (0..shape.fronts).for_each(|place| sim.start(place, 1));
+        (0..shape.fronts).for_each(|index| sim.start(index, 1));
         sim
     }
 
-    /// Starts a front without state; `life` is the number of the start.
-    fn start(&mut self, place: usize, life: u64) {
+    /// Starts a front without state; `start_number` counts the starts.
+    fn start(&mut self, index: usize, start_number: u64) {
         // As large as in a real process: the start time in milliseconds of Unix time and 64 random bits.
-        let life = Incarnation { number: LIFE_BASE + life, nonce: self.rng.random() };
-        let own = self.names[place];
+        let incarnation = Incarnation { number: INCARNATION_BASE + start_number, nonce: self.rng.random() };
+        let own = self.names[index];
         // Heartbeats of different fronts are not synchronized.
-        let begin = self.now + EVERY * self.rng.random::<f64>();
-        let fleet = Fleet::new(self.params.clone(), own, life, &self.names, place as u64, begin);
-        self.fronts[place] = Some((fleet, Codec::new([7; 32], own, self.names.len())));
+        let begin = self.now + HEARTBEAT_INTERVAL * self.rng.random::<f64>();
+        let fleet = Fleet::new(self.params.clone(), own, incarnation, &self.names, index as u64, begin);
+        self.fronts[index] = Some((fleet, Codec::new([7; 32], own, self.names.len())));
     }
 
-    fn at(&mut self, place: usize) -> Option<&mut Fleet> {
-        self.fronts[place].as_mut().map(|front| &mut front.0)
+    fn fleet(&mut self, index: usize) -> Option<&mut Fleet> {
+        self.fronts[index].as_mut().map(|front| &mut front.0)
     }
 
     /// Advances the clock by one step: delivers frames, runs expired timers and sends output.
     fn step(&mut self) {
-        let fine = EVERY / FINE;
-        self.look += 1;
-        self.now = self.look as f64 * fine;
+        let step_seconds = HEARTBEAT_INTERVAL / STEPS_PER_HEARTBEAT;
+        self.step_number += 1;
+        self.now = self.step_number as f64 * step_seconds;
         let now = self.now;
-        for (to, frame) in self.under_way.remove(&self.look).unwrap_or_default() {
+        for (to, frame) in self.in_flight.remove(&self.step_number).unwrap_or_default() {
             let Some((fleet, codec)) = &mut self.fronts[to] else { continue };
             self.received_bytes[to] += frame.len() as u64;
             if let Ok((from, Body::Fleet(message))) = codec.read(&frame) {
                 fleet.receive(now, from, message);
             }
         }
-        for place in 0..self.fronts.len() {
-            let Some((fleet, codec)) = &mut self.fronts[place] else { continue };
+        for index in 0..self.fronts.len() {
+            let Some((fleet, codec)) = &mut self.fronts[index] else { continue };
             if fleet.next_wakeup() <= now {
                 fleet.turn(now);
             }
@@ -171,30 +171,30 @@
                 let Output::Send { to, message } = out else { continue };
                 let is_digest = matches!(message, Message::Digest { .. });
                 let Some(frame) = codec.write(to, fleet.incarnation(), message) else { continue };
-                let sent = &mut self.sent[place];
+                let sent = &mut self.sent[index];
                 *sent = (sent.0 + 1, sent.1 + frame.len() as u64);
                 self.digest_bytes += if is_digest { frame.len() as u64 } else { 0 };
                 if self.rng.random::<f64>() >= self.loss {
-                    let delay = DELAY.0 + DELAY.1 * self.rng.random::<f64>();
-                    let look = self.look + (delay / fine).ceil().max(1.0) as u64;
-                    self.under_way.entry(look).or_default().push((self.places[&to], frame));
+                    let delay = NETWORK_DELAY.0 + NETWORK_DELAY.1 * self.rng.random::<f64>();
+                    let step_number = self.step_number + (delay / step_seconds).ceil().max(1.0) as u64;
+                    self.in_flight.entry(step_number).or_default().push((self.indices[&to], frame));
                 }
             }
         }
     }
 
     /// Steps for that many seconds of virtual time.
-    fn pass(&mut self, seconds: f64) {
+    fn run_for(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
             self.step();
         }
     }
 
-    /// Steps until the condition holds, at most `most` seconds; returns the elapsed seconds.
-    fn until(&mut self, most: f64, mut holds: impl FnMut(&mut Sim) -> bool) -> f64 {
+    /// Steps until the condition holds, at most `max_seconds`; returns the elapsed seconds.
+    fn run_until(&mut self, max_seconds: f64, mut condition: impl FnMut(&mut Sim) -> bool) -> f64 {
         let begin = self.now;
-        while !holds(self) && self.now - begin < most {
+        while !condition(self) && self.now - begin < max_seconds {
             self.step();
         }
         self.now - begin
@@ -210,37 +210,37 @@
             each(self);
         }
         let mut rates = Rates::default();
-        let per = seconds * self.fronts.len() as f64;
-        for place in 0..self.fronts.len() {
-            let frames = self.sent[place].0 - sent[place].0;
-            let bytes = self.sent[place].1 - sent[place].1;
-            let received_bytes = self.received_bytes[place] - received[place];
-            rates.frames += frames as f64 / per;
-            rates.bytes += bytes as f64 / per;
-            rates.received_bytes += received_bytes as f64 / per;
+        let front_seconds = seconds * self.fronts.len() as f64;
+        for index in 0..self.fronts.len() {
+            let frames = self.sent[index].0 - sent[index].0;
+            let bytes = self.sent[index].1 - sent[index].1;
+            let received_bytes = self.received_bytes[index] - received[index];
+            rates.frames += frames as f64 / front_seconds;
+            rates.bytes += bytes as f64 / front_seconds;
+            rates.received_bytes += received_bytes as f64 / front_seconds;
             rates.bytes_max = rates.bytes_max.max((bytes + received_bytes) as f64 / seconds);
         }
-        rates.digest_bytes = (self.digest_bytes - digests) as f64 / per;
-        rates.core_share = (thread_seconds() - processor) / per;
+        rates.digest_bytes = (self.digest_bytes - digests) as f64 / front_seconds;
+        rates.core_share = (thread_seconds() - processor) / front_seconds;
         rates
     }
 }
 
 /// A call record whose fields have realistic lengths.
-fn call(n: u64) -> CallRecord {
-    let at = SocketAddr::from(([10, 0, (n / 250 % 250) as u8, (n % 250) as u8], 5060));
+fn call_record(number: u64) -> CallRecord {
+    let caller = SocketAddr::from(([10, 0, (number / 250 % 250) as u8, (number % 250) as u8], 5060));
     CallRecord {
         epoch: 1,
-        server: SocketAddr::from(([10, 1, 0, (n % 16) as u8], 5060)),
-        leg_call_id: format!("{n:016x}-{:x}-{:x}", n % 4096, n % 65_536),
-        leg_from: format!("<sip:front@10.0.0.1>;tag={n:016x}"),
-        leg_to: format!("<sip:+91{n:010}@10.1.0.1>;tag=s{n:08x}"),
-        leg_target: format!("sip:s@10.1.0.{}:5060", n % 16),
-        call_id: format!("{n:016x}@caller.example.org"),
-        local: format!("<sip:+91{n:010}@10.0.0.1>;tag={n:016x}"),
-        remote: format!("<sip:r@example.org>;tag=g{n:08x}"),
-        target: format!("sip:r@{at}"),
-        caller: Some(at),
+        server: SocketAddr::from(([10, 1, 0, (number % 16) as u8], 5060)),
+        leg_call_id: format!("{number:016x}-{:x}-{:x}", number % 4096, number % 65_536),
+        leg_from: format!("<sip:front@10.0.0.1>;tag={number:016x}"),
+        leg_to: format!("<sip:+91{number:010}@10.1.0.1>;tag=s{number:08x}"),
+        leg_target: format!("sip:s@10.1.0.{}:5060", number % 16),
+        call_id: format!("{number:016x}@caller.example.org"),
+        local: format!("<sip:+91{number:010}@10.0.0.1>;tag={number:016x}"),
+        remote: format!("<sip:r@example.org>;tag=g{number:08x}"),
+        target: format!("sip:r@{caller}"),
+        caller: Some(caller),
     }
 }
 
@@ -250,41 +250,42 @@
     let mut sim = Sim::new(shape);
     let count = shape.fronts;
     let mut out = Size { fronts: count, calls: shape.calls, loss: shape.loss, ..Size::default() };
-    out.met_after = sim.until(120.0, |sim| {
+    out.met_after = sim.run_until(120.0, |sim| {
         let names = sim.names.clone();
         // Checked on every 20th step only: the check compares all pairs of fronts.
-        sim.look % 20 == 0
+        sim.step_number % 20 == 0
             && (0..count).all(|n| {
-                let knows = |f: &mut Fleet| names.iter().all(|of| f.replicas().incarnation(*of).number > 0);
-                sim.at(n).is_some_and(knows)
+                let knows_all =
+                    |f: &mut Fleet| names.iter().all(|of| f.replicas().incarnation(*of).number > 0);
+                sim.fleet(n).is_some_and(knows_all)
             })
     });
-    let idle = sim.rates(IDLE, |_| ());
+    let idle = sim.rates(IDLE_DURATION, |_| ());
     (out.idle_frames, out.idle_bytes) = (idle.frames, idle.bytes);
     (out.idle_received_bytes, out.idle_bytes_max) = (idle.received_bytes, idle.bytes_max);
     (out.idle_digest_bytes, out.idle_core_share) = (idle.digest_bytes, idle.core_share);
     out.memory_mb = resident_bytes().saturating_sub(resident_before) as f64 / 1e6 / count as f64;
-    spread(&mut sim, &mut out);
+    measure_spread(&mut sim, &mut out);
     if shape.calls_a_second > 0.0 {
-        churn(&mut sim, shape, &mut out);
+        measure_churn(&mut sim, shape, &mut out);
     }
     if shape.calls > 0 {
-        catch_up(&mut sim, shape, &mut out);
+        measure_catch_up(&mut sim, shape, &mut out);
     }
     out
 }
 
 /// Measures how long a warning of one front takes to reach the others.
-fn spread(sim: &mut Sim, out: &mut Size) {
+fn measure_spread(sim: &mut Sim, out: &mut Size) {
     let now = sim.now;
     let address = SocketAddr::from(([10, 1, 0, 1], 5060));
-    let word = ServerRecord { pool: 1, incarnation: 1, reported: ReportedState::Draining, age: None };
-    if let Some(front) = sim.at(0) {
-        front.publish_server(now, address, word);
+    let record = ServerRecord { pool: 1, incarnation: 1, reported: ReportedState::Draining, age: None };
+    if let Some(front) = sim.fleet(0) {
+        front.publish_server(now, address, record);
     }
     let (of, count) = (sim.names[0], sim.fronts.len());
     let mut half = None;
-    out.spread_all = sim.until(60.0, |sim| {
+    out.spread_all = sim.run_until(60.0, |sim| {
         let knows = sim.fronts.iter().flatten().filter(|f| f.0.replicas().fact_count(of) > 0).count();
         if 2 * knows > count {
             half.get_or_insert(sim.now - now);
@@ -295,83 +296,84 @@
 }
 
 /// Measures the traffic while calls begin and end.
-fn churn(sim: &mut Sim, shape: &SizeShape, out: &mut Size) {
+fn measure_churn(sim: &mut Sim, shape: &SizeShape, out: &mut Size) {
     let mut ending: BTreeMap<u64, Vec<(usize, u64)>> = BTreeMap::new();
-    let (mut next, mut due) = (1 << 40, vec![0.0; shape.fronts]);
-    let per_step = shape.calls_a_second * EVERY / FINE;
+    let (mut next, mut credit) = (1 << 40, vec![0.0; shape.fronts]);
+    let per_step = shape.calls_a_second * HEARTBEAT_INTERVAL / STEPS_PER_HEARTBEAT;
     let mut each = |sim: &mut Sim| {
-        let (now, look) = (sim.now, sim.look);
-        for (place, due) in due.iter_mut().enumerate() {
-            *due += per_step * sim.rng.random::<f64>() * 2.0;
-            while *due >= 1.0 {
-                *due -= 1.0;
+        let (now, step_number) = (sim.now, sim.step_number);
+        for (index, credit) in credit.iter_mut().enumerate() {
+            *credit += per_step * sim.rng.random::<f64>() * 2.0;
+            while *credit >= 1.0 {
+                *credit -= 1.0;
                 next += 1;
-                let ends = look + (STANDS * FINE / EVERY) as u64;
-                ending.entry(ends).or_default().push((place, next));
-                if let Some(front) = sim.at(place) {
-                    front.publish_call(now, next, Some(call(next)));
+                let ends = step_number + (CALL_DURATION * STEPS_PER_HEARTBEAT / HEARTBEAT_INTERVAL) as u64;
+                ending.entry(ends).or_default().push((index, next));
+                if let Some(front) = sim.fleet(index) {
+                    front.publish_call(now, next, Some(call_record(next)));
                 }
             }
         }
-        for (place, n) in ending.remove(&look).unwrap_or_default() {
-            if let Some(front) = sim.at(place) {
+        for (index, n) in ending.remove(&step_number).unwrap_or_default() {
+            if let Some(front) = sim.fleet(index) {
                 front.publish_call(now, n, None);
             }
         }
     };
     // Warm-up until calls end at the rate at which they begin.
-    sim.rates(STANDS, &mut each);
+    sim.rates(CALL_DURATION, &mut each);
     out.churn_bytes = sim.rates(10.0, &mut each).bytes;
     // Ends the remaining calls, so that the next measurement starts without calls.
-    for (place, n) in std::mem::take(&mut ending).into_values().flatten() {
+    for (index, n) in std::mem::take(&mut ending).into_values().flatten() {
         let now = sim.now;
-        if let Some(front) = sim.at(place) {
+        if let Some(front) = sim.fleet(index) {
             front.publish_call(now, n, None);
         }
     }
-    sim.pass(10.0);
+    sim.run_for(10.0);
 }
 
 /// Measures how a front that restarts without state gets the call records of the fleet.
-fn catch_up(sim: &mut Sim, shape: &SizeShape, out: &mut Size) {
+fn measure_catch_up(sim: &mut Sim, shape: &SizeShape, out: &mut Size) {
     let count = shape.fronts;
     for n in 0..shape.calls {
         let now = sim.now;
-        if let Some(front) = sim.at((n % count as u64) as usize) {
-            front.publish_call(now, n, Some(call(n)));
+        if let Some(front) = sim.fleet((n % count as u64) as usize) {
+            front.publish_call(now, n, Some(call_record(n)));
         }
     }
-    let has = |sim: &mut Sim, place: usize| -> u64 {
+    let call_count = |sim: &mut Sim, index: usize| -> u64 {
         let names = sim.names.clone();
-        sim.at(place)
+        sim.fleet(index)
             .map_or(0, |f| names.iter().map(|name| f.replicas().calls_of(*name).count() as u64).sum())
     };
     let all: BTreeSet<usize> = (0..count).collect();
-    let mut lacks = all.clone();
-    sim.until(600.0, |sim| {
-        if sim.look % 20 == 0 {
-            lacks = lacks.iter().copied().filter(|place| has(sim, *place) < shape.calls).collect();
+    let mut incomplete = all.clone();
+    sim.run_until(600.0, |sim| {
+        if sim.step_number % 20 == 0 {
+            incomplete =
+                incomplete.iter().copied().filter(|index| call_count(sim, *index) < shape.calls).collect();
         }
-        lacks.is_empty()
+        incomplete.is_empty()
     });
     sim.fronts[1] = None;
-    sim.pass(2.0);
+    sim.run_for(2.0);
     let before = sim.sent.clone();
     let begin = sim.now;
     sim.start(1, 2);
-    let mut second = (sim.now, sim.sent.clone());
-    let mut most = 0.0f64;
-    out.catch_up = sim.until(600.0, |sim| {
-        if sim.now - second.0 >= 1.0 {
+    let mut sample = (sim.now, sim.sent.clone());
+    let mut max_rate = 0.0f64;
+    out.catch_up = sim.run_until(600.0, |sim| {
+        if sim.now - sample.0 >= 1.0 {
             let peers = (0..count).filter(|n| *n != 1);
-            let sent = peers.map(|n| sim.sent[n].1 - second.1[n].1).max().unwrap_or(0);
-            most = most.max(sent as f64 / (sim.now - second.0));
-            second = (sim.now, sim.sent.clone());
+            let sent = peers.map(|n| sim.sent[n].1 - sample.1[n].1).max().unwrap_or(0);
+            max_rate = max_rate.max(sent as f64 / (sim.now - sample.0));
+            sample = (sim.now, sim.sent.clone());
         }
-        sim.look % 4 == 0 && has(sim, 1) >= shape.calls
+        sim.step_number % 4 == 0 && call_count(sim, 1) >= shape.calls
     });
     let idle = out.idle_bytes * (sim.now - begin) * count as f64;
     let bytes: u64 = (0..count).map(|n| sim.sent[n].1 - before[n].1).sum();
     out.catch_up_bytes = (bytes as f64 - idle).max(0.0) as u64;
-    out.most_asked = (most - out.idle_bytes).max(0.0);
+    out.most_asked = (max_rate - out.idle_bytes).max(0.0);
 }
--- a/crates/lab/src/parallel.rs
+++ b/crates/lab/src/parallel.rs
@@ -8,21 +8,21 @@
     std::thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// Runs every job on `at_once` threads and returns the results in the order of the jobs.
-pub fn each<J: Sync, R: Send>(jobs: &[J], at_once: usize, run: impl Fn(usize, &J) -> R + Sync) -> Vec<R> {
+/// Runs every job on `threads` threads and returns the results in the order of the jobs.
+pub fn each<J: Sync, R: Send>(jobs: &[J], threads: usize, run: impl Fn(usize, &J) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
-    let done = Mutex::new(Vec::with_capacity(jobs.len()));
+    let results = Mutex::new(Vec::with_capacity(jobs.len()));
     std::thread::scope(|scope| {
-        for _ in 0..at_once.max(1) {
+        for _ in 0..threads.max(1) {
             scope.spawn(|| loop {
-                let place = next.fetch_add(1, Ordering::Relaxed);
-                let Some(job) = jobs.get(place) else { return };
-                let result = run(place, job);
-                done.lock().unwrap_or_else(|e| e.into_inner()).push((place, result));
+                let index = next.fetch_add(1, Ordering::Relaxed);
+                let Some(job) = jobs.get(index) else { return };
+                let result = run(index, job);
+                results.lock().unwrap_or_else(|e| e.into_inner()).push((index, result));
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_else(|e| e.into_inner());
-    done.sort_by_key(|d| d.0);
-    done.into_iter().map(|d| d.1).collect()
+    let mut results = results.into_inner().unwrap_or_else(|e| e.into_inner());
+    results.sort_by_key(|result| result.0);
+    results.into_iter().map(|result| result.1).collect()
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -28,7 +28,10 @@
     assert_eq!(fill("text", &runs), Err(PageFault::Missing("ranking")));
     let unknown = fill("<!-- table: nothing -->\n<!-- end -->", &runs);
     assert!(unknown.unwrap_err().to_string().contains("ranking, held-against"));
-    assert_eq!(fill("<!-- table: gossip -->\n| 1 |", &runs), Err(PageFault::Endless("gossip -->".into())));
+    assert_eq!(
+        fill("<!-- table: gossip -->\n| 1 |", &runs),
+        Err(PageFault::Unterminated("gossip -->".into()))
+    );
     let folder = tempfile::tempdir().unwrap();
     assert!(
         matches!(Runs::read(folder.path()), Err(RunsFault::File { file, .. }) if file == "gossip-idle.jsonl")
