--- a/crates/lab/src/chain.rs
+++ b/crates/lab/src/chain.rs
@@ -1,5 +1,7 @@
-//! A call that passes many fronts one after the other: how tries multiply along the way, and what still runs when its
-//! caller has gone. Each hop is a real decision module under virtual time; links, servers and failures are simulated.
+//! Simulates calls that pass through several fronts in a row.
+//!
+//! Measures how setup tries multiply along the chain, and which tries still run after the caller has given
+//! up. Each hop is a real decision module under virtual time; links, servers and failures are simulated.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,72 +13,72 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Servers of one hop, as many as a service has on the average.
+/// Servers of one hop: the average number of servers of a service.
 const SERVERS: u64 = 6;
-/// A message's way from one hop to the next, seconds.
+/// Delay of a message from one hop to the next, seconds.
 const WAY: f64 = 0.001;
-/// What the last server takes to answer, seconds.
+/// Time that the last server takes to answer, seconds.
 const WORK: f64 = 0.02;
-/// Between two calls, seconds.
+/// Interval between two calls, seconds.
 const APART: f64 = 0.2;
 
-/// Which tries fail.
+/// Hops at which tries fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failing {
-    /// Those of the middle hop.
+    /// Only the middle hop.
     OneHop,
-    /// Those of every hop.
+    /// Every hop.
     AllHops,
 }
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct ChainShape {
-    /// Fronts that a call passes.
+    /// Number of fronts that a call passes through.
     pub hops: usize,
-    /// Calls.
+    /// Number of calls.
     pub calls: u32,
-    /// Part of the tries that fail where they fail.
+    /// Fraction of the tries that fail at a failing hop.
     pub failing: f64,
-    /// Where they fail.
+    /// The failing hops.
     pub at: Failing,
-    /// Seconds that callers wait.
+    /// Time after which a caller gives up, seconds.
     pub patience: f64,
-    /// The seed.
+    /// Seed of the random generator.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Clone, Debug, Serialize)]
 pub struct ChainCost {
-    /// Fronts that a call passes.
+    /// Number of fronts that a call passes through.
     pub hops: usize,
-    /// Calls.
+    /// Number of calls.
     pub calls: u32,
-    /// Part of the tries that fail, and where.
+    /// Fraction of the tries that fail at a failing hop.
     pub failing: f64,
-    /// See `failing`.
+    /// The failing hops.
     pub at: Failing,
-    /// The seed.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Part of the calls that stood.
+    /// Fraction of the calls that were established.
     pub stood: f64,
-    /// Tries that reached the last server, for each call.
+    /// Tries that reached the last server, per call.
     pub tries_at_last: f64,
-    /// Tries of all hops, for each call.
+    /// Tries of all hops, per call.
     pub tries: f64,
-    /// Seconds from a call's arrival until it stood: half of the calls, and 99 in 100.
+    /// Median of the time from a call's arrival until it is established, seconds.
     pub p50_s: f64,
-    /// See `p50_s`.
+    /// 99th percentile of the same time, seconds.
     pub p99_s: f64,
-    /// Tries that reached the last server after the caller had gone, for each call.
+    /// Tries that reached the last server after the caller had given up, per call.
     pub run_for_nobody: f64,
 }
 
 type Ue = u32;
 
-/// What happens at a hop. A try is named by its attach and its number there.
+/// An event at a hop. A try is identified by its attach and its number within the attach.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Arrives { hop: usize, call: u32, patience: f64, of: Option<(Ue, u32)> },
@@ -88,7 +90,7 @@
 
 struct Attach {
     call: u32,
-    /// The try of the hop before that it belongs to.
+    /// The try of the previous hop that this attach serves; none at the first hop.
     of: Option<(Ue, u32)>,
     tries: u32,
     out: Option<(u64, f64)>,
@@ -142,7 +144,7 @@
     }
 }
 
-/// Simulates one chain.
+/// Runs one simulation.
 pub fn measure(shape: &ChainShape) -> ChainCost {
     let mut chain = Chain::new(shape);
     while let Some(Reverse((at, number))) = chain.due.pop() {
@@ -236,7 +238,7 @@
         self.decide(now, hop);
     }
 
-    /// The call has passed all hops: the server behind the last one answers.
+    /// Handles a call that has passed all hops: the server after the last hop answers.
     fn at_last_server(&mut self, now: f64, call: u32, of: Option<(Ue, u32)>) {
         self.tries_at_last += 1;
         let gone_at = self.arrived_at[call as usize] + self.shape.patience;
@@ -265,12 +267,12 @@
         let Some(attach) = self.hops[hop].attaches.get_mut(&ue) else { return };
         let Some((pool, sent_at)) = attach.out.filter(|_| attach.tries == number) else { return };
         self.hops[hop].control.attach_established(now, ue, pool, now - sent_at);
-        // What stands is of no further interest here.
+        // Established calls are not simulated further: the try is released at once.
         self.hops[hop].control.try_ended(now, ue, pool, EndReason::Released, true, Report::default());
         self.finish(now, hop, ue, None);
     }
 
-    /// A try of that hop has ended without standing; the hop behind it is told.
+    /// Ends a try that was not established. After a timeout or a cancel, the next hop gets a cancel as well.
     fn ends(&mut self, now: f64, hop: usize, ue: Ue, number: u32, ended: EndReason) {
         let Some(attach) = self.hops[hop].attaches.get_mut(&ue) else { return };
         let Some((pool, _)) = attach.out.filter(|_| attach.tries == number) else { return };
@@ -282,7 +284,8 @@
         self.hops[hop].control.try_ended(now, ue, pool, ended, false, Report::default());
     }
 
-    /// The hop before has given the call up: whatever is in hand of it ends here and behind.
+    /// Handles a cancel from the previous hop: the call's pending attaches end here and at the hops after
+    /// this one.
     fn given_up(&mut self, now: f64, hop: usize, call: u32) {
         let of_call = self.hops[hop].attaches.iter().filter(|(_, attach)| attach.call == call);
         let ues: Vec<(Ue, u32)> = of_call.map(|(ue, attach)| (*ue, attach.tries)).collect();
@@ -293,7 +296,7 @@
         }
     }
 
-    /// The attach has its final answer: none where it stands.
+    /// Sends the final answer of an attach to the previous hop; `ended` is none if the attach is established.
     fn finish(&mut self, now: f64, hop: usize, ue: Ue, ended: Option<EndReason>) {
         let Some(attach) = self.hops[hop].attaches.remove(&ue) else { return };
         match attach.of {
@@ -312,7 +315,7 @@
                 Decision::Cancel { ue, setup_try } => {
                     self.ends(now, hop, ue, setup_try + 1, EndReason::Cancelled)
                 }
-                // To the hop before, a refusal proves that nothing ran; a failure does not.
+                // A refusal proves to the previous hop that no procedure ran; a failure does not.
                 Decision::Refuse { ue, .. } => {
                     self.finish(now, hop, ue, Some(EndReason::Throttled { wait: None }));
                 }
@@ -320,7 +323,7 @@
                 Decision::Probe { pool } => {
                     self.hops[hop].control.pool_reported(now, pool, true, Report::default());
                 }
-                // A chain that is over needs no more turns.
+                // After the end of the simulation no more timers are needed.
                 Decision::Wake { after } if !self.is_over(now) => self.at(now + after, Event::Wake { hop }),
                 Decision::Wake { .. } => {}
             }
--- a/crates/lab/src/throughput.rs
+++ b/crates/lab/src/throughput.rs
@@ -1,6 +1,8 @@
-//! How many attaches a second go through one front, against a bare relay on the same sockets that decides
-//! nothing: a stateless proxy (RFC 3261 section 16.11) that adds a Via on the way there and takes it off on
-//! the way back. And what time a front adds at half of that rate.
+//! Measures the throughput of one front in attaches per second, and the latency that it adds at half of that
+//! rate.
+//!
+//! The reference is a bare relay on the same sockets: a stateless proxy (RFC 3261 section 16.11) that makes
+//! no decisions, adds a Via to requests and removes it from responses.
 
 use crate::resources::resident_bytes;
 use crate::scenario::{Scenario, BAD_DAY};
@@ -24,61 +26,65 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Servers in scope, where nothing else is asked for.
+/// Default number of servers.
 pub(crate) const SERVERS: usize = 16;
-/// Attaches in flight in the closed loop.
+/// Pending attaches in the closed loop.
 pub(crate) const WINDOW: usize = 320;
 
 const AT_ONCE: Duration = Duration::ZERO;
 
-/// One measurement.
+/// Results of one measurement.
 #[derive(Clone, Debug)]
 pub struct Measured {
+    /// Attaches established per second.
     pub per_second: f64,
-    /// Never answered.
+    /// Attaches without an answer.
     pub lost: u64,
     pub refused: u64,
+    /// Median setup time, microseconds.
     pub p50_us: u64,
+    /// 99th percentile of the setup time, microseconds.
     pub p99_us: u64,
 }
 
-/// All rounds.
+/// Results of all rounds.
 #[derive(Clone, Debug, Default)]
 pub struct Throughput {
-    /// Relay and front, closed loop, then both at half of the front's rate.
+    /// Per round: relay and front in a closed loop, then relay and front at half of the front's rate.
     pub rounds: Vec<[Measured; 4]>,
-    /// The front's own state at the end.
+    /// Status that the front reports at the end.
     pub snapshot: Option<FrontStatus>,
-    /// Bytes of resident memory that each attach in hand adds.
+    /// Resident memory that each pending attach adds, bytes.
     pub bytes_an_attach: f64,
 }
 
-/// How set-ups follow each other.
+/// Rate control of the generated load.
 #[derive(Clone, Copy)]
 pub(crate) enum Pace {
-    /// So many are out at any time.
+    /// Closed loop with that many pending attaches.
     Closed(usize),
-    /// So many a second.
+    /// Open loop with that many attaches per second.
     Open(f64),
 }
 
-/// What is asked of a front or of the relay.
+/// Load generated on a front or on the relay.
 pub(crate) struct Load {
     pub pace: Pace,
     pub seconds: f64,
-    /// How long a call stands.
+    /// Duration of a call.
     pub stands: Duration,
-    /// Calls take turns at so many trunk groups.
+    /// Number of trunk groups, and so of servers, over which the calls are distributed in turn.
     pub servers: usize,
 }
 
 impl Load {
-    /// Over the usual number of servers.
+    /// Load over the default number of servers.
     pub fn of(pace: Pace, seconds: f64, stands: Duration) -> Load {
         Load { pace, seconds, stands, servers: SERVERS }
     }
 }
 
+/// Stand-in servers and the feed that lists them.
 pub(crate) struct Servers {
     hosted: Vec<HostedServer>,
     addresses: Vec<SocketAddr>,
@@ -95,7 +101,7 @@
     }
 }
 
-/// Servers whose work takes next to no time; `never` makes them take set-ups and not answer.
+/// Starts servers with negligible processing time; with `never`, they accept setups and never answer.
 pub(crate) fn servers(scenario: &Scenario, ground: &MonotonicClock, never: bool) -> io::Result<Servers> {
     let trace = Trace::off();
     let mut list = Feed::new(1, 1, 0.0);
@@ -116,6 +122,7 @@
     Ok(Servers { hosted, addresses, feed: address, list })
 }
 
+/// Scenario of one front and `servers` servers whose capacity does not limit the measurement.
 pub(crate) fn scenario(servers: usize) -> io::Result<Scenario> {
     let mut scenario = Scenario::read(BAD_DAY).map_err(io::Error::other)?;
     scenario.fleet.servers = servers;
@@ -123,12 +130,12 @@
     scenario.servers.capacity = 1e6;
     scenario.servers.lines = 10_000_000;
     scenario.servers.speeds = vec![1.0];
-    // Longer than what busy sockets add: else the front takes their noise for crowded servers.
+    // Longer than the delay that busy sockets add: otherwise the front treats that delay as server overload.
     scenario.servers.ring = 0.008;
     Ok(scenario)
 }
 
-/// Measures `rounds` pairs of `seconds` each.
+/// Measures `rounds` rounds of four measurements of `seconds` each, then the memory of pending attaches.
 pub fn measure(seconds: f64, rounds: usize) -> io::Result<Throughput> {
     let scenario = scenario(SERVERS)?;
     let ground = MonotonicClock::new();
@@ -157,30 +164,30 @@
     Ok(out)
 }
 
-/// What a front adds to a set-up at a given rate, against the bare relay.
+/// Latency that a front adds to a setup at a given rate, compared with the bare relay.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Added {
-    /// Set-ups a second.
+    /// Setups per second.
     pub rate: f64,
-    /// Servers in scope.
+    /// Number of servers.
     pub servers: usize,
-    /// Microseconds: relay, front, and what the front adds, for half of the set-ups and for 99 in 100.
+    /// Median setup time through the relay, microseconds.
     pub relay_p50_us: u64,
-    /// See `relay_p50_us`.
+    /// 99th percentile of the setup time through the relay, microseconds.
     pub relay_p99_us: u64,
-    /// See `relay_p50_us`.
+    /// Median setup time through the front, microseconds.
     pub front_p50_us: u64,
-    /// See `relay_p50_us`.
+    /// 99th percentile of the setup time through the front, microseconds.
     pub front_p99_us: u64,
-    /// See `relay_p50_us`.
+    /// Difference of the medians, front minus relay, microseconds.
     pub added_p50_us: i64,
-    /// See `relay_p50_us`.
+    /// Difference of the 99th percentiles, front minus relay, microseconds.
     pub added_p99_us: i64,
-    /// Set-ups that were lost or refused at the front.
+    /// Setups that were lost or refused at the front.
     pub failed: u64,
 }
 
-/// Measures relay and front in turn at that rate, `rounds` times.
+/// Measures the relay and the front in turn at a rate of setups per second, `rounds` times.
 pub fn measure_added(seconds: f64, rounds: usize, rate: f64, in_scope: usize) -> io::Result<Vec<Added>> {
     let scenario = scenario(in_scope)?;
     let ground = MonotonicClock::new();
@@ -211,7 +218,8 @@
     Ok(out)
 }
 
-/// Resident bytes that an attach in hand adds: thousands are asked of servers that never answer.
+/// Measures the resident memory per pending attach, bytes, with thousands of attaches to servers that never
+/// answer.
 fn memory() -> io::Result<f64> {
     let scenario = scenario(SERVERS)?;
     let ground = MonotonicClock::new();
@@ -235,6 +243,7 @@
     Ok(grown as f64 / (held.max(1) as f64))
 }
 
+/// The INVITE that sets up a call.
 fn invite(host: &str, to: SocketAddr, call: u64, servers: usize) -> Vec<u8> {
     Writer::request(
         Method::Invite,
@@ -253,6 +262,7 @@
     .finish()
 }
 
+/// A request within the dialog of an established call: ACK or BYE.
 fn within(host: &str, to: SocketAddr, call: u64, tag: &str, method: Method) -> Vec<u8> {
     let cseq = if method == Method::Ack { 1 } else { 2 };
     Writer::request(method, &format!("sip:+91{call:09}@{to}"))
@@ -265,16 +275,18 @@
         .finish()
 }
 
-/// Sets calls up and releases them when they have stood for so long, from one thread of its own. Those that stand at the
-/// end of the measurement are released in their time, too, so that the next one does not begin in a crowd of releases.
+/// Sets up calls and releases each after its duration, on the calling thread.
+///
+/// Calls that are established at the end of the measurement are released on schedule, too, so that the next
+/// measurement does not start amid a burst of releases.
 pub(crate) fn drive(to: SocketAddr, load: &Load) -> io::Result<Measured> {
     let Load { pace, seconds, stands, servers } = *load;
     let socket = std::net::UdpSocket::bind("127.0.0.1:0")?;
     socket.set_read_timeout(Some(Duration::from_micros(200)))?;
     let host = socket.local_addr()?.to_string();
     let mut delays = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-    // When each call that is out was due to be sent: the open loop's delays count from there, so that a
-    // slow answer does not hide the calls that waited behind it.
+    // Scheduled sending time of each pending call. Delays in the open loop count from there, so that a slow
+    // answer does not hide the delay of the calls behind it.
     let mut out: HashMap<u64, Instant> = HashMap::new();
     let (mut next, mut done, mut lost, mut refused) = (0u64, 0u64, 0u64, 0u64);
     let begin = Instant::now();
@@ -343,7 +355,7 @@
     })
 }
 
-/// The bare relay.
+/// The bare relay: one UDP socket for callers and one TCP connection per server.
 struct Relay {
     address: SocketAddr,
     handles: Vec<Handle>,
@@ -392,7 +404,8 @@
     }
 }
 
-/// One request on its way: a Via on top, by turns of the call's own number.
+/// Forwards a request with a Via added on top, to a server chosen by the call's number modulo the number of
+/// servers.
 fn there(bytes: &[u8], from: SocketAddr, own: SocketAddr, links: &[Arc<Mutex<StreamWriter>>]) {
     let Ok(message) = Message::parse(bytes) else { return };
     let (Ok(via), Ok(id)) = (message.via(), message.call_id()) else { return };
@@ -407,7 +420,7 @@
     link.lock().unwrap_or_else(|e| e.into_inner()).write(&out, || {});
 }
 
-/// One response on its way back: the topmost Via off.
+/// Forwards a response to the caller with the topmost Via removed.
 fn back(frame: &[u8], udp: &UdpSocket) {
     let Ok(message) = Message::parse(frame) else { return };
     let Some(via) = message.header("Via") else { return };
@@ -422,7 +435,7 @@
     let mut out = Vec::with_capacity(frame.len());
     out.extend_from_slice(&frame[..at]);
     out.extend_from_slice(&frame[at + length + 2..]);
-    // A datagram that is lost counts as a lost attach.
+    // A send error is not handled: the attach then counts as lost.
     let _ = udp.inner().send_to(&out, from);
 }
 
@@ -464,7 +477,7 @@
         }
         writeln!(
             f,
-            "resident bytes an attach in hand (front and stand-in servers together): {:.0}",
+            "resident bytes per pending attach (front and stand-in servers together): {:.0}",
             self.bytes_an_attach
         )
     }
