--- a/crates/standin/src/checker.rs
+++ b/crates/standin/src/checker.rs
@@ -1,31 +1,32 @@
-//! Checks the five rules over a trace of what passed on the sockets; it never asks a front.
+//! Checks the five rules over a trace of the messages that the peers sent and received; it never asks a
+//! front.
 
 use crate::processor::{warmth, Cold};
 use crate::trace::{Entry, FrontId, Seen, ServerId};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-/// The figures of the rules, seconds, and what the sockets' own delay may add to each.
+/// Limits of the rules, seconds, and the allowance for the sockets' delay.
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
-    /// Rule 1: an answer so long after the caller's time is up still counts.
+    /// Rule 1: an answer within this time after the caller's patience has ended is still in time.
     pub answer_slack: f64,
-    /// Rule 3.
+    /// Rule 3: time after the report of a drain within which set-ups may still be sent to that server.
     pub drain_grace: f64,
-    /// Rule 5.
+    /// Rule 5: minimum time between an abandoned try and the next one.
     pub release_guard: f64,
-    /// Rule 4.
+    /// Rule 4: capacity of a cold server.
     pub cold: Cold,
-    /// What passing the sockets may take.
+    /// Allowance for the delay of the sockets.
     pub passing: f64,
-    /// So long what one source took out is not brought back by the other.
+    /// A server that one source (pool list or DNS) removed is not restored by the other within this time.
     pub hold: f64,
 }
 
-/// What a process that went on may take to find its feet, seconds.
-const STIRRING: f64 = 0.1;
+/// Allowance for a stopped process to run again after it was continued, seconds.
+const RESUME_ALLOWANCE: f64 = 0.1;
 
-/// One broken rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
     pub rule: u8,
@@ -33,17 +34,17 @@
     pub what: String,
 }
 
-/// What the checker found.
+/// Result of a check.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub broken: Vec<Broken>,
-    /// Attaches asked of a front that was running until their time was up, and never answered.
+    /// Attaches without an answer whose front ran until the caller's patience ended.
     pub unanswered: u64,
     pub attaches: u64,
-    /// Attaches not judged since their front was killed in their time.
+    /// Attaches that are not evaluated because their front was killed before their deadline.
     pub killed: u64,
-    /// Attaches whose time ended while their front was stopped from outside: a process that does not run
-    /// answers nobody. They must be answered as soon as it goes on.
+    /// Attaches whose patience ended while their front's process was stopped from outside, so that it could
+    /// not answer. They must be answered as soon as it continues.
     pub held_up: u64,
     pub set_ups: u64,
 }
@@ -68,17 +69,17 @@
     server: ServerId,
     front: FrontId,
     from: f64,
-    /// When it was out no more, and whether the guard binds after it.
+    /// When the try ended, and whether `release_guard` applies after it.
     ended: Option<(f64, bool)>,
-    stood: Option<f64>,
+    established: Option<f64>,
     released: bool,
 }
 
-/// Checks a trace in order of time.
+/// Checks a trace, which must be in order of time.
 pub fn check(entries: &[Entry], figures: &Figures) -> Verdict {
     let mut checker = Checker::new(figures);
     for (now, seen) in entries {
-        checker.take(*now, seen);
+        checker.observe(*now, seen);
     }
     let end = entries.last().map_or(0.0, |e| e.0);
     checker.finish(end)
@@ -91,15 +92,17 @@
     legs: Vec<Leg>,
     by_leg: HashMap<Arc<str>, usize>,
     by_session: HashMap<Arc<str>, Vec<usize>>,
-    /// Per front and server: since when it has been told that it is not ready.
+    /// Per front and server: when the list first reported to the front that the server is not ready.
     not_ready: HashMap<(FrontId, ServerId), f64>,
-    /// Per front and server: when DNS last named it, and since when it no longer does.
+    /// Per front and server: when a DNS answer last named the server, and when one first omitted it since.
     named: HashMap<(FrontId, ServerId), (f64, Option<f64>)>,
+    /// Per server: time of its last start, whether it was cold, set-ups a second when warm.
     started: HashMap<ServerId, (f64, bool, f64)>,
+    /// Per cold server: times of the set-ups in the current window.
     recent: HashMap<ServerId, VecDeque<f64>>,
     stopped: HashMap<ServerId, Vec<f64>>,
     killed: HashMap<FrontId, Vec<f64>>,
-    /// When each front was stopped and went on.
+    /// Per front: when its process was stopped and when it continued.
     stops: HashMap<FrontId, Vec<(f64, f64)>>,
 }
 
@@ -126,7 +129,7 @@
         self.verdict.broken.push(Broken { rule, at, what });
     }
 
-    fn take(&mut self, now: f64, seen: &Seen) {
+    fn observe(&mut self, now: f64, seen: &Seen) {
         match seen {
             Seen::Asked { front, session, until } => {
                 self.verdict.attaches += 1;
@@ -144,7 +147,7 @@
             Seen::ServerAnswered { leg, status, .. } => {
                 if let Some(&place) = self.by_leg.get(leg) {
                     if (200..300).contains(status) {
-                        self.legs[place].stood = Some(now);
+                        self.legs[place].established = Some(now);
                     }
                 }
                 self.ended(leg, now, false);
@@ -165,7 +168,7 @@
             Seen::Stopped { server } => {
                 self.stopped.entry(*server).or_default().push(now);
                 for leg in self.legs.iter_mut().filter(|l| l.server == *server) {
-                    // What was out is reset; what stood is gone.
+                    // Pending tries are reset, established calls are lost.
                     if leg.ended.is_none() {
                         leg.ended = Some((now, true));
                     }
@@ -194,7 +197,7 @@
                 self.not_ready.retain(|(f, _), _| f != front);
                 self.named.retain(|(f, _), _| f != front);
                 for leg in self.legs.iter_mut().filter(|l| l.front == *front) {
-                    // What a killed front held is no longer its duty.
+                    // A killed front is no longer responsible for its legs.
                     leg.ended.get_or_insert((now, false));
                     leg.released = true;
                 }
@@ -231,7 +234,7 @@
             session.finals.len() == 1 && session.withdrawn.is_none() && now > session.until + slack;
         let (front, until) = (session.front, session.until);
         let stops = self.stops.get(&front).map_or(&[][..], Vec::as_slice);
-        if late && stops.iter().any(|s| s.0 <= until + slack && now <= s.1 + slack + STIRRING) {
+        if late && stops.iter().any(|s| s.0 <= until + slack && now <= s.1 + slack + RESUME_ALLOWANCE) {
             self.verdict.held_up += 1;
             late = false;
         }
@@ -277,9 +280,9 @@
                 Some(_) => {}
             }
         }
-        if let Some(told) = self.taken_out(now, front, server) {
-            if now > told + self.figures.drain_grace + passing {
-                let late = now - told;
+        if let Some(reported) = self.removed_since(now, front, server) {
+            if now > reported + self.figures.drain_grace + passing {
+                let late = now - reported;
                 self.broken(
                     3,
                     now,
@@ -287,7 +290,7 @@
                 );
             }
         }
-        self.cold(now, server);
+        self.check_cold_load(now, server);
         self.by_session.entry(name.clone()).or_default().push(self.legs.len());
         self.by_leg.insert(leg.clone(), self.legs.len());
         self.legs.push(Leg {
@@ -296,18 +299,19 @@
             front,
             from: now,
             ended: None,
-            stood: None,
+            established: None,
             released: false,
         });
     }
 
-    /// Since when this front knows that the server drains or is gone. The list's word holds until the list
-    /// says otherwise, or DNS names the server after the hold; that of DNS holds within it.
-    fn taken_out(&self, now: f64, front: FrontId, server: ServerId) -> Option<f64> {
+    /// When this front was informed that the server drains or was removed. A report of the list applies until
+    /// the list reports otherwise, or until DNS names the server after the hold; one of DNS applies during
+    /// the hold.
+    fn removed_since(&self, now: f64, front: FrontId, server: ServerId) -> Option<f64> {
         let hold = self.figures.hold;
         let named = self.named.get(&(front, server));
         let by_list = self.not_ready.get(&(front, server)).copied();
-        let by_list = by_list.filter(|told| !named.is_some_and(|n| n.1.is_none() && n.0 >= told + hold));
+        let by_list = by_list.filter(|at| !named.is_some_and(|n| n.1.is_none() && n.0 >= at + hold));
         let by_dns = named.and_then(|n| n.1).filter(|at| now < at + hold);
         match (by_list, by_dns) {
             (Some(a), Some(b)) => Some(a.min(b)),
@@ -315,7 +319,8 @@
         }
     }
 
-    fn cold(&mut self, now: f64, server: ServerId) {
+    /// Rule 4: the load on a cold server within one window.
+    fn check_cold_load(&mut self, now: f64, server: ServerId) {
         let Some(&(started, true, capacity)) = self.started.get(&server) else { return };
         let cold = &self.figures.cold;
         let age = now - started;
@@ -327,14 +332,14 @@
             recent.pop_front();
         }
         recent.push_back(now);
-        let can = capacity * warmth(cold, age) * cold.fall_after;
-        let (sent, most) = (recent.len() as f64, (cold.tip_multiple * can).max(2.0));
-        if sent > most {
+        let served = capacity * warmth(cold, age) * cold.fall_after;
+        let (sent, limit) = (recent.len() as f64, (cold.tip_multiple * served).max(2.0));
+        if sent > limit {
             self.broken(
                 4,
                 now,
                 format!(
-                    "{sent} set-ups within {} s for cold server {server}: {most:.1} at most",
+                    "{sent} set-ups within {} s for cold server {server}: {limit:.1} at most",
                     cold.fall_after
                 ),
             );
@@ -349,7 +354,7 @@
                 continue;
             }
             let killed = self.killed.get(&session.front);
-            // Dead in its time, or dead already when it asked and up again later.
+            // Killed while the attach was pending, or down already when it was sent and restarted later.
             if killed.is_some_and(|k| k.iter().any(|&t| t >= session.asked - 10.0 && t <= last)) {
                 self.verdict.killed += 1;
             } else if session.withdrawn.is_none_or(|w| w >= session.until) {
@@ -359,12 +364,12 @@
                 self.broken(1, last, format!("{name} was withdrawn and got no final answer"));
             }
         }
-        // A call that stands at a server although its caller was told otherwise must be released.
+        // A call that is established at a server although its caller received a refusal must be released.
         let legs = std::mem::take(&mut self.legs);
         for leg in &legs {
-            let (Some(stood), false) = (leg.stood, leg.released) else { continue };
-            let told = sessions.get(&leg.session).map(|s| s.finals.iter().any(|f| f.1 < 300));
-            if told == Some(false) && end > stood + 5.0 {
+            let (Some(established), false) = (leg.established, leg.released) else { continue };
+            let accepted = sessions.get(&leg.session).map(|s| s.finals.iter().any(|f| f.1 < 300));
+            if accepted == Some(false) && end > established + 5.0 {
                 let what = format!(
                     "{} stands at server {} although its caller was told otherwise",
                     leg.session, leg.server
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Scripted peers of a front (servers, callers, pool list, name server) and the checker of the five rules. The
-//! state machines (`server`, `callers`, `feed`) perform no I/O and take the time as an argument, so that the
-//! same code runs on sockets (`net`) and under virtual time. The checker reads only the trace of the messages
-//! that the peers sent and received.
+//! Scripted peers of a front (servers, callers, pool list, name server) and the checker of the five rules.
+//! The state machines (`server`, `callers`, `feed`) perform no I/O and take the time as an argument, so that
+//! the same code runs on sockets (`net`) and under virtual time. The checker reads only the trace of the
+//! messages that the peers sent and received.
 
 pub mod callers;
 pub mod checker;
--- a/crates/standin/src/names.rs
+++ b/crates/standin/src/names.rs
@@ -1,4 +1,5 @@
-//! A name server on sockets: one port for UDP and TCP. Its owner supplies the function that answers questions.
+//! A name server on sockets: one port for UDP and TCP. Its owner supplies the function that answers
+//! questions.
 
 use crate::nameserver::Reply;
 use may::net::{TcpListener, TcpStream, UdpSocket};
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -155,7 +155,8 @@
     Some(())
 }
 
-/// A server that says its state and reads nothing, with sockets that hold next to nothing, until it is told to.
+/// A server that says its state and reads nothing, with sockets that hold next to nothing, until it is told
+/// to.
 pub struct DeafServer {
     pub address: SocketAddr,
     streams: Shared<Vec<(SocketAddr, TcpStream)>>,
@@ -183,8 +184,8 @@
         Ok(DeafServer { address, streams })
     }
 
-    /// Reads at last: the ids of all set-ups that come whole on each connection made so far, until it has ended or has
-    /// been silent for that long.
+    /// Reads at last: the ids of all set-ups that come whole on each connection made so far, until it has
+    /// ended or has been silent for that long.
     pub fn hear(&self, silent_for: Duration) -> io::Result<Vec<Heard>> {
         let mut heard = Vec::new();
         for (peer, stream) in locked(&self.streams).drain(..) {
--- a/crates/standin/src/presence.rs
+++ b/crates/standin/src/presence.rs
@@ -1,4 +1,5 @@
-//! Whether a stand-in server is there: it serves, its process hangs, or its machine has vanished from the network.
+//! Availability of a scripted server: it serves, its process hangs, or its machine has vanished from the
+//! network.
 
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io;
@@ -8,20 +9,20 @@
 
 /// Connections that wait to be accepted while the server serves or hangs.
 const ORDINARY_BACKLOG: i32 = 128;
-/// A connection on loopback that is not made within this is not made at all.
-const NOT_MADE: Duration = Duration::from_millis(100);
-/// Between two looks at whether it serves again.
-const WAITS: Duration = Duration::from_millis(10);
-/// Connections that fill the smallest queue of a listener, and some more.
-const MOST_FILLERS: usize = 64;
+/// A loopback connection that is not established within this time meets a full accept queue.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Interval at which a vanished server checks whether it is back.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Upper bound on the connections that fill a listener's smallest accept queue.
+const MAX_FILLERS: usize = 64;
 
-/// What a server does.
+/// State of a server as its clients experience it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
     Serving,
-    /// Its connections stay open and silent, and new ones are made by the system alone.
+    /// Its connections stay open and silent; new ones are established by the kernel and never served.
     Hanging,
-    /// Its connections stay open and silent, and new ones never come up.
+    /// Its connections stay open and silent; new ones are never established.
     Vanished,
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl PresenceSwitch {
-    /// For a server that listens on each of these.
+    /// Creates the switch of a server with these listeners.
     pub fn new(listeners: Vec<TcpListener>) -> PresenceSwitch {
         PresenceSwitch {
             shared: Arc::new((Mutex::new(Presence::Serving), Condvar::new())),
@@ -43,9 +44,9 @@
         }
     }
 
-    /// Changes what the server does. What came meanwhile is dealt with when it serves again.
+    /// Changes the state. Input that arrives in between is handled when the server serves again.
     pub fn set(&self, presence: Presence) -> io::Result<()> {
-        // Before anybody takes them for callers.
+        // The fillers are closed first, so that `accept` does not return them as clients.
         self.fillers.lock().unwrap_or_else(PoisonError::into_inner).clear();
         *self.shared.0.lock().unwrap_or_else(PoisonError::into_inner) = presence;
         self.shared.1.notify_all();
@@ -63,29 +64,30 @@
         *self.shared.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The process ends: from now on its address refuses connections.
+    /// Ends the process: from then on its address refuses connections.
     pub fn close(&self) -> io::Result<()> {
         self.fillers.lock().unwrap_or_else(PoisonError::into_inner).clear();
-        // A listener that is shut down listens no more, and whoever waits in `accept` is woken with an error.
+        // A shut-down listener no longer accepts, and a thread that waits in `accept` is woken with an error.
         let mut listeners = self.listeners.iter();
         listeners.try_for_each(|listener| SockRef::from(listener).shutdown(std::net::Shutdown::Both))
     }
 
-    /// Blocks its caller for as long as the server does not serve.
+    /// Blocks the calling thread until the server serves.
     pub fn wait_until_serving(&self) {
         let presence = self.shared.0.lock().unwrap_or_else(PoisonError::into_inner);
         let not_serving = |presence: &mut Presence| *presence != Presence::Serving;
         drop(self.shared.1.wait_while(presence, not_serving));
     }
 
-    /// The next connection to that listener: the system makes it also for a server that hangs.
+    /// Returns the next connection of that listener, also for a hanging server, whose connections the kernel
+    /// establishes.
     pub fn accept(&self, listener: usize) -> io::Result<TcpStream> {
         loop {
             let (stream, _) = self.listeners[listener].accept()?;
             while self.get() == Presence::Vanished {
-                std::thread::sleep(WAITS);
+                std::thread::sleep(POLL_INTERVAL);
             }
-            // One that filled the queue, or whose caller has given it up since, has ended.
+            // A filler, or a connection that its client has closed since, has ended.
             stream.set_nonblocking(true)?;
             let has_ended = matches!(stream.peek(&mut [0]), Ok(0));
             stream.set_nonblocking(false)?;
@@ -95,18 +97,22 @@
         }
     }
 
-    /// Fills the listener's queue: a full one drops whatever else wants to connect, as no machine at all would.
+    /// Fills the listener's accept queue. The kernel drops further connection attempts, as if there were no
+    /// machine.
     fn fill_queue(&self, listener: &TcpListener) -> io::Result<()> {
         let to: SocketAddr = listener.local_addr()?;
         let begin = Instant::now();
-        for _ in 0..MOST_FILLERS {
+        for _ in 0..MAX_FILLERS {
             let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-            let made = filler.connect_timeout(&to.into(), NOT_MADE).is_ok();
+            let established = filler.connect_timeout(&to.into(), CONNECT_TIMEOUT).is_ok();
             self.fillers.lock().unwrap_or_else(PoisonError::into_inner).push(filler);
-            if !made {
+            if !established {
                 return Ok(());
             }
         }
-        Err(io::Error::other(format!("the queue of {to} takes more and more: {:?}", begin.elapsed())))
+        Err(io::Error::other(format!(
+            "the accept queue of {to} is not full after {MAX_FILLERS} connections in {:?}",
+            begin.elapsed()
+        )))
     }
 }
--- a/crates/standin/src/processor.rs
+++ b/crates/standin/src/processor.rs
@@ -1,4 +1,5 @@
-//! A simulated processor with one queue: jobs and their work, cold start and warm-up, collapse under overload.
+//! A simulated processor with one queue: jobs and their work, cold start and warm-up, collapse under
+//! overload.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -158,8 +159,8 @@
         self.running.as_ref().map_or(f64::INFINITY, |r| r.1)
     }
 
-    /// Returns a job that has ended by now. The next one begins at the end of this job, not at the time of the
-    /// call, so that late calls do not slow the queue down.
+    /// Returns a job that has ended by now. The next one begins at the end of this job, not at the time of
+    /// the call, so that late calls do not slow the queue down.
     pub fn finished(&mut self, now: f64) -> Option<Job<T>> {
         let (job, end) = self.running.filter(|r| r.1 <= now)?;
         self.running = None;
--- a/crates/standin/src/terms.rs
+++ b/crates/standin/src/terms.rs
@@ -1,5 +1,5 @@
-//! Acceptance rules beyond the five rules, evaluated over the same trace: attempts for callers that have left,
-//! the load of all fronts on a cold server, restarts of fronts.
+//! Acceptance rules beyond the five rules, evaluated over the same trace: attempts for callers that have
+//! left, the load of all fronts on a cold server, restarts of fronts.
 
 use crate::processor::{warmth, Cold};
 use crate::trace::{Entry, FrontId, Seen, ServerId};
--- a/crates/standin/src/trace.rs
+++ b/crates/standin/src/trace.rs
@@ -1,4 +1,4 @@
-//! What passed on the sockets, as each far end saw it, on one monotonic clock.
+//! The trace of a run: messages as the peers of the fronts sent and received them, on one monotonic clock.
 
 use std::sync::{Arc, Mutex};
 
@@ -7,16 +7,16 @@
 /// A front, by its number in the fleet.
 pub type FrontId = usize;
 
-/// One thing that passed, or that the lab did to a front or server.
+/// One event: a message sent or received, or an action of the lab on a front or server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    /// A caller sent the first copy of its INVITE. `utility` and `target` say what it is worth.
+    /// A caller sent the first copy of its INVITE; `until` is the end of its patience.
     Asked {
         front: FrontId,
         session: Arc<str>,
         until: f64,
     },
-    /// A final answer reached the caller; repeats of it are here too.
+    /// A final answer reached the caller; retransmissions are recorded too.
     Answered {
         session: Arc<str>,
         status: u16,
@@ -26,7 +26,7 @@
     Withdrawn {
         session: Arc<str>,
     },
-    /// The caller closed or reset the connection that its set-up came on.
+    /// The caller closed or reset the connection on which it sent its set-up.
     Gone {
         session: Arc<str>,
     },
@@ -72,15 +72,15 @@
         cold: bool,
         capacity: f64,
     },
-    /// A processor fell over.
+    /// A processor collapsed under overload.
     Fell {
         server: ServerId,
     },
-    /// A processor ended: all it held is lost.
+    /// A processor ended: all its calls are lost.
     Stopped {
         server: ServerId,
     },
-    /// The feed wrote to a front that this server is ready (or not).
+    /// The pool list reported to a front that this server is ready or not.
     Told {
         front: FrontId,
         server: ServerId,
@@ -95,28 +95,29 @@
     FrontLaunched {
         front: FrontId,
     },
-    /// It serves: it has answered a test.
+    /// A front serves: it has answered a probe.
     FrontUp {
         front: FrontId,
     },
     FrontKilled {
         front: FrontId,
     },
-    /// The lab stopped a front's process, or let it go on.
+    /// The lab stopped a front's process.
     FrontStopped {
         front: FrontId,
     },
+    /// The lab continued a stopped front's process.
     FrontGoesOn {
         front: FrontId,
     },
 }
 
-/// A time and what passed then.
+/// The time of an event, seconds, and the event.
 pub type Entry = (f64, Seen);
 
-/// Entries that are kept together: a trace grows by whole chunks, since moving a long one would hold up
-/// every core that adds to it.
-const CHUNK: usize = 1 << 14;
+/// Entries in one chunk. A trace grows by whole chunks, since reallocating a long vector would block every
+/// state machine that adds to it.
+const CHUNK_SIZE: usize = 1 << 14;
 
 /// A trace that several coroutines add to.
 #[derive(Clone)]
@@ -129,7 +130,7 @@
 }
 
 impl Trace {
-    /// Keeps nothing: for measurements of speed.
+    /// Returns a trace that discards all entries, for throughput measurements.
     pub fn off() -> Trace {
         Trace(None)
     }
@@ -142,8 +143,8 @@
         let Some(chunks) = &self.0 else { return };
         let mut chunks = chunks.lock().unwrap_or_else(|e| e.into_inner());
         for entry in entries {
-            if chunks.last().is_none_or(|c| c.len() == CHUNK) {
-                chunks.push(Vec::with_capacity(CHUNK));
+            if chunks.last().is_none_or(|c| c.len() == CHUNK_SIZE) {
+                chunks.push(Vec::with_capacity(CHUNK_SIZE));
             }
             if let Some(chunk) = chunks.last_mut() {
                 chunk.push(entry);
@@ -151,7 +152,8 @@
         }
     }
 
-    /// All of it so far, in order of time; entries of equal time keep the order they came in.
+    /// Returns all entries so far in order of time; entries of equal time keep the order in which they were
+    /// added.
     pub fn sorted(&self) -> Vec<Entry> {
         let Some(chunks) = &self.0 else { return Vec::new() };
         let mut entries = chunks.lock().unwrap_or_else(|e| e.into_inner()).concat();
--- a/crates/standin/tests/theory.rs
+++ b/crates/standin/tests/theory.rs
@@ -1,5 +1,5 @@
-//! The simulated processor against queueing theory, where a formula exists. Seeds are fixed, so that every run
-//! has the same result; the tolerance follows from the number of jobs.
+//! The simulated processor against queueing theory, where a formula exists. Seeds are fixed, so that every
+//! run has the same result; the tolerance follows from the number of jobs.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -42,7 +42,8 @@
     waits.map(|(sum, count)| (sum / count.max(1) as f64, count))
 }
 
-/// Pollaczek and Khinchine for a fixed service time (M/D/1): the mean wait is load / (2 (1 - load)) service times.
+/// Pollaczek and Khinchine for a fixed service time (M/D/1): the mean wait is load / (2 (1 - load)) service
+/// times.
 #[test]
 fn a_single_queue_with_fixed_service_time_waits_as_m_d_1_predicts() {
     for (load, error) in [(0.3, 0.03), (0.6, 0.03), (0.8, 0.05), (0.9, 0.1)] {
