--- a/crates/cli/tests/dense_trials.rs
+++ b/crates/cli/tests/dense_trials.rs
@@ -4,8 +4,8 @@
 
 use shalespindle_trials::plan::plan;
 use shalespindle_trials::record::Event;
-use shalespindle_trials::terms::{breaches, Breach, Terms};
-use shalespindle_trials::{play, Outcome, Settings};
+use shalespindle_trials::rules::{breaches, Breach, RuleLimits};
+use shalespindle_trials::{run, Outcome, Settings};
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -13,19 +13,19 @@
 const CI_SEEDS: &str = "1-6";
 const CI_JOBS: usize = 2;
 
-fn terms(settings: &Settings) -> Terms {
-    Terms {
+fn terms(settings: &Settings) -> RuleLimits {
+    RuleLimits {
         guard: settings.guard,
         drain_grace: 0.25,
         answer_slack: 0.5,
-        told_after_release: 1.05,
-        told_after_silence: 8.05,
-        told_after_hand_over: 4.0,
-        taken_after_signal: 0.7,
+        end_after_release: 1.05,
+        end_after_silence: 8.05,
+        end_after_hand_over: 4.0,
+        accepted_after_signal: 0.7,
         ready_within: 10.0,
-        gone_within: 0.1,
+        abandon_within: 0.1,
         // Stand-ins and fronts share the machine's cores with other tests.
-        passing: 0.15,
+        transit_allowance: 0.15,
     }
 }
 
@@ -40,7 +40,7 @@
         outcome.served,
         outcome.end,
         found.len(),
-        if outcome.unplayed.is_empty() { String::new() } else { format!(", not played: {:?}", outcome.unplayed) }
+        if outcome.failed_faults.is_empty() { String::new() } else { format!(", not played: {:?}", outcome.failed_faults) }
     )
 }
 
@@ -49,8 +49,8 @@
     let folder = tempfile::tempdir().unwrap();
     let plan = plan(seed);
     let terms = terms(&plan.settings);
-    let troubles = format!("{:?}", plan.troubles);
-    let outcome = play(Path::new(env!("CARGO_BIN_EXE_shalespindle")), folder.path(), seed, plan).unwrap();
+    let troubles = format!("{:?}", plan.faults);
+    let outcome = run(Path::new(env!("CARGO_BIN_EXE_shalespindle")), folder.path(), seed, plan).unwrap();
     let found = breaches(&outcome.entries, &terms, outcome.end);
     println!("{}\n    {troubles}", summary(seed, &outcome, &found));
     if let Some(kept) = std::env::var_os("TRIAL_LOGS").filter(|_| !found.is_empty()) {
@@ -63,7 +63,7 @@
             outcome.entries.iter().map(|(at, event)| format!("{at:.4} {event:?}")).collect();
         std::fs::write(kept.join("seen.txt"), seen.join("\n")).unwrap();
     }
-    assert!(outcome.unplayed.is_empty(), "seed {seed}: {:?}", outcome.unplayed);
+    assert!(outcome.failed_faults.is_empty(), "seed {seed}: {:?}", outcome.failed_faults);
     assert!(outcome.served > 20, "seed {seed}: nothing was put to the fronts");
     found.into_iter().map(|breach| format!("seed {seed}: {breach}")).collect()
 }
--- a/crates/trials/src/bad_clients.rs
+++ b/crates/trials/src/bad_clients.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 /// The platform gives a front this long after the connection, and what passing the sockets may add.
-const TURNED_AWAY_WITHIN: Duration = Duration::from_millis(3200);
+const REJECT_TIMEOUT: Duration = Duration::from_millis(3200);
 
 /// What one of them sends, by number.
-fn bytes(kind: u32) -> Vec<u8> {
+fn malformed_message(kind: u32) -> Vec<u8> {
     let head = "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCSeq: 1 INVITE\r\n";
     let text = match kind % 7 {
         0 => "\u{1}\u{2}noise that is no message\r\n\r\n".to_string(),
@@ -30,8 +30,8 @@
 pub fn try_one(to: SocketAddr, rng: &mut ChaCha8Rng, recorder: &Recorder) {
     let Ok(mut stream) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
     // A front that has just ended is no case of theirs.
-    if stream.set_read_timeout(Some(TURNED_AWAY_WITHIN)).is_err()
-        || stream.write_all(&bytes(rng.random())).is_err()
+    if stream.set_read_timeout(Some(REJECT_TIMEOUT)).is_err()
+        || stream.write_all(&malformed_message(rng.random())).is_err()
     {
         return;
     }
@@ -39,7 +39,7 @@
     let was_turned_away = match stream.read(&mut answer) {
         Ok(0) => true,
         Ok(size) => !answer[..size].starts_with(b"SIP/2.0 200"),
-        Err(why) => !matches!(why.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
+        Err(error) => !matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
     };
-    recorder.saw(Event::BadClient { was_turned_away });
+    recorder.record(Event::BadClient { was_turned_away });
 }
--- a/crates/trials/src/callers.rs
+++ b/crates/trials/src/callers.rs
@@ -3,7 +3,7 @@
 
 use crate::front::{Front, Settings};
 use crate::record::{locked, CallId, Event, FrontId, Recorder};
-use crate::server::server_that_described;
+use crate::server::server_in_description;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shalespindle_signalling::{Framer, Message, Method, Start};
@@ -17,30 +17,30 @@
 /// Connections that callers keep to each front.
 const CONNECTIONS: usize = 4;
 /// A set-up that was written so shortly before its connection's end may be sent once more, on a new one.
-const CROSSES_WITHIN: f64 = 0.05;
+const CROSSED_CLOSE_WINDOW: f64 = 0.05;
 /// What the reader of a connection may be late by when it sees the end.
-const SEEN_LATE: f64 = 0.02;
+const CLOSE_DETECTION_DELAY: f64 = 0.02;
 const TICK: Duration = Duration::from_millis(2);
 
 /// How callers behave; shares are of a hundred.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Habits {
+pub struct CallerBehaviour {
     /// Set-ups a second over all fronts.
     pub rate: f64,
     /// Give up early.
-    pub leaves: u32,
+    pub cancel_percent: u32,
     /// Of those that are refused, ask again at once.
-    pub repeats: u32,
+    pub retry_percent: u32,
     /// Write a message in two pieces.
-    pub pieces: u32,
+    pub split_percent: u32,
     /// Longest pause between two pieces, seconds.
-    pub longest_pause: f64,
+    pub max_split_pause: f64,
     /// Leave very little time.
-    pub hurries: u32,
+    pub short_deadline_percent: u32,
     /// End a call themselves.
-    pub hangs_up: u32,
+    pub hang_up_percent: u32,
     /// Hand a standing call over when its front was restarted.
-    pub hands_over: u32,
+    pub hand_over_percent: u32,
 }
 
 struct Pending {
@@ -49,60 +49,60 @@
 
 struct Connection {
     front: FrontId,
-    writing: Mutex<TcpStream>,
+    writer: Mutex<TcpStream>,
     is_open: AtomicBool,
     /// Set-ups without a final answer, and part of a message that is still to be written.
     pending: Mutex<HashMap<CallId, Pending>>,
-    rest_waits: AtomicBool,
+    remainder_pending: AtomicBool,
     /// What is to be written behind that part.
-    behind_rest: Mutex<Vec<u8>>,
+    queued_after_remainder: Mutex<Vec<u8>>,
     /// Its caller has closed it.
-    is_given_up: AtomicBool,
+    is_closed_by_caller: AtomicBool,
 }
 
 impl Connection {
     /// Open, and no part of a message waits to be written.
     fn is_free(&self) -> bool {
-        self.is_open.load(Ordering::Acquire) && !self.rest_waits.load(Ordering::Acquire)
+        self.is_open.load(Ordering::Acquire) && !self.remainder_pending.load(Ordering::Acquire)
     }
 }
 
 /// A call that stands, for its caller.
-struct Standing {
+struct EstablishedCall {
     front: FrontId,
     server: Option<String>,
 }
 
 enum Action {
-    Request { again: bool },
-    Rest { connection: Arc<Connection>, bytes: Vec<u8>, call: CallId, until: f64 },
+    Request { is_retry: bool },
+    SendRemainder { connection: Arc<Connection>, bytes: Vec<u8>, call: CallId, until: f64 },
     Leave { connection: Arc<Connection>, call: CallId, by_close: bool },
     HangUp { call: CallId },
 }
 
-struct Timed {
+struct ScheduledAction {
     at: f64,
     number: u64,
     action: Action,
 }
 
-impl PartialEq for Timed {
-    fn eq(&self, other: &Timed) -> bool {
+impl PartialEq for ScheduledAction {
+    fn eq(&self, other: &ScheduledAction) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Timed {}
+impl Eq for ScheduledAction {}
 
-impl PartialOrd for Timed {
-    fn partial_cmp(&self, other: &Timed) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledAction {
+    fn partial_cmp(&self, other: &ScheduledAction) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Timed {
+impl Ord for ScheduledAction {
     /// The earliest is the greatest: it comes first off the heap.
-    fn cmp(&self, other: &Timed) -> std::cmp::Ordering {
+    fn cmp(&self, other: &ScheduledAction) -> std::cmp::Ordering {
         other.at.total_cmp(&self.at).then(other.number.cmp(&self.number))
     }
 }
@@ -111,17 +111,17 @@
 pub struct Callers {
     fronts: Vec<Arc<Front>>,
     settings: Settings,
-    habits: Mutex<Habits>,
+    behaviour: Mutex<CallerBehaviour>,
     recorder: Recorder,
     connections: Mutex<Vec<Arc<Connection>>>,
-    standing: Mutex<HashMap<CallId, Standing>>,
+    established: Mutex<HashMap<CallId, EstablishedCall>>,
     /// Calls whose front's process ended under them.
-    orphans: Mutex<Vec<(CallId, Standing)>>,
-    actions: Mutex<BinaryHeap<Timed>>,
+    orphans: Mutex<Vec<(CallId, EstablishedCall)>>,
+    actions: Mutex<BinaryHeap<ScheduledAction>>,
     next_call: AtomicU64,
     next_action: AtomicU64,
     rng: Mutex<ChaCha8Rng>,
-    over: AtomicBool,
+    stopped: AtomicBool,
     pools: usize,
     pub served: AtomicU64,
     pub asked: AtomicU64,
@@ -131,7 +131,7 @@
     pub fn start(
         fronts: Vec<Arc<Front>>,
         settings: Settings,
-        habits: Habits,
+        behaviour: CallerBehaviour,
         pools: usize,
         seed: u64,
         recorder: &Recorder,
@@ -139,95 +139,95 @@
         let callers = Arc::new(Callers {
             fronts,
             settings,
-            habits: Mutex::new(habits),
+            behaviour: Mutex::new(behaviour),
             recorder: recorder.clone(),
             connections: Mutex::default(),
-            standing: Mutex::default(),
+            established: Mutex::default(),
             orphans: Mutex::default(),
             actions: Mutex::default(),
             next_call: AtomicU64::new((seed << 32) + 1),
             next_action: AtomicU64::new(0),
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
-            over: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
             pools,
             served: AtomicU64::new(0),
             asked: AtomicU64::new(0),
         });
-        let (asking, connecting) = (callers.clone(), callers.clone());
-        std::thread::spawn(move || asking.act());
-        std::thread::spawn(move || connecting.keep_connected());
+        let (requesting, connecting) = (callers.clone(), callers.clone());
+        std::thread::spawn(move || requesting.run());
+        std::thread::spawn(move || connecting.maintain_connections());
         callers
     }
 
     /// Asks for nothing more; what stands goes on to its end.
-    pub fn rest(&self) {
-        locked(&self.habits).rate = 0.0;
+    pub fn stop_requests(&self) {
+        locked(&self.behaviour).rate = 0.0;
     }
 
     /// Asks so often from now on.
     pub fn set_rate(&self, rate: f64) {
-        locked(&self.habits).rate = rate;
+        locked(&self.behaviour).rate = rate;
     }
 
     /// Nothing stands any more, and nobody waits.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let waits = locked(&self.connections).iter().any(|c| !locked(&c.pending).is_empty());
-        !waits && locked(&self.standing).is_empty() && locked(&self.orphans).is_empty()
+        !waits && locked(&self.established).is_empty() && locked(&self.orphans).is_empty()
     }
 
     pub fn end(&self) {
-        self.over.store(true, Ordering::Release);
+        self.stopped.store(true, Ordering::Release);
     }
 
-    fn chance(&self, of_a_hundred: u32) -> bool {
-        locked(&self.rng).random_range(0..100) < of_a_hundred
+    fn chance(&self, percent: u32) -> bool {
+        locked(&self.rng).random_range(0..100) < percent
     }
 
-    fn between(&self, least: f64, most: f64) -> f64 {
-        locked(&self.rng).random_range(least..most.max(least + 1e-6))
+    fn uniform(&self, min: f64, max: f64) -> f64 {
+        locked(&self.rng).random_range(min..max.max(min + 1e-6))
     }
 
-    fn plan(&self, at: f64, action: Action) {
+    fn schedule(&self, at: f64, action: Action) {
         let number = self.next_action.fetch_add(1, Ordering::Relaxed);
-        locked(&self.actions).push(Timed { at, number, action });
+        locked(&self.actions).push(ScheduledAction { at, number, action });
     }
 
     /// Does what is due, until the trial is over.
-    fn act(&self) {
+    fn run(&self) {
         let mut next_request = self.recorder.now();
-        while !self.over.load(Ordering::Acquire) {
+        while !self.stopped.load(Ordering::Acquire) {
             let now = self.recorder.now();
-            let rate = locked(&self.habits).rate;
+            let rate = locked(&self.behaviour).rate;
             if rate > 0.0 && next_request <= now {
-                self.plan(now, Action::Request { again: false });
-                next_request = now - (1.0 - self.between(0.0, 1.0)).ln() / rate;
+                self.schedule(now, Action::Request { is_retry: false });
+                next_request = now - (1.0 - self.uniform(0.0, 1.0)).ln() / rate;
             }
-            while let Some(action) = self.due(now) {
-                self.carry_out(action);
+            while let Some(action) = self.next_due(now) {
+                self.execute(action);
             }
             std::thread::sleep(TICK);
         }
     }
 
-    fn due(&self, now: f64) -> Option<Action> {
+    fn next_due(&self, now: f64) -> Option<Action> {
         let mut actions = locked(&self.actions);
-        if actions.peek().is_some_and(|timed| timed.at <= now) {
-            return actions.pop().map(|timed| timed.action);
+        if actions.peek().is_some_and(|scheduled| scheduled.at <= now) {
+            return actions.pop().map(|scheduled| scheduled.action);
         }
         None
     }
 
-    fn carry_out(&self, action: Action) {
+    fn execute(&self, action: Action) {
         match action {
-            Action::Request { again } => self.request(again),
-            Action::Rest { connection, bytes, call, until } => {
-                let mut behind = locked(&connection.behind_rest);
-                connection.rest_waits.store(false, Ordering::Release);
+            Action::Request { is_retry } => self.request(is_retry),
+            Action::SendRemainder { connection, bytes, call, until } => {
+                let mut behind = locked(&connection.queued_after_remainder);
+                connection.remainder_pending.store(false, Ordering::Release);
                 let written = write_now(&connection, &bytes);
                 write_now(&connection, &std::mem::take(&mut *behind));
                 drop(behind);
                 if written {
-                    self.requested(&connection, call, until);
+                    self.record_requested(&connection, call, until);
                 }
             }
             Action::Leave { connection, call, by_close } => self.leave(&connection, call, by_close),
@@ -236,10 +236,10 @@
     }
 
     /// Opens connections again as soon as a front takes them.
-    fn keep_connected(self: &Arc<Callers>) {
-        while !self.over.load(Ordering::Acquire) {
+    fn maintain_connections(self: &Arc<Callers>) {
+        while !self.stopped.load(Ordering::Acquire) {
             for front in &self.fronts {
-                if !front.accepts.load(Ordering::Acquire) {
+                if !front.accepts_connections.load(Ordering::Acquire) {
                     continue;
                 }
                 let held = locked(&self.connections).iter().filter(|c| c.front == front.id).count();
@@ -262,59 +262,62 @@
         let Ok(reading) = stream.try_clone() else { return };
         let connection = Arc::new(Connection {
             front: front.id,
-            writing: Mutex::new(stream),
+            writer: Mutex::new(stream),
             is_open: AtomicBool::new(true),
             pending: Mutex::default(),
-            rest_waits: AtomicBool::new(false),
-            behind_rest: Mutex::default(),
-            is_given_up: AtomicBool::new(false),
+            remainder_pending: AtomicBool::new(false),
+            queued_after_remainder: Mutex::default(),
+            is_closed_by_caller: AtomicBool::new(false),
         });
         locked(&self.connections).push(connection.clone());
         let callers = self.clone();
         std::thread::spawn(move || callers.read(&connection, reading));
     }
 
-    fn request(&self, again: bool) {
-        let habits = *locked(&self.habits);
+    fn request(&self, is_retry: bool) {
+        let behaviour = *locked(&self.behaviour);
         let connection = {
             let connections = locked(&self.connections);
             let open: Vec<&Arc<Connection>> = connections.iter().filter(|c| c.is_free()).collect();
             if open.is_empty() {
                 return;
             }
-            let place = locked(&self.rng).random_range(0..open.len());
-            open[place].clone()
+            let index = locked(&self.rng).random_range(0..open.len());
+            open[index].clone()
         };
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
-        let hurries = self.chance(habits.hurries);
-        let patience =
-            if hurries { self.between(0.005, 0.08) } else { self.between(0.4, 1.0) * self.settings.deadline };
+        let has_short_deadline = self.chance(behaviour.short_deadline_percent);
+        let patience = if has_short_deadline {
+            self.uniform(0.005, 0.08)
+        } else {
+            self.uniform(0.4, 1.0) * self.settings.deadline
+        };
         let dest = locked(&self.rng).random_range(0..self.pools);
         let message = invite(call, patience, &format!("dest:{dest};width:1;via:-1"));
         self.asked.fetch_add(1, Ordering::Relaxed);
         // Known before it is written: its answer may come at once.
         locked(&connection.pending).insert(call, Pending { requested_at: f64::INFINITY });
         let now = self.recorder.now();
-        if !again && self.chance(habits.pieces) {
-            let place = locked(&self.rng).random_range(1..message.len());
-            let behind = locked(&connection.behind_rest);
-            connection.rest_waits.store(true, Ordering::Release);
-            let written = write_now(&connection, &message[..place]);
+        if !is_retry && self.chance(behaviour.split_percent) {
+            let index = locked(&self.rng).random_range(1..message.len());
+            let behind = locked(&connection.queued_after_remainder);
+            connection.remainder_pending.store(true, Ordering::Release);
+            let written = write_now(&connection, &message[..index]);
             drop(behind);
             if written {
-                let at = now + self.between(0.001, habits.longest_pause);
-                let bytes = message[place..].to_vec();
-                self.plan(at, Action::Rest { connection, bytes, call, until: patience });
+                let at = now + self.uniform(0.001, behaviour.max_split_pause);
+                let bytes = message[index..].to_vec();
+                self.schedule(at, Action::SendRemainder { connection, bytes, call, until: patience });
             }
             return;
         }
-        if write(&connection, &message) {
-            self.requested(&connection, call, patience);
+        if write_message(&connection, &message) {
+            self.record_requested(&connection, call, patience);
         }
     }
 
     /// The last byte of a set-up has been written.
-    fn requested(&self, connection: &Arc<Connection>, call: CallId, patience: f64) {
+    fn record_requested(&self, connection: &Arc<Connection>, call: CallId, patience: f64) {
         let now = self.recorder.now();
         {
             let mut pending = locked(&connection.pending);
@@ -324,12 +327,12 @@
             };
             entry.requested_at = now;
             self.recorder
-                .saw_at(now, Event::Requested { call, front: connection.front, until: now + patience });
+                .record_at(now, Event::Requested { call, front: connection.front, until: now + patience });
         }
-        let habits = *locked(&self.habits);
-        if self.chance(habits.leaves) {
-            let (after, by_close) = (self.between(0.0, 0.5 * patience), self.chance(10));
-            self.plan(now + after, Action::Leave { connection: connection.clone(), call, by_close });
+        let behaviour = *locked(&self.behaviour);
+        if self.chance(behaviour.cancel_percent) {
+            let (after, by_close) = (self.uniform(0.0, 0.5 * patience), self.chance(10));
+            self.schedule(now + after, Action::Leave { connection: connection.clone(), call, by_close });
         }
     }
 
@@ -338,17 +341,17 @@
             return;
         }
         if by_close {
-            connection.is_given_up.store(true, Ordering::Release);
+            connection.is_closed_by_caller.store(true, Ordering::Release);
             let others: Vec<CallId> = locked(&connection.pending).drain().map(|p| p.0).collect();
-            let _ = locked(&connection.writing).shutdown(Shutdown::Both);
+            let _ = locked(&connection.writer).shutdown(Shutdown::Both);
             for call in others.into_iter().chain([call]) {
-                self.recorder.saw(Event::CallerLeft { call });
+                self.recorder.record(Event::CallerLeft { call });
             }
-        } else if write(connection, &request("CANCEL", call)) {
-            self.recorder.saw(Event::CallerLeft { call });
+        } else if write_message(connection, &request("CANCEL", call)) {
+            self.recorder.record(Event::CallerLeft { call });
         } else {
             // Its connection has ended meanwhile: so has its interest.
-            self.recorder.saw(Event::CallerLeft { call });
+            self.recorder.record(Event::CallerLeft { call });
         }
     }
 
@@ -360,26 +363,27 @@
 
     /// Ends a call that stands, on any connection to its front.
     fn hang_up(&self, call: CallId) {
-        let front = locked(&self.standing).get(&call).map(|standing| standing.front);
+        let front = locked(&self.established).get(&call).map(|established| established.front);
         let Some(connection) = front.and_then(|front| self.free_connection(front)) else { return };
-        if write(&connection, &request("BYE", call)) {
-            locked(&self.standing).remove(&call);
-            self.recorder.saw(Event::EndedByCaller { call });
+        if write_message(&connection, &request("BYE", call)) {
+            locked(&self.established).remove(&call);
+            self.recorder.record(Event::EndedByCaller { call });
         }
     }
 
     /// Calls whose front's process has ended are handed over to it once it is back.
     fn hand_over(&self) {
         let orphans = std::mem::take(&mut *locked(&self.orphans));
-        for (call, standing) in orphans {
-            let Some(server) = standing.server.clone() else { continue };
+        for (call, established) in orphans {
+            let Some(server) = established.server.clone() else { continue };
             let message = invite(call, self.settings.deadline, &format!("at:{server}"));
-            let written = self.free_connection(standing.front).is_some_and(|c| write(&c, &message));
+            let written =
+                self.free_connection(established.front).is_some_and(|c| write_message(&c, &message));
             if written {
-                self.recorder.saw(Event::HandedOver { call, front: standing.front });
-                locked(&self.standing).insert(call, standing);
+                self.recorder.record(Event::HandedOver { call, front: established.front });
+                locked(&self.established).insert(call, established);
             } else {
-                locked(&self.orphans).push((call, standing));
+                locked(&self.orphans).push((call, established));
             }
         }
     }
@@ -395,7 +399,7 @@
             loop {
                 match framer.next_frame() {
                     Ok(Some(frame)) => match Message::parse(frame) {
-                        Ok(message) => self.take(connection, &message),
+                        Ok(message) => self.handle_message(connection, &message),
                         Err(_) => break 'connection,
                     },
                     Ok(None) => break,
@@ -403,10 +407,10 @@
                 }
             }
         }
-        self.ended(connection);
+        self.handle_close(connection);
     }
 
-    fn take(&self, connection: &Arc<Connection>, message: &Message) {
+    fn handle_message(&self, connection: &Arc<Connection>, message: &Message) {
         let Ok(call) = message.call_id().map(|id| CallId::from_str_radix(id, 16).unwrap_or(0)) else {
             return;
         };
@@ -414,19 +418,19 @@
             Start::Response { status, .. }
                 if status >= 200 && message.cseq().is_ok_and(|c| c.1 == Method::Invite) =>
             {
-                self.answered(connection, call, status, message);
+                self.handle_answer(connection, call, status, message);
             }
             Start::Request { method: Method::Bye, .. } => {
-                write(connection, &confirmation(call));
-                self.recorder.saw(Event::ReleasedToCaller { call });
-                locked(&self.standing).remove(&call);
+                write_message(connection, &release_confirmation(call));
+                self.recorder.record(Event::ReleasedToCaller { call });
+                locked(&self.established).remove(&call);
                 locked(&self.orphans).retain(|(orphan, _)| *orphan != call);
             }
             _ => {}
         }
     }
 
-    fn answered(&self, connection: &Arc<Connection>, call: CallId, status: u16, message: &Message) {
+    fn handle_answer(&self, connection: &Arc<Connection>, call: CallId, status: u16, message: &Message) {
         let was_pending = locked(&connection.pending).remove(&call);
         // A 487 belongs to a cancel, and nobody waits for it.
         if was_pending.is_none() && status != 200 {
@@ -437,61 +441,62 @@
             // The answer overtook the note of the request's last byte.
             let now = self.recorder.now();
             let until = now + self.settings.deadline;
-            self.recorder.saw_at(now, Event::Requested { call, front: connection.front, until });
+            self.recorder.record_at(now, Event::Requested { call, front: connection.front, until });
         }
-        let server = server_that_described(call, message.body);
+        let server = server_in_description(call, message.body);
         let sound = status != 200 || server.is_some();
-        self.recorder.saw(Event::Answered { call, status, sound });
-        write(connection, &request("ACK", call));
+        self.recorder.record(Event::Answered { call, status, sound });
+        write_message(connection, &request("ACK", call));
         if status == 200 {
             self.served.fetch_add(1, Ordering::Relaxed);
-            locked(&self.standing).insert(call, Standing { front: connection.front, server });
-            let habits = *locked(&self.habits);
-            if self.chance(habits.hangs_up) {
-                let after = self.between(0.05, 4.0);
-                self.plan(self.recorder.now() + after, Action::HangUp { call });
+            locked(&self.established).insert(call, EstablishedCall { front: connection.front, server });
+            let behaviour = *locked(&self.behaviour);
+            if self.chance(behaviour.hang_up_percent) {
+                let after = self.uniform(0.05, 4.0);
+                self.schedule(self.recorder.now() + after, Action::HangUp { call });
             }
-        } else if status == 503 && self.chance(locked(&self.habits).repeats) {
-            self.plan(self.recorder.now(), Action::Request { again: true });
+        } else if status == 503 && self.chance(locked(&self.behaviour).retry_percent) {
+            self.schedule(self.recorder.now(), Action::Request { is_retry: true });
         }
     }
 
-    fn ended(&self, connection: &Arc<Connection>) {
+    fn handle_close(&self, connection: &Arc<Connection>) {
         let now = self.recorder.now();
         connection.is_open.store(false, Ordering::Release);
         locked(&self.connections).retain(|c| !Arc::ptr_eq(c, connection));
         let pending: Vec<(CallId, Pending)> = locked(&connection.pending).drain().collect();
-        let crosses =
-            |p: &Pending| p.requested_at.is_finite() && now - p.requested_at < CROSSES_WITHIN + SEEN_LATE;
+        let crossed_close = |p: &Pending| {
+            p.requested_at.is_finite() && now - p.requested_at < CROSSED_CLOSE_WINDOW + CLOSE_DETECTION_DELAY
+        };
         // One of which only a part was written asks for nothing yet.
-        let all_cross = pending.iter().all(|(_, p)| crosses(p) || !p.requested_at.is_finite());
+        let all_crossed = pending.iter().all(|(_, p)| crossed_close(p) || !p.requested_at.is_finite());
         for (call, pending) in pending.iter().filter(|(_, p)| p.requested_at.is_finite()) {
-            if connection.is_given_up.load(Ordering::Acquire) {
-                self.recorder.saw_at(now, Event::CallerLeft { call: *call });
+            if connection.is_closed_by_caller.load(Ordering::Acquire) {
+                self.recorder.record_at(now, Event::CallerLeft { call: *call });
                 continue;
             }
-            self.recorder.saw_at(now, Event::ConnectionEnded { call: *call });
-            if all_cross && crosses(pending) {
-                self.recorder.saw_at(now, Event::CrossedClose { call: *call });
-                self.plan(now, Action::Request { again: true });
+            self.recorder.record_at(now, Event::ConnectionEnded { call: *call });
+            if all_crossed && crossed_close(pending) {
+                self.recorder.record_at(now, Event::CrossedClose { call: *call });
+                self.schedule(now, Action::Request { is_retry: true });
             }
         }
     }
 
-    /// The process of a front has ended: what stood there is handed over, or given up.
+    /// The process of a front has ended: what interrupted there is handed over, or given up.
     pub fn front_ended(&self, front: FrontId) {
-        let stood: Vec<(CallId, Standing)> =
-            locked(&self.standing).extract_if(|_, standing| standing.front == front).collect();
-        let share = locked(&self.habits).hands_over;
-        let handed = stood.into_iter().filter(|_| self.chance(share));
+        let interrupted: Vec<(CallId, EstablishedCall)> =
+            locked(&self.established).extract_if(|_, established| established.front == front).collect();
+        let share = locked(&self.behaviour).hand_over_percent;
+        let handed = interrupted.into_iter().filter(|_| self.chance(share));
         locked(&self.orphans).extend(handed);
     }
 }
 
 /// Writes a whole message; behind the rest of another one where that is still to come.
-fn write(connection: &Connection, bytes: &[u8]) -> bool {
-    let mut behind = locked(&connection.behind_rest);
-    if connection.rest_waits.load(Ordering::Acquire) {
+fn write_message(connection: &Connection, bytes: &[u8]) -> bool {
+    let mut behind = locked(&connection.queued_after_remainder);
+    if connection.remainder_pending.load(Ordering::Acquire) {
         behind.extend_from_slice(bytes);
         return connection.is_open.load(Ordering::Acquire);
     }
@@ -499,7 +504,7 @@
 }
 
 fn write_now(connection: &Connection, bytes: &[u8]) -> bool {
-    connection.is_open.load(Ordering::Acquire) && locked(&connection.writing).write_all(bytes).is_ok()
+    connection.is_open.load(Ordering::Acquire) && locked(&connection.writer).write_all(bytes).is_ok()
 }
 
 fn invite(call: CallId, patience: f64, route: &str) -> Vec<u8> {
@@ -522,7 +527,7 @@
     .into_bytes()
 }
 
-fn confirmation(call: CallId) -> Vec<u8> {
+fn release_confirmation(call: CallId) -> Vec<u8> {
     format!(
         "SIP/2.0 200 OK\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call:016x}\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n"
     )
--- a/crates/trials/src/discovery.rs
+++ b/crates/trials/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery with faults: it refuses, falls silent, breaks off in the middle of an event, or moves to another address.
+//! Discovery with faults: it refuses, falls silent, breaks_next_event off in the middle of an event, or move_address to another address.
 
 use crate::address::Hosts;
 use crate::record::{locked, FrontId, Recorder};
@@ -11,14 +11,14 @@
 
 const TICK: Duration = Duration::from_millis(5);
 /// A comment comes so often, seconds.
-const COMMENT_EVERY: f64 = 1.0;
+const COMMENT_INTERVAL: f64 = 1.0;
 /// An address that fronts have left closes what is open there after this, seconds.
-const CLOSES_AFTER: f64 = 1.5;
+const OLD_ADDRESS_CLOSE_DELAY: f64 = 1.5;
 /// A front is owed time to find discovery again, by the terms, seconds.
-const TOLD_AFTER_FAILED_CALL: f64 = 6.0;
-const TOLD_AFTER_SILENCE: f64 = 4.0;
-const TOLD_AFTER_BREAK: f64 = 2.0;
-const TOLD_AFTER_RELOAD: f64 = 4.0;
+const RECEIVED_AFTER_FAILED_CONNECT: f64 = 6.0;
+const RECEIVED_AFTER_SILENCE: f64 = 4.0;
+const RECEIVED_AFTER_BREAK: f64 = 2.0;
+const RECEIVED_AFTER_RELOAD: f64 = 4.0;
 
 /// What discovery does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,39 +33,39 @@
 struct Watch {
     stream: TcpStream,
     /// Which address it came to.
-    place: usize,
+    endpoint: usize,
     front: FrontId,
-    sent: usize,
+    events_sent: usize,
     silent: bool,
     /// The next event is broken off in its middle, and the connection closed.
-    breaks: bool,
-    comment_at: f64,
+    breaks_next_event: bool,
+    next_comment_at: f64,
 }
 
-struct Place {
+struct Endpoint {
     port: u16,
     /// One for each front; none while discovery is down, or once fronts have left.
     listeners: Vec<TcpListener>,
     /// Since when fronts have been told of another.
-    left_at: Option<f64>,
+    replaced_at: Option<f64>,
 }
 
 struct State {
     mode: Mode,
     events: Vec<String>,
-    places: Vec<Place>,
+    endpoints: Vec<Endpoint>,
     watches: Vec<Watch>,
     /// Times from which on, and until when, fronts are owed more time.
-    excuses: Vec<Excuse>,
+    grace_periods: Vec<GracePeriod>,
     down_since: Option<f64>,
-    over: bool,
+    stopped: bool,
 }
 
-/// What comes within this time counts as told at `told_at` at the latest.
-struct Excuse {
+/// What comes within this time counts as told at `received_by` at the latest.
+struct GracePeriod {
     from: f64,
     until: f64,
-    told_at: f64,
+    received_by: f64,
 }
 
 /// One discovery service for all fronts of a trial.
@@ -78,15 +78,15 @@
 
 impl Discovery {
     pub fn start(first_event: String, hosts: Hosts, recorder: &Recorder) -> io::Result<Discovery> {
-        let place = listen(&hosts, None)?;
+        let endpoint = listen(&hosts, None)?;
         let state = State {
             mode: Mode::Up,
             events: vec![first_event],
-            places: vec![place],
+            endpoints: vec![endpoint],
             watches: Vec::new(),
-            excuses: Vec::new(),
+            grace_periods: Vec::new(),
             down_since: None,
-            over: false,
+            stopped: false,
         };
         let discovery = Discovery { state: Arc::new(Mutex::new(state)), recorder: recorder.clone(), hosts };
         let ticking = discovery.clone();
@@ -101,26 +101,26 @@
     /// Where a front finds it now.
     pub fn address(&self, front: FrontId) -> SocketAddr {
         let state = locked(&self.state);
-        self.hosts.reached_by(front, state.places[state.places.len() - 1].port)
+        self.hosts.service_address(front, state.endpoints[state.endpoints.len() - 1].port)
     }
 
     /// All events so far, as a front is told them.
     pub fn events(&self, front: FrontId) -> Vec<String> {
-        locked(&self.state).events.iter().map(|event| self.hosts.told_to(front, event)).collect()
+        locked(&self.state).events.iter().map(|event| self.hosts.event_for(front, event)).collect()
     }
 
     /// Adds an event about these servers.
-    pub fn tell_members(&self, members: &[Value]) {
+    pub fn publish_members(&self, members: &[Value]) {
         let mut state = locked(&self.state);
         let number = state.events.len() + 1;
         state.events.push(event(number, members));
     }
 
     /// When what came at that time counts as told.
-    pub fn told_at(&self, at: f64) -> f64 {
+    pub fn received_by(&self, at: f64) -> f64 {
         let state = locked(&self.state);
-        let owed = state.excuses.iter().filter(|e| e.from <= at && at <= e.until);
-        owed.fold(at, |told, excuse| told.max(excuse.told_at))
+        let periods = state.grace_periods.iter().filter(|e| e.from <= at && at <= e.until);
+        periods.fold(at, |latest, period| latest.max(period.received_by))
     }
 
     pub fn set_mode(&self, mode: Mode) -> io::Result<()> {
@@ -131,107 +131,117 @@
             Mode::Down => {
                 state.down_since.get_or_insert(now);
                 state.watches.clear();
-                state.places.iter_mut().for_each(|place| place.listeners.clear());
+                state.endpoints.iter_mut().for_each(|endpoint| endpoint.listeners.clear());
             }
             Mode::OpenWatchesSilent => {
                 state.watches.iter_mut().for_each(|watch| watch.silent = true);
-                let until = now + TOLD_AFTER_SILENCE;
-                state.excuses.push(Excuse { from: now, until, told_at: until });
+                let until = now + RECEIVED_AFTER_SILENCE;
+                state.grace_periods.push(GracePeriod { from: now, until, received_by: until });
             }
             Mode::Up => {
                 if let Some(from) = state.down_since.take() {
-                    let until = now + TOLD_AFTER_FAILED_CALL;
-                    state.excuses.push(Excuse { from, until, told_at: until });
+                    let until = now + RECEIVED_AFTER_FAILED_CONNECT;
+                    state.grace_periods.push(GracePeriod { from, until, received_by: until });
                 }
             }
         }
         if mode != Mode::Down {
-            for place in state.places.iter_mut().filter(|p| p.listeners.is_empty() && p.left_at.is_none()) {
-                *place = listen(&self.hosts, Some(place.port))?;
+            for endpoint in
+                state.endpoints.iter_mut().filter(|p| p.listeners.is_empty() && p.replaced_at.is_none())
+            {
+                *endpoint = listen(&self.hosts, Some(endpoint.port))?;
             }
         }
         Ok(())
     }
 
     /// The next event on each open watch stops in its middle.
-    pub fn break_next(&self) {
+    pub fn break_next_event(&self) {
         let now = self.recorder.now();
         let mut state = locked(&self.state);
-        state.watches.iter_mut().for_each(|watch| watch.breaks = true);
+        state.watches.iter_mut().for_each(|watch| watch.breaks_next_event = true);
         // Counted from the break itself, which is the next event.
-        state.excuses.push(Excuse {
+        state.grace_periods.push(GracePeriod {
             from: now,
-            until: now + TOLD_AFTER_BREAK,
-            told_at: now + TOLD_AFTER_BREAK,
+            until: now + RECEIVED_AFTER_BREAK,
+            received_by: now + RECEIVED_AFTER_BREAK,
         });
     }
 
     /// Opens another address and leaves the one before: fronts are told of it by a new configuration.
-    pub fn moves(&self) -> io::Result<()> {
+    pub fn move_address(&self) -> io::Result<()> {
         let now = self.recorder.now();
         let mut state = locked(&self.state);
-        let mut place = listen(&self.hosts, None)?;
+        let mut endpoint = listen(&self.hosts, None)?;
         if state.mode == Mode::Down {
-            place.listeners.clear();
+            endpoint.listeners.clear();
         }
-        state.places.push(place);
-        let until = now + TOLD_AFTER_RELOAD;
-        state.excuses.push(Excuse { from: now, until, told_at: until });
+        state.endpoints.push(endpoint);
+        let until = now + RECEIVED_AFTER_RELOAD;
+        state.grace_periods.push(GracePeriod { from: now, until, received_by: until });
         Ok(())
     }
 
     /// The addresses before the last one take no new connection from now on.
-    pub fn leaves_old_addresses(&self) {
+    pub fn close_old_listeners(&self) {
         let now = self.recorder.now();
         let mut state = locked(&self.state);
-        let last = state.places.len() - 1;
-        for place in state.places.iter_mut().take(last) {
-            place.listeners.clear();
-            place.left_at.get_or_insert(now);
+        let last = state.endpoints.len() - 1;
+        for endpoint in state.endpoints.iter_mut().take(last) {
+            endpoint.listeners.clear();
+            endpoint.replaced_at.get_or_insert(now);
         }
     }
 
     pub fn end(&self) {
-        locked(&self.state).over = true;
+        locked(&self.state).stopped = true;
     }
 
     /// False when the trial is over.
     fn tick(&self) -> io::Result<bool> {
         let now = self.recorder.now();
         let mut state = locked(&self.state);
-        let State { events, places, watches, over, .. } = &mut *state;
-        for (number, place) in places.iter().enumerate() {
-            for (front, listener) in place.listeners.iter().enumerate() {
+        let State { events, endpoints, watches, stopped, .. } = &mut *state;
+        for (number, endpoint) in endpoints.iter().enumerate() {
+            for (front, listener) in endpoint.listeners.iter().enumerate() {
                 while let Ok((stream, _)) = listener.accept() {
-                    let Some(sent) = asked_after(&stream) else { continue };
-                    let (silent, breaks, comment_at) = (false, false, now);
-                    watches.push(Watch { stream, place: number, front, sent, silent, breaks, comment_at });
+                    let Some(events_sent) = read_request(&stream) else { continue };
+                    let (silent, breaks_next_event, next_comment_at) = (false, false, now);
+                    watches.push(Watch {
+                        stream,
+                        endpoint: number,
+                        front,
+                        events_sent,
+                        silent,
+                        breaks_next_event,
+                        next_comment_at,
+                    });
                 }
             }
         }
         watches.retain_mut(|watch| {
-            let left_at = places[watch.place].left_at;
-            if left_at.is_some_and(|at| now - at > CLOSES_AFTER) {
+            let replaced_at = endpoints[watch.endpoint].replaced_at;
+            if replaced_at.is_some_and(|at| now - at > OLD_ADDRESS_CLOSE_DELAY) {
                 return false;
             }
             watch.silent
-                || left_at.is_some()
-                || say(watch, &self.hosts, events, now).is_ok_and(|goes_on| goes_on)
+                || replaced_at.is_some()
+                || send_events(watch, &self.hosts, events, now).is_ok_and(|goes_on| goes_on)
         });
-        Ok(!*over)
+        Ok(!*stopped)
     }
 }
 
-fn listen(hosts: &Hosts, port: Option<u16>) -> io::Result<Place> {
+fn listen(hosts: &Hosts, port: Option<u16>) -> io::Result<Endpoint> {
     let listeners = hosts.listen(port)?;
     for listener in &listeners {
         listener.set_nonblocking(true)?;
     }
-    Ok(Place { port: listeners[0].local_addr()?.port(), listeners, left_at: None })
+    Ok(Endpoint { port: listeners[0].local_addr()?.port(), listeners, replaced_at: None })
 }
 
 /// Reads a front's question: the number of the last event that it has.
-fn asked_after(mut stream: &TcpStream) -> Option<usize> {
+fn read_request(mut stream: &TcpStream) -> Option<usize> {
     stream.set_nonblocking(false).ok()?;
     stream.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
     stream.set_write_timeout(Some(Duration::from_millis(500))).ok()?;
@@ -248,19 +258,22 @@
 }
 
 /// Says what a watch has not been told yet; false where it is broken off.
-fn say(watch: &mut Watch, hosts: &Hosts, events: &[String], now: f64) -> io::Result<bool> {
-    while watch.sent < events.len() {
-        let text =
-            format!("id: {}\ndata: {}\n\n", watch.sent + 1, hosts.told_to(watch.front, &events[watch.sent]));
-        if watch.breaks {
+fn send_events(watch: &mut Watch, hosts: &Hosts, events: &[String], now: f64) -> io::Result<bool> {
+    while watch.events_sent < events.len() {
+        let text = format!(
+            "id: {}\ndata: {}\n\n",
+            watch.events_sent + 1,
+            hosts.event_for(watch.front, &events[watch.events_sent])
+        );
+        if watch.breaks_next_event {
             watch.stream.write_all(&text.as_bytes()[..text.len() / 2])?;
             return Ok(false);
         }
         watch.stream.write_all(text.as_bytes())?;
-        watch.sent += 1;
+        watch.events_sent += 1;
     }
-    if now >= watch.comment_at {
-        watch.comment_at = now + COMMENT_EVERY;
+    if now >= watch.next_comment_at {
+        watch.next_comment_at = now + COMMENT_INTERVAL;
         watch.stream.write_all(b": tick\n\n")?;
     }
     Ok(true)
--- a/crates/trials/src/front.rs
+++ b/crates/trials/src/front.rs
@@ -17,29 +17,29 @@
 pub struct Settings {
     pub deadline: f64,
     pub guard: f64,
-    pub dial_within: f64,
-    pub descriptors: usize,
+    pub dial_timeout: f64,
+    pub max_descriptors: usize,
     pub probes: bool,
 }
 
 /// SIGKILL comes no sooner than the longest deadline, counted as this at most, and `KILL_MARGIN` after SIGTERM.
-const LONGEST_COUNTED: f64 = 3.0;
+const MAX_DEADLINE_COUNTED: f64 = 3.0;
 const KILL_MARGIN: f64 = 0.7;
 /// Between two looks at a process.
-const LOOK: Duration = Duration::from_millis(5);
-const READY_WITHIN: f64 = 30.0;
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+const READY_TIMEOUT: f64 = 30.0;
 
 impl Settings {
     /// The earliest time of SIGKILL after SIGTERM.
     pub fn kill_after(&self) -> f64 {
-        self.deadline.min(LONGEST_COUNTED) + KILL_MARGIN
+        self.deadline.min(MAX_DEADLINE_COUNTED) + KILL_MARGIN
     }
 
     fn json(&self, pools: usize) -> Value {
         json!({
             "classes": [{"aim_s": 0.6 * self.deadline, "deadline_s": self.deadline, "late_share": 0.25, "name": "voice", "worth": 1.0}],
             "domain": {"class_cells": [(0..pools).collect::<Vec<_>>()], "guard_s": self.guard, "tells_wait": false},
-            "limits": {"cancelling": true, "dial_timeout_s": self.dial_within, "max_attempts": 4,
+            "limits": {"cancelling": true, "dial_timeout_s": self.dial_timeout, "max_attempts": 4,
                 "max_retry_after_s": 2.0, "most_held": 2000, "probes": self.probes, "retry_after": true},
             "safety": {"start_capacity": 0.3, "tip_multiple": 2.0, "warm_after_s": 5.0, "fall_s": 1.0},
             "stats": {"fields": ["free", "size", "latency_ms"]}})
@@ -61,8 +61,8 @@
     pools: usize,
     process: Mutex<Process>,
     /// New connections come to it.
-    pub accepts: AtomicBool,
-    starts: AtomicU64,
+    pub accepts_connections: AtomicBool,
+    launches: AtomicU64,
     recorder: Recorder,
 }
 
@@ -84,20 +84,20 @@
             settings,
             pools,
             process: Mutex::new(Process { child: None, terminated: false }),
-            accepts: AtomicBool::new(false),
-            starts: AtomicU64::new(0),
+            accepts_connections: AtomicBool::new(false),
+            launches: AtomicU64::new(0),
             recorder: recorder.clone(),
         }))
     }
 
     /// Writes its configuration: discovery's address and all events so far.
     pub fn configure(&self, discovery: SocketAddr, events: &[String]) -> io::Result<()> {
-        let known: Vec<Value> = events.iter().filter_map(|e| serde_json::from_str(e).ok()).collect();
-        let start = self.starts.load(Ordering::Relaxed);
+        let known_events: Vec<Value> = events.iter().filter_map(|e| serde_json::from_str(e).ok()).collect();
+        let start = self.launches.load(Ordering::Relaxed);
         let config = json!({"name": format!("n{}", self.id), "listen": self.listen.to_string(),
             "seed": format!("{:016x}", 0x8c1f_30d2 + 97 * self.id as u64 + start), "feed": discovery.to_string(),
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.settings.descriptors},
-            "known": {"n": known.len(), "events": known}, "settings": self.settings.json(self.pools)});
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.settings.max_descriptors},
+            "known": {"n": known_events.len(), "events": known_events}, "settings": self.settings.json(self.pools)});
         let new = self.config.with_extension("new");
         std::fs::write(&new, config.to_string())?;
         std::fs::rename(new, &self.config)
@@ -105,9 +105,9 @@
 
     /// Starts its process and waits until it passes a test.
     pub fn launch(&self) -> io::Result<()> {
-        self.starts.fetch_add(1, Ordering::Relaxed);
+        self.launches.fetch_add(1, Ordering::Relaxed);
         let limited =
-            format!("ulimit -n {} && exec {} live", self.settings.descriptors, self.binary.display());
+            format!("ulimit -n {} && exec {} live", self.settings.max_descriptors, self.binary.display());
         let log = std::fs::File::options().create(true).append(true).open(self.log_path())?;
         let mut command = Command::new("/bin/sh");
         command.args(["-c", &limited]).env("ROUTER_LISTEN", self.listen.to_string());
@@ -115,16 +115,16 @@
         if std::env::var_os("RUST_LOG").is_none() {
             command.env("RUST_LOG", "debug,may=warn");
         }
-        self.recorder.saw(Event::Launched { front: self.id });
+        self.recorder.record(Event::Launched { front: self.id });
         *locked(&self.process) = Process { child: Some(command.spawn()?), terminated: false };
         let begin = self.recorder.now();
-        while self.recorder.now() - begin < READY_WITHIN {
-            if self.passes_test().unwrap_or(false) {
-                self.recorder.saw(Event::Ready { front: self.id });
-                self.accepts.store(true, Ordering::Release);
+        while self.recorder.now() - begin < READY_TIMEOUT {
+            if self.answers_options().unwrap_or(false) {
+                self.recorder.record(Event::Ready { front: self.id });
+                self.accepts_connections.store(true, Ordering::Release);
                 return Ok(());
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -133,7 +133,7 @@
         self.config.with_extension("log")
     }
 
-    fn passes_test(&self) -> io::Result<bool> {
+    fn answers_options(&self) -> io::Result<bool> {
         let mut stream = TcpStream::connect(self.listen)?;
         stream.set_read_timeout(Some(Duration::from_secs(1)))?;
         stream.write_all(
@@ -154,25 +154,25 @@
 
     /// SIGTERM; callers still connect for a moment.
     pub fn terminate(&self) {
-        self.recorder.saw(Event::Terminated { front: self.id });
+        self.recorder.record(Event::Terminated { front: self.id });
         locked(&self.process).terminated = true;
         self.signal(Signal::SIGTERM);
     }
 
     /// SIGKILL, where it has not ended by itself.
     pub fn kill(&self) -> io::Result<()> {
-        self.accepts.store(false, Ordering::Release);
-        self.notice_end()?;
+        self.accepts_connections.store(false, Ordering::Release);
+        self.check_exit()?;
         let mut process = locked(&self.process);
         let Some(mut child) = process.child.take() else { return Ok(()) };
         child.kill()?;
         child.wait()?;
-        self.recorder.saw(Event::Killed { front: self.id });
+        self.recorder.record(Event::Killed { front: self.id });
         Ok(())
     }
 
     /// The trial is over: its process ends with it, unseen.
-    pub fn end(&self) -> io::Result<()> {
+    pub fn stop(&self) -> io::Result<()> {
         let Some(mut child) = locked(&self.process).child.take() else { return Ok(()) };
         child.kill()?;
         child.wait()?;
@@ -180,7 +180,7 @@
     }
 
     /// Whether its process has ended by itself; seen once.
-    pub fn notice_end(&self) -> io::Result<bool> {
+    pub fn check_exit(&self) -> io::Result<bool> {
         let mut process = locked(&self.process);
         let ended = match &mut process.child {
             Some(child) => child.try_wait()?.is_some(),
@@ -188,8 +188,8 @@
         };
         if ended {
             process.child = None;
-            self.accepts.store(false, Ordering::Release);
-            self.recorder.saw(Event::Exited { front: self.id });
+            self.accepts_connections.store(false, Ordering::Release);
+            self.recorder.record(Event::Exited { front: self.id });
         }
         Ok(ended)
     }
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -8,11 +8,11 @@
 mod front;
 pub mod plan;
 pub mod record;
+pub mod rules;
 mod server;
-pub mod terms;
 mod trial;
 
-pub use callers::Habits;
+pub use callers::CallerBehaviour;
 pub use front::Settings;
-pub use server::Quirks;
-pub use trial::{play, Outcome};
+pub use server::FaultProfile;
+pub use trial::{run, Outcome};
--- a/crates/trials/src/plan.rs
+++ b/crates/trials/src/plan.rs
@@ -1,20 +1,20 @@
-//! What goes wrong in a trial, drawn from its seed: two or three kinds of trouble at once, and the habits of servers and
+//! What goes wrong in a trial, drawn from its seed: two or three kinds of fault at once, and the behaviour of servers and
 //! callers beside them.
 
-use crate::callers::Habits;
+use crate::callers::CallerBehaviour;
 use crate::front::Settings;
-use crate::server::Quirks;
+use crate::server::FaultProfile;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// When troubles begin and end, seconds from the first request.
-const FIRST_TROUBLE: f64 = 2.0;
-const LAST_TROUBLE: f64 = 9.0;
+/// When faults begin and end, seconds from the first request.
+const FIRST_FAULT: f64 = 2.0;
+const LAST_FAULT: f64 = 9.0;
 
 /// One thing that goes wrong, at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     /// SIGTERM to a front, further signals meanwhile, SIGKILL at the earliest; then it starts again.
     Restart {
         front: usize,
@@ -73,15 +73,15 @@
     pub settings: Settings,
     pub fronts: usize,
     pub servers: usize,
-    pub quirks: Quirks,
-    pub habits: Habits,
+    pub fault_profile: FaultProfile,
+    pub behaviour: CallerBehaviour,
     /// In order of time.
-    pub troubles: Vec<(f64, Trouble)>,
+    pub faults: Vec<(f64, Fault)>,
 }
 
-/// Kinds of trouble that are drawn from.
+/// Kinds of fault that are drawn from.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Theme {
+enum FaultKind {
     Restarts,
     Kills,
     Vanishing,
@@ -99,22 +99,22 @@
     Writers,
 }
 
-const THEMES: [Theme; 15] = [
-    Theme::Restarts,
-    Theme::Kills,
-    Theme::Vanishing,
-    Theme::Hanging,
-    Theme::Cuts,
-    Theme::Deaths,
-    Theme::Replacements,
-    Theme::Discovery,
-    Theme::Reloads,
-    Theme::BadClients,
-    Theme::Crowd,
-    Theme::Answers,
-    Theme::Connections,
-    Theme::Callers,
-    Theme::Writers,
+const FAULT_KINDS: [FaultKind; 15] = [
+    FaultKind::Restarts,
+    FaultKind::Kills,
+    FaultKind::Vanishing,
+    FaultKind::Hanging,
+    FaultKind::Cuts,
+    FaultKind::Deaths,
+    FaultKind::Replacements,
+    FaultKind::Discovery,
+    FaultKind::Reloads,
+    FaultKind::BadClients,
+    FaultKind::Crowd,
+    FaultKind::Answers,
+    FaultKind::Connections,
+    FaultKind::Callers,
+    FaultKind::Writers,
 ];
 
 /// The plan of a seed.
@@ -123,139 +123,147 @@
     let settings = Settings {
         deadline: [0.8, 1.5, 3.0][rng.random_range(0..3)],
         guard: [0.2, 0.5][rng.random_range(0..2)],
-        dial_within: [0.3, 0.5][rng.random_range(0..2)],
-        descriptors: [96, 128, 256][rng.random_range(0..3)],
+        dial_timeout: [0.3, 0.5][rng.random_range(0..2)],
+        max_descriptors: [96, 128, 256][rng.random_range(0..3)],
         probes: rng.random_range(0..5) > 0,
     };
     let mut plan = Plan {
         settings,
         fronts: rng.random_range(2..=3),
         servers: rng.random_range(3..=4),
-        quirks: Quirks {
-            slowest: 0.04,
-            says_state: rng.random_range(0..3) > 0,
-            longest_call: 6.0,
-            ..Quirks::default()
+        fault_profile: FaultProfile {
+            max_answer_delay: 0.04,
+            sends_state: rng.random_range(0..3) > 0,
+            max_call_duration: 6.0,
+            ..FaultProfile::default()
         },
-        habits: Habits {
+        behaviour: CallerBehaviour {
             rate: rng.random_range(25.0..60.0),
-            leaves: 4,
-            repeats: 20,
-            longest_pause: 0.02,
-            hurries: 2,
-            hangs_up: 30,
-            hands_over: 60,
-            ..Habits::default()
+            cancel_percent: 4,
+            retry_percent: 20,
+            max_split_pause: 0.02,
+            short_deadline_percent: 2,
+            hang_up_percent: 30,
+            hand_over_percent: 60,
+            ..CallerBehaviour::default()
         },
-        troubles: Vec::new(),
+        faults: Vec::new(),
     };
-    let mut themes = THEMES;
-    themes.shuffle(&mut rng);
-    let mut drawn: Vec<Theme> = themes.into_iter().take(rng.random_range(2..=3)).collect();
+    let mut kinds = FAULT_KINDS;
+    kinds.shuffle(&mut rng);
+    let mut drawn: Vec<FaultKind> = kinds.into_iter().take(rng.random_range(2..=3)).collect();
     // Half of the trials have restarts, whatever else they have: those are what meets all the rest. One front is under
     // one signal at a time, so kills are left to the other half.
     if seed.is_multiple_of(2) {
-        drawn.retain(|theme| ![Theme::Restarts, Theme::Kills].contains(theme));
-        drawn.push(Theme::Restarts);
-    } else if drawn.contains(&Theme::Restarts) {
-        drawn.retain(|theme| *theme != Theme::Kills);
+        drawn.retain(|kind| ![FaultKind::Restarts, FaultKind::Kills].contains(kind));
+        drawn.push(FaultKind::Restarts);
+    } else if drawn.contains(&FaultKind::Restarts) {
+        drawn.retain(|kind| *kind != FaultKind::Kills);
     }
-    for theme in drawn {
-        plan.add(theme, &mut rng);
+    for kind in drawn {
+        plan.add_kind(kind, &mut rng);
     }
-    plan.troubles.sort_by(|a, b| a.0.total_cmp(&b.0));
+    plan.faults.sort_by(|a, b| a.0.total_cmp(&b.0));
     plan
 }
 
 impl Plan {
-    fn at(&mut self, at: f64, trouble: Trouble) {
-        self.troubles.push((at, trouble));
+    fn push_fault(&mut self, at: f64, fault: Fault) {
+        self.faults.push((at, fault));
     }
 
-    fn add(&mut self, theme: Theme, rng: &mut ChaCha8Rng) {
-        let at = rng.random_range(FIRST_TROUBLE..LAST_TROUBLE - 2.0);
+    fn add_kind(&mut self, kind: FaultKind, rng: &mut ChaCha8Rng) {
+        let at = rng.random_range(FIRST_FAULT..LAST_FAULT - 2.0);
         let server = rng.random_range(0..self.servers);
-        match theme {
-            Theme::Restarts => {
+        match kind {
+            FaultKind::Restarts => {
                 let gap = rng.random_range(0.0..2.5);
                 for front in 0..self.fronts {
                     let signals_between = rng.random_range(0..4);
-                    self.at(at + gap * front as f64, Trouble::Restart { front, signals_between });
+                    self.push_fault(at + gap * front as f64, Fault::Restart { front, signals_between });
                 }
             }
-            Theme::Kills => {
+            FaultKind::Kills => {
                 let front = rng.random_range(0..self.fronts);
-                self.at(at, Trouble::Kill { front });
+                self.push_fault(at, Fault::Kill { front });
             }
-            Theme::Vanishing => {
+            FaultKind::Vanishing => {
                 let count = rng.random_range(1..self.servers);
                 let listed_after = rng.random_range(1.0..11.0);
-                self.at(at, Trouble::Vanish { first: server, count, listed_after });
+                self.push_fault(at, Fault::Vanish { first: server, count, listed_after });
                 if rng.random_bool(0.6) {
                     let down = rng.random_range(0.0..1.0);
-                    self.at(
+                    self.push_fault(
                         (at - down).max(0.0),
-                        Trouble::DiscoveryDown { seconds: rng.random_range(4.0..11.0) },
+                        Fault::DiscoveryDown { seconds: rng.random_range(4.0..11.0) },
                     );
                 }
             }
-            Theme::Hanging => {
+            FaultKind::Hanging => {
                 let seconds = rng.random_range(1.0..12.0);
-                self.at(at, Trouble::Hang { server, seconds });
+                self.push_fault(at, Fault::Hang { server, seconds });
             }
-            Theme::Cuts => {
+            FaultKind::Cuts => {
                 let seconds = rng.random_range(0.5..9.0);
-                self.at(at, Trouble::Cut { server, seconds });
+                self.push_fault(at, Fault::Cut { server, seconds });
             }
-            Theme::Deaths => {
+            FaultKind::Deaths => {
                 let replaced_after = rng.random_range(0.3..3.0);
                 let listed_after = rng.random_range(0.5..9.0);
-                self.at(at, Trouble::Die { server, replaced_after, listed_after });
+                self.push_fault(at, Fault::Die { server, replaced_after, listed_after });
             }
-            Theme::Replacements => {
+            FaultKind::Replacements => {
                 let gap = rng.random_range(0.2..2.0);
                 for server in 0..self.servers {
-                    self.at(at + gap * server as f64, Trouble::Replace { server });
+                    self.push_fault(at + gap * server as f64, Fault::Replace { server });
                 }
             }
-            Theme::Discovery => {
-                let trouble = match rng.random_range(0..3) {
-                    0 => Trouble::DiscoveryDown { seconds: rng.random_range(1.0..9.0) },
-                    1 => Trouble::DiscoverySilent,
-                    _ => Trouble::DiscoveryBreaks,
+            FaultKind::Discovery => {
+                let fault = match rng.random_range(0..3) {
+                    0 => Fault::DiscoveryDown { seconds: rng.random_range(1.0..9.0) },
+                    1 => Fault::DiscoverySilent,
+                    _ => Fault::DiscoveryBreaks,
                 };
-                self.at(at, trouble);
-                self.at(at + rng.random_range(0.0..4.0), Trouble::Replace { server });
+                self.push_fault(at, fault);
+                self.push_fault(at + rng.random_range(0.0..4.0), Fault::Replace { server });
             }
-            Theme::Reloads => {
+            FaultKind::Reloads => {
                 let count = rng.random_range(2..6);
-                self.at(at, Trouble::Reloads { count });
-                self.at(at + rng.random_range(0.0..2.0), Trouble::Replace { server });
+                self.push_fault(at, Fault::Reloads { count });
+                self.push_fault(at + rng.random_range(0.0..2.0), Fault::Replace { server });
             }
-            Theme::BadClients => {
+            FaultKind::BadClients => {
                 let count = rng.random_range(5..20);
-                self.at(at, Trouble::BadClients { count });
+                self.push_fault(at, Fault::BadClients { count });
             }
-            Theme::Crowd => {
+            FaultKind::Crowd => {
                 let connections = rng.random_range(50..200);
-                self.at(at, Trouble::Crowd { connections, rate: 4.0 * self.habits.rate });
+                self.push_fault(at, Fault::Crowd { connections, rate: 4.0 * self.behaviour.rate });
             }
-            Theme::Answers => {
-                (self.quirks.full, self.quirks.cut, self.quirks.lost) = (4, 4, 4);
-                (self.quirks.spoilt, self.quirks.twice) = (3, 4);
-                self.quirks.slowest = rng.random_range(0.04..1.2);
+            FaultKind::Answers => {
+                (
+                    self.fault_profile.full_percent,
+                    self.fault_profile.cut_percent,
+                    self.fault_profile.lost_percent,
+                ) = (4, 4, 4);
+                (self.fault_profile.malformed_percent, self.fault_profile.duplicate_percent) = (3, 4);
+                self.fault_profile.max_answer_delay = rng.random_range(0.04..1.2);
             }
-            Theme::Connections => {
-                self.quirks.reset = 4;
-                self.quirks.latest_first_word = rng.random_range(0.0..1.0);
-                self.quirks.closes_idle_after = rng.random_range(0.0..1.5);
+            FaultKind::Connections => {
+                self.fault_profile.reset_percent = 4;
+                self.fault_profile.max_first_message_delay = rng.random_range(0.0..1.0);
+                self.fault_profile.idle_timeout = rng.random_range(0.0..1.5);
             }
-            Theme::Callers => {
-                (self.habits.leaves, self.habits.repeats, self.habits.hurries) = (25, 90, 15);
+            FaultKind::Callers => {
+                (
+                    self.behaviour.cancel_percent,
+                    self.behaviour.retry_percent,
+                    self.behaviour.short_deadline_percent,
+                ) = (25, 90, 15);
             }
-            Theme::Writers => {
-                self.habits.pieces = 40;
-                self.habits.longest_pause = rng.random_range(0.01..0.5);
+            FaultKind::Writers => {
+                self.behaviour.split_percent = 40;
+                self.behaviour.max_split_pause = rng.random_range(0.01..0.5);
             }
         }
     }
--- a/crates/trials/src/record.rs
+++ b/crates/trials/src/record.rs
@@ -111,11 +111,11 @@
         self.begin.elapsed().as_secs_f64()
     }
 
-    pub fn saw(&self, event: Event) {
-        self.saw_at(self.now(), event);
+    pub fn record(&self, event: Event) {
+        self.record_at(self.now(), event);
     }
 
-    pub fn saw_at(&self, at: f64, event: Event) {
+    pub fn record_at(&self, at: f64, event: Event) {
         locked(&self.entries).push((at, event));
     }
 
--- a/crates/trials/src/server.rs
+++ b/crates/trials/src/server.rs
@@ -16,68 +16,68 @@
 /// Time between two looks at what is due.
 const TICK: Duration = Duration::from_millis(3);
 /// It says its state unasked on each connection so often, seconds.
-const STATE_EVERY: f64 = 0.5;
-const CLEARED: u16 = 16;
-const FULL: u16 = 34;
-const CUT: u16 = 41;
+const STATE_INTERVAL: f64 = 0.5;
+const CAUSE_CLEARED: u16 = 16;
+const CAUSE_FULL: u16 = 34;
+const CAUSE_CUT: u16 = 41;
 
 /// How often a server does what it should not, each of a hundred set-ups.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Quirks {
-    pub full: u32,
-    pub cut: u32,
-    pub lost: u32,
-    pub spoilt: u32,
-    pub twice: u32,
+pub struct FaultProfile {
+    pub full_percent: u32,
+    pub cut_percent: u32,
+    pub lost_percent: u32,
+    pub malformed_percent: u32,
+    pub duplicate_percent: u32,
     /// The connection is reset under the set-up.
-    pub reset: u32,
+    pub reset_percent: u32,
     /// Longest time until an answer, seconds.
-    pub slowest: f64,
+    pub max_answer_delay: f64,
     /// Longest time until the first word on a new connection, seconds.
-    pub latest_first_word: f64,
+    pub max_first_message_delay: f64,
     /// Connections on which nothing was said for so long are closed; 0: none.
-    pub closes_idle_after: f64,
+    pub idle_timeout: f64,
     /// It says its state unasked.
-    pub says_state: bool,
+    pub sends_state: bool,
     /// Longest time that a call stands, seconds.
-    pub longest_call: f64,
+    pub max_call_duration: f64,
 }
 
 /// What becomes of a set-up.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Outcome {
+enum AttemptOutcome {
     Answer,
     AnswerTwice,
     Full,
     Cut,
     Lost,
-    Spoilt,
+    Malformed,
     Reset,
 }
 
 struct Attempt {
     call: CallId,
     connection: usize,
-    due: f64,
-    outcome: Outcome,
+    answer_at: f64,
+    outcome: AttemptOutcome,
 }
 
-struct Standing {
+struct EstablishedCall {
     connection: usize,
     front: FrontId,
     ends_at: f64,
     /// Its end has come while nobody could be told.
-    is_over: bool,
+    has_ended: bool,
 }
 
 struct Connection {
     stream: TcpStream,
     front: FrontId,
     /// When it says its state next.
-    state_at: f64,
+    next_state_at: f64,
     /// It has said its first word there.
-    greeted: bool,
-    used_at: f64,
+    first_message_sent: bool,
+    last_used_at: f64,
 }
 
 #[derive(Default)]
@@ -85,15 +85,15 @@
     connections: BTreeMap<usize, Connection>,
     next_connection: usize,
     attempts: Vec<Attempt>,
-    standing: HashMap<CallId, Standing>,
+    established: HashMap<CallId, EstablishedCall>,
     /// Releases that go out on the next connection that is made as well.
-    repeats: Vec<(FrontId, CallId)>,
+    releases_to_repeat: Vec<(FrontId, CallId)>,
     dead: bool,
 }
 
 struct Shared {
     id: ServerId,
-    quirks: Quirks,
+    fault_profile: FaultProfile,
     recorder: Recorder,
     presence: PresenceSwitch,
     state: Mutex<State>,
@@ -113,7 +113,7 @@
         id: ServerId,
         hosts: &Hosts,
         port: Option<u16>,
-        quirks: Quirks,
+        fault_profile: FaultProfile,
         seed: u64,
         recorder: &Recorder,
     ) -> io::Result<Server> {
@@ -122,7 +122,7 @@
         let fronts = listeners.len();
         let shared = Arc::new(Shared {
             id,
-            quirks,
+            fault_profile,
             recorder: recorder.clone(),
             presence: PresenceSwitch::new(listeners),
             state: Mutex::default(),
@@ -137,7 +137,7 @@
         Ok(Server { port, shared })
     }
 
-    /// Hangs, vanishes or serves again. What stands goes on standing.
+    /// Hangs, vanishes or serves again. What stands goes on established.
     pub fn set_presence(&self, presence: Presence) -> io::Result<()> {
         if self.is_dead() {
             return Ok(());
@@ -157,7 +157,7 @@
             return Ok(());
         }
         self.shared.presence.set(Presence::Vanished)?;
-        self.everything_ends();
+        self.end_everything();
         Ok(())
     }
 
@@ -172,14 +172,14 @@
             reset(&connection.stream);
         }
         drop(state);
-        self.everything_ends();
+        self.end_everything();
         Ok(())
     }
 
     /// Ends its calls in order, each with a release: it is about to leave.
     pub fn end_calls(&self) {
         let now = self.shared.recorder.now();
-        locked(&self.shared.state).standing.values_mut().for_each(|standing| standing.ends_at = now);
+        locked(&self.shared.state).established.values_mut().for_each(|call| call.ends_at = now);
     }
 
     /// It serves no more, nor ever will.
@@ -187,13 +187,13 @@
         locked(&self.shared.state).dead
     }
 
-    fn everything_ends(&self) {
+    fn end_everything(&self) {
         let mut state = locked(&self.shared.state);
         for attempt in std::mem::take(&mut state.attempts) {
             self.shared.attempt_ended(attempt.call, true);
         }
-        for call in std::mem::take(&mut state.standing).into_keys() {
-            self.shared.recorder.saw(Event::CallOver { call, released: false });
+        for call in std::mem::take(&mut state.established).into_keys() {
+            self.shared.recorder.record(Event::CallOver { call, released: false });
         }
         state.dead = true;
     }
@@ -219,12 +219,12 @@
 }
 
 /// The description that a server gives a call: its caller can tell that it was made for it, and by whom.
-fn description_of(call: CallId, server: ServerId) -> String {
+fn description(call: CallId, server: ServerId) -> String {
     format!("77aa{call:016x} {}", server_name(server))
 }
 
 /// The server that made a description for that call; none where no server did.
-pub fn server_that_described(call: CallId, description: &[u8]) -> Option<String> {
+pub fn server_in_description(call: CallId, description: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(description).ok()?;
     let server = text.strip_prefix(&format!("77aa{call:016x} "))?;
     server.strip_prefix("s-")?.parse::<ServerId>().ok()?;
@@ -246,7 +246,7 @@
         let _ = stream.set_write_timeout(Some(Duration::from_secs(1)));
         let Ok(reading) = stream.try_clone() else { continue };
         let now = shared.recorder.now();
-        let latest = shared.quirks.latest_first_word;
+        let latest = shared.fault_profile.max_first_message_delay;
         let late = if latest > 0.0 { locked(&shared.rng).random_range(0.0..latest) } else { 0.0 };
         let mut state = locked(&shared.state);
         if state.dead {
@@ -254,9 +254,16 @@
         }
         state.next_connection += 1;
         let number = state.next_connection;
-        state
-            .connections
-            .insert(number, Connection { stream, front, state_at: now + late, greeted: false, used_at: now });
+        state.connections.insert(
+            number,
+            Connection {
+                stream,
+                front,
+                next_state_at: now + late,
+                first_message_sent: false,
+                last_used_at: now,
+            },
+        );
         drop(state);
         let shared = shared.clone();
         std::thread::spawn(move || shared.read(number, reading));
@@ -273,8 +280,8 @@
         }
         let now = shared.recorder.now();
         if shared.presence.get() == Presence::Serving {
-            shared.say_states(now, &mut state);
-            shared.answer(now, &mut state);
+            shared.send_states(now, &mut state);
+            shared.send_answers(now, &mut state);
             shared.close_idle(now, &mut state);
         }
         shared.end_calls(now, &mut state);
@@ -283,7 +290,7 @@
 
 impl Shared {
     fn attempt_ended(&self, call: CallId, unsure: bool) {
-        self.recorder.saw(Event::AttemptEnded { call, server: self.id, unsure });
+        self.recorder.record(Event::AttemptEnded { call, server: self.id, unsure });
     }
 
     /// Reads a connection until it ends.
@@ -295,7 +302,7 @@
                 continue;
             }
             let Ok(message) = serde_json::from_str::<Value>(&line) else { break };
-            self.take(connection, &message);
+            self.handle_message(connection, &message);
         }
         let mut state = locked(&self.state);
         state.connections.remove(&connection);
@@ -306,26 +313,26 @@
         ended.into_iter().for_each(|a| self.attempt_ended(a.call, true));
     }
 
-    fn take(&self, connection: usize, message: &Value) {
+    fn handle_message(&self, connection: usize, message: &Value) {
         let id = message["id"].as_str().unwrap_or("");
         let call = CallId::from_str_radix(id, 16).unwrap_or(0);
         let now = self.recorder.now();
         let mut state = locked(&self.state);
         if let Some(connection) = state.connections.get_mut(&connection) {
-            connection.used_at = now;
+            connection.last_used_at = now;
         }
         match message["type"].as_str().unwrap_or("") {
             "setup" => {
-                self.recorder.saw(Event::SetUp { call, server: self.id });
-                let (outcome, due) = self.draw(now);
-                state.attempts.push(Attempt { call, connection, due, outcome });
+                self.recorder.record(Event::SetUp { call, server: self.id });
+                let (outcome, answer_at) = self.draw_outcome(now);
+                state.attempts.push(Attempt { call, connection, answer_at, outcome });
             }
             "release" => {
-                if let Some(place) = state.attempts.iter().position(|a| a.call == call) {
-                    state.attempts.remove(place);
+                if let Some(index) = state.attempts.iter().position(|a| a.call == call) {
+                    state.attempts.remove(index);
                     self.attempt_ended(call, true);
                 }
-                state.standing.remove(&call);
+                state.established.remove(&call);
             }
             // One that hangs answers nothing now; the question is lost with that time.
             "ping" if self.presence.get() == Presence::Serving => {
@@ -339,96 +346,100 @@
         }
     }
 
-    fn draw(&self, now: f64) -> (Outcome, f64) {
-        let quirks = self.quirks;
+    fn draw_outcome(&self, now: f64) -> (AttemptOutcome, f64) {
+        let fault_profile = self.fault_profile;
         let mut rng = locked(&self.rng);
-        let due = now + rng.random_range(0.002..quirks.slowest.max(0.003));
-        let mut place = rng.random_range(0..100);
-        let ways = [
-            (quirks.full, Outcome::Full),
-            (quirks.cut, Outcome::Cut),
-            (quirks.lost, Outcome::Lost),
-            (quirks.spoilt, Outcome::Spoilt),
-            (quirks.twice, Outcome::AnswerTwice),
-            (quirks.reset, Outcome::Reset),
+        let answer_at = now + rng.random_range(0.002..fault_profile.max_answer_delay.max(0.003));
+        let mut roll = rng.random_range(0..100);
+        let shares = [
+            (fault_profile.full_percent, AttemptOutcome::Full),
+            (fault_profile.cut_percent, AttemptOutcome::Cut),
+            (fault_profile.lost_percent, AttemptOutcome::Lost),
+            (fault_profile.malformed_percent, AttemptOutcome::Malformed),
+            (fault_profile.duplicate_percent, AttemptOutcome::AnswerTwice),
+            (fault_profile.reset_percent, AttemptOutcome::Reset),
         ];
-        for (share, outcome) in ways {
-            if place < share {
-                return (outcome, due);
+        for (share, outcome) in shares {
+            if roll < share {
+                return (outcome, answer_at);
             }
-            place -= share;
+            roll -= share;
         }
-        (Outcome::Answer, due)
+        (AttemptOutcome::Answer, answer_at)
     }
 
-    fn say_states(&self, now: f64, state: &mut State) {
-        let State { connections, repeats, .. } = state;
-        for connection in connections.values_mut().filter(|c| c.state_at <= now) {
+    fn send_states(&self, now: f64, state: &mut State) {
+        let State { connections, releases_to_repeat, .. } = state;
+        for connection in connections.values_mut().filter(|c| c.next_state_at <= now) {
             write_line(&connection.stream, &state_line());
-            connection.state_at = if self.quirks.says_state { now + STATE_EVERY } else { f64::INFINITY };
-            if !std::mem::replace(&mut connection.greeted, true) {
+            connection.next_state_at =
+                if self.fault_profile.sends_state { now + STATE_INTERVAL } else { f64::INFINITY };
+            if !std::mem::replace(&mut connection.first_message_sent, true) {
                 // What that front may not have heard on an older connection.
-                let own = repeats.extract_if(.., |(front, _)| *front == connection.front);
+                let own = releases_to_repeat.extract_if(.., |(front, _)| *front == connection.front);
                 for (_, call) in own.collect::<Vec<_>>() {
-                    write_line(&connection.stream, &release(call, CLEARED));
+                    write_line(&connection.stream, &release(call, CAUSE_CLEARED));
                 }
             }
         }
     }
 
-    fn answer(&self, now: f64, state: &mut State) {
+    fn send_answers(&self, now: f64, state: &mut State) {
         let (due, left) =
-            std::mem::take(&mut state.attempts).into_iter().partition(|a: &Attempt| a.due <= now);
+            std::mem::take(&mut state.attempts).into_iter().partition(|a: &Attempt| a.answer_at <= now);
         state.attempts = left;
         for mut attempt in due {
-            if attempt.outcome == Outcome::Lost {
+            if attempt.outcome == AttemptOutcome::Lost {
                 // Still out, until the front gives it up.
-                attempt.due = f64::INFINITY;
+                attempt.answer_at = f64::INFINITY;
                 state.attempts.push(attempt);
                 continue;
             }
             let Some(connection) = state.connections.get(&attempt.connection) else { continue };
             let (stream, call) = (&connection.stream, attempt.call);
-            let answer = json!({"type": "answer", "id": name(call), "fields": {}, "sdp": description_of(call, self.id)});
+            let answer =
+                json!({"type": "answer", "id": name(call), "fields": {}, "sdp": description(call, self.id)});
             match attempt.outcome {
-                Outcome::Answer | Outcome::AnswerTwice => {
+                AttemptOutcome::Answer | AttemptOutcome::AnswerTwice => {
                     self.attempt_ended(call, false);
                     write_line(stream, &answer);
-                    if attempt.outcome == Outcome::AnswerTwice {
+                    if attempt.outcome == AttemptOutcome::AnswerTwice {
                         write_line(stream, &answer);
                     }
-                    let longest = self.quirks.longest_call.max(0.2);
+                    let longest = self.fault_profile.max_call_duration.max(0.2);
                     let ends_at = now + locked(&self.rng).random_range(0.1..longest);
                     let (connection, front) = (attempt.connection, connection.front);
-                    state.standing.insert(call, Standing { connection, front, ends_at, is_over: false });
+                    state
+                        .established
+                        .insert(call, EstablishedCall { connection, front, ends_at, has_ended: false });
                 }
-                Outcome::Full => {
+                AttemptOutcome::Full => {
                     self.attempt_ended(call, false);
-                    write_line(stream, &release(call, FULL));
+                    write_line(stream, &release(call, CAUSE_FULL));
                 }
-                Outcome::Cut => {
+                AttemptOutcome::Cut => {
                     self.attempt_ended(call, true);
-                    write_line(stream, &release(call, CUT));
+                    write_line(stream, &release(call, CAUSE_CUT));
                 }
-                Outcome::Spoilt => {
+                AttemptOutcome::Malformed => {
                     self.attempt_ended(call, true);
                     let _ = (&mut &*stream).write_all(b"{\"type\":\"answer\",\"id\":\"noise\n");
                 }
-                Outcome::Reset => {
+                AttemptOutcome::Reset => {
                     self.attempt_ended(call, true);
                     reset(stream);
                 }
-                Outcome::Lost => {}
+                AttemptOutcome::Lost => {}
             }
         }
     }
 
     fn close_idle(&self, now: f64, state: &mut State) {
-        let after = self.quirks.closes_idle_after;
+        let after = self.fault_profile.idle_timeout;
         if after <= 0.0 {
             return;
         }
-        for connection in state.connections.values().filter(|c| now - c.used_at > after) {
+        for connection in state.connections.values().filter(|c| now - c.last_used_at > after) {
             let _ = connection.stream.shutdown(std::net::Shutdown::Both);
         }
     }
@@ -436,25 +447,26 @@
     /// Ends the calls whose time is up. One that does not serve cannot say so; it does when it serves again.
     fn end_calls(&self, now: f64, state: &mut State) {
         let serves = self.presence.get() == Presence::Serving;
-        let over: Vec<CallId> = state.standing.iter().filter(|s| s.1.ends_at <= now).map(|s| *s.0).collect();
+        let over: Vec<CallId> =
+            state.established.iter().filter(|s| s.1.ends_at <= now).map(|s| *s.0).collect();
         for call in over {
-            let Some(standing) = state.standing.get_mut(&call) else { continue };
-            let was_over = std::mem::replace(&mut standing.is_over, true);
+            let Some(established) = state.established.get_mut(&call) else { continue };
+            let had_ended = std::mem::replace(&mut established.has_ended, true);
             if !serves {
-                if !was_over {
-                    self.recorder.saw(Event::CallOver { call, released: false });
+                if !had_ended {
+                    self.recorder.record(Event::CallOver { call, released: false });
                 }
                 continue;
             }
-            let (own, front) = (standing.connection, standing.front);
+            let (own, front) = (established.connection, established.front);
             let mut others = state.connections.values().filter(|c| c.front == front);
-            let on = state.connections.get(&own).or_else(|| others.next());
-            let released = on.is_some_and(|c| write_line(&c.stream, &release(call, CLEARED)));
-            if !was_over {
-                self.recorder.saw(Event::CallOver { call, released });
+            let connection = state.connections.get(&own).or_else(|| others.next());
+            let released = connection.is_some_and(|c| write_line(&c.stream, &release(call, CAUSE_CLEARED)));
+            if !had_ended {
+                self.recorder.record(Event::CallOver { call, released });
             }
-            state.repeats.push((front, call));
-            state.standing.remove(&call);
+            state.releases_to_repeat.push((front, call));
+            state.established.remove(&call);
         }
     }
 }
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -1,11 +1,11 @@
 //! One trial from its plan to its outcome.
 
-use crate::address::{placeholder, Hosts};
+use crate::address::{placeholder_address, Hosts};
 use crate::bad_clients;
 use crate::callers::Callers;
 use crate::discovery::{Discovery, Mode};
 use crate::front::Front;
-use crate::plan::{Plan, Trouble};
+use crate::plan::{Fault, Plan};
 use crate::record::{locked, Entry, Event, FrontId, Recorder, ServerId};
 use crate::server::{server_name, Server};
 use nix::sys::signal::Signal;
@@ -22,18 +22,18 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Requests come for so long, seconds.
-const ASKING: f64 = 12.0;
+const REQUEST_SECONDS: f64 = 12.0;
 /// And what they left has so long to come to its end.
-const LONGEST: f64 = 22.0;
+const MAX_TRIAL_SECONDS: f64 = 22.0;
 /// New connections come for so long after SIGTERM, seconds.
-const CONNECTS_AFTER_SIGNAL: f64 = 0.3;
-const LOOK: Duration = Duration::from_millis(5);
+const CONNECTS_AFTER_SIGTERM: f64 = 0.3;
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Time from the word that a server drains to its end, and from there to its successor, seconds.
-const DRAINS_FOR: f64 = 0.8;
-const LAST_RELEASES: f64 = 0.3;
-const SUCCEEDS_AFTER: f64 = 0.4;
+const DRAIN_SECONDS: f64 = 0.8;
+const RELEASE_SECONDS: f64 = 0.3;
+const REPLACEMENT_DELAY: f64 = 0.4;
 /// A front gets no SIGHUP so soon after it was ready, seconds.
-const NO_RELOAD_BEFORE: f64 = 1.1;
+const MIN_UPTIME_BEFORE_RELOAD: f64 = 1.1;
 
 /// What a trial came to.
 pub struct Outcome {
@@ -44,10 +44,10 @@
     /// The fronts' logs.
     pub logs: Vec<PathBuf>,
     /// Troubles that the machine could not play.
-    pub unplayed: Vec<String>,
+    pub failed_faults: Vec<String>,
 }
 
-struct World {
+struct Trial {
     plan: Plan,
     recorder: Recorder,
     fronts: Vec<Arc<Front>>,
@@ -58,18 +58,18 @@
     hosts: Hosts,
     callers: Arc<Callers>,
     /// Servers that the list said take nothing new, and when it did.
-    left: Mutex<Vec<(ServerId, f64)>>,
+    withdrawn: Mutex<Vec<(ServerId, f64)>>,
     ready_at: Mutex<Vec<f64>>,
-    unplayed: Mutex<Vec<String>>,
+    failed_faults: Mutex<Vec<String>>,
     seed: u64,
 }
 
 /// Plays the plan of a seed with fronts of that binary; files go into the folder.
-pub fn play(binary: &Path, folder: &Path, seed: u64, plan: Plan) -> io::Result<Outcome> {
+pub fn run(binary: &Path, folder: &Path, seed: u64, plan: Plan) -> io::Result<Outcome> {
     let recorder = Recorder::default();
-    let hosts = Hosts::of_trial(seed, plan.fronts);
+    let hosts = Hosts::for_trial(seed, plan.fronts);
     let servers = (0..plan.servers)
-        .map(|id| Ok((id, Server::start(id, &hosts, None, plan.quirks, seed ^ id as u64, &recorder)?)))
+        .map(|id| Ok((id, Server::start(id, &hosts, None, plan.fault_profile, seed ^ id as u64, &recorder)?)))
         .collect::<io::Result<Vec<_>>>()?;
     let members: Vec<Value> = servers.iter().map(|(id, s)| member(*id, *id, s.port, "up", 0)).collect();
     let discovery = Discovery::start(event(1, &members), hosts.clone(), &recorder)?;
@@ -84,10 +84,11 @@
     for front in &fronts {
         front.launch()?;
     }
-    let callers = Callers::start(fronts.clone(), plan.settings, plan.habits, plan.servers, seed, &recorder);
+    let callers =
+        Callers::start(fronts.clone(), plan.settings, plan.behaviour, plan.servers, seed, &recorder);
     let next_server = AtomicU64::new(plan.servers as u64);
     let ready_at = Mutex::new(vec![recorder.now(); plan.fronts]);
-    let world = Arc::new(World {
+    let trial = Arc::new(Trial {
         plan,
         recorder,
         fronts,
@@ -96,57 +97,57 @@
         discovery,
         hosts,
         callers,
-        left: Mutex::default(),
+        withdrawn: Mutex::default(),
         ready_at,
-        unplayed: Mutex::default(),
+        failed_faults: Mutex::default(),
         seed,
     });
-    world.run()
+    trial.run()
 }
 
-impl World {
-    fn run(self: &Arc<World>) -> io::Result<Outcome> {
+impl Trial {
+    fn run(self: &Arc<Trial>) -> io::Result<Outcome> {
         let begin = self.recorder.now();
-        let mut playing: Vec<JoinHandle<()>> = Vec::new();
-        for (at, trouble) in &self.plan.troubles {
+        let mut injecting: Vec<JoinHandle<()>> = Vec::new();
+        for (at, fault) in &self.plan.faults {
             self.wait_until(begin + at)?;
-            let (world, trouble) = (self.clone(), *trouble);
-            playing.push(std::thread::spawn(move || {
-                if let Err(why) = world.play(trouble) {
-                    locked(&world.unplayed).push(format!("{trouble:?}: {why}"));
+            let (trial, fault) = (self.clone(), *fault);
+            injecting.push(std::thread::spawn(move || {
+                if let Err(error) = trial.inject(fault) {
+                    locked(&trial.failed_faults).push(format!("{fault:?}: {error}"));
                 }
             }));
         }
-        self.wait_until(begin + ASKING)?;
-        self.callers.rest();
-        for thread in playing {
-            while !thread.is_finished() && self.recorder.now() < begin + LONGEST {
+        self.wait_until(begin + REQUEST_SECONDS)?;
+        self.callers.stop_requests();
+        for thread in injecting {
+            while !thread.is_finished() && self.recorder.now() < begin + MAX_TRIAL_SECONDS {
                 self.wait_until(self.recorder.now() + 0.05)?;
             }
         }
-        while !self.callers.is_quiet() && self.recorder.now() < begin + LONGEST {
+        while !self.callers.is_idle() && self.recorder.now() < begin + MAX_TRIAL_SECONDS {
             self.wait_until(self.recorder.now() + 0.05)?;
         }
         self.wait_until(self.recorder.now() + self.plan.settings.deadline + 0.8)?;
         let end = self.recorder.now();
         self.callers.end();
         self.discovery.end();
-        for (server, at) in locked(&self.left).iter() {
-            self.recorder.saw_at(self.discovery.told_at(*at), Event::ToldToLeave { server: *server });
+        for (server, at) in locked(&self.withdrawn).iter() {
+            self.recorder.record_at(self.discovery.received_by(*at), Event::ToldToLeave { server: *server });
         }
         let entries = self.recorder.sorted().into_iter().filter(|e| e.0 <= end).collect();
         for (_, server) in locked(&self.servers).iter() {
             server.die()?;
         }
         // Threads of callers may hold them for longer than this.
-        self.fronts.iter().try_for_each(|front| front.end())?;
+        self.fronts.iter().try_for_each(|front| front.stop())?;
         Ok(Outcome {
             entries,
             end,
             asked: self.callers.asked.load(Ordering::Relaxed),
             served: self.callers.served.load(Ordering::Relaxed),
             logs: self.fronts.iter().map(|f| f.log_path()).collect(),
-            unplayed: locked(&self.unplayed).clone(),
+            failed_faults: locked(&self.failed_faults).clone(),
         })
     }
 
@@ -154,9 +155,9 @@
     fn wait_until(&self, at: f64) -> io::Result<()> {
         while self.recorder.now() < at {
             for front in &self.fronts {
-                front.notice_end()?;
+                front.check_exit()?;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -165,39 +166,39 @@
         std::thread::sleep(Duration::from_secs_f64(seconds));
     }
 
-    fn play(&self, trouble: Trouble) -> io::Result<()> {
-        match trouble {
-            Trouble::Restart { front, signals_between } => self.restart(front, signals_between),
-            Trouble::Kill { front } => {
+    fn inject(&self, fault: Fault) -> io::Result<()> {
+        match fault {
+            Fault::Restart { front, signals_between } => self.restart(front, signals_between),
+            Fault::Kill { front } => {
                 self.fronts[front].kill()?;
-                self.start_again(front)
+                self.relaunch(front)
             }
-            Trouble::Vanish { first, count, listed_after } => self.vanish(first, count, listed_after),
-            Trouble::Hang { server, seconds } => self.absent(server, seconds, Presence::Hanging),
-            Trouble::Cut { server, seconds } => self.absent(server, seconds, Presence::Vanished),
-            Trouble::Die { server, replaced_after, listed_after } => {
+            Fault::Vanish { first, count, listed_after } => self.vanish(first, count, listed_after),
+            Fault::Hang { server, seconds } => self.make_absent(server, seconds, Presence::Hanging),
+            Fault::Cut { server, seconds } => self.make_absent(server, seconds, Presence::Vanished),
+            Fault::Die { server, replaced_after, listed_after } => {
                 let (old, gone) = self.server(server);
                 gone.die()?;
                 self.pause(replaced_after);
-                let new = self.successor(server, Some(gone.port))?;
+                let new = self.start_successor(server, Some(gone.port))?;
                 self.pause((listed_after - replaced_after).max(0.0));
-                self.leaves(old, gone.port, server, "removed");
-                self.tell(&[member(new.0, server, new.1, "up", unix_ms())]);
+                self.withdraw(old, gone.port, server, "removed");
+                self.publish(&[member(new.0, server, new.1, "up", unix_ms())]);
                 Ok(())
             }
-            Trouble::Replace { server } => self.replace(server),
-            Trouble::DiscoveryDown { seconds } => {
+            Fault::Replace { server } => self.replace(server),
+            Fault::DiscoveryDown { seconds } => {
                 self.discovery.set_mode(Mode::Down)?;
                 self.pause(seconds);
                 self.discovery.set_mode(Mode::Up)
             }
-            Trouble::DiscoverySilent => self.discovery.set_mode(Mode::OpenWatchesSilent),
-            Trouble::DiscoveryBreaks => {
-                self.discovery.break_next();
+            Fault::DiscoverySilent => self.discovery.set_mode(Mode::OpenWatchesSilent),
+            Fault::DiscoveryBreaks => {
+                self.discovery.break_next_event();
                 Ok(())
             }
-            Trouble::Reloads { count } => self.reload(count),
-            Trouble::BadClients { count } => {
+            Fault::Reloads { count } => self.reload(count),
+            Fault::BadClients { count } => {
                 let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ u64::from(count));
                 for _ in 0..count {
                     let front = &self.fronts[rng.random_range(0..self.fronts.len())];
@@ -208,7 +209,7 @@
                 }
                 Ok(())
             }
-            Trouble::Crowd { connections, rate } => self.crowd(connections, rate),
+            Fault::Crowd { connections, rate } => self.crowd(connections, rate),
         }
     }
 
@@ -217,13 +218,13 @@
     }
 
     /// Starts a new server in a pool, at that address.
-    fn successor(&self, pool: usize, at: Option<u16>) -> io::Result<(ServerId, u16)> {
+    fn start_successor(&self, pool: usize, at: Option<u16>) -> io::Result<(ServerId, u16)> {
         let id = self.next_server.fetch_add(1, Ordering::Relaxed) as ServerId;
         let seed = self.seed ^ (id as u64) << 8;
-        let start = |at| Server::start(id, &self.hosts, at, self.plan.quirks, seed, &self.recorder);
+        let start = |at| Server::start(id, &self.hosts, at, self.plan.fault_profile, seed, &self.recorder);
         let server = match start(at) {
-            // Its predecessor has vanished and left its address taken: two troubles met.
-            Err(why) if why.kind() == io::ErrorKind::AddrInUse => start(None)?,
+            // Its predecessor has vanished and left its address taken: two faults met.
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse => start(None)?,
             started => started?,
         };
         let port = server.port;
@@ -231,47 +232,47 @@
         Ok((id, port))
     }
 
-    fn tell(&self, members: &[Value]) {
-        self.discovery.tell_members(members);
+    fn publish(&self, members: &[Value]) {
+        self.discovery.publish_members(members);
     }
 
     /// The list says that a server drains or is gone.
-    fn leaves(&self, id: ServerId, port: u16, pool: usize, phase: &str) {
-        locked(&self.left).push((id, self.recorder.now()));
-        self.tell(&[member(id, pool, port, phase, 0)]);
+    fn withdraw(&self, id: ServerId, port: u16, pool: usize, phase: &str) {
+        locked(&self.withdrawn).push((id, self.recorder.now()));
+        self.publish(&[member(id, pool, port, phase, 0)]);
     }
 
     fn restart(&self, front: FrontId, signals_between: u32) -> io::Result<()> {
-        let under_trial = &self.fronts[front];
+        let process = &self.fronts[front];
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x5157 ^ front as u64);
         let signalled = self.recorder.now();
-        under_trial.terminate();
+        process.terminate();
         let kill_after = self.plan.settings.kill_after();
         let mut between: Vec<f64> =
             (0..signals_between).map(|_| rng.random_range(0.02..kill_after)).collect();
-        between.push(CONNECTS_AFTER_SIGNAL);
+        between.push(CONNECTS_AFTER_SIGTERM);
         between.sort_by(f64::total_cmp);
         for at in between {
             self.pause((signalled + at - self.recorder.now()).max(0.0));
-            if at == CONNECTS_AFTER_SIGNAL {
-                under_trial.accepts.store(false, Ordering::Release);
+            if at == CONNECTS_AFTER_SIGTERM {
+                process.accepts_connections.store(false, Ordering::Release);
             } else {
-                under_trial.signal(if rng.random() { Signal::SIGHUP } else { Signal::SIGTERM });
+                process.signal(if rng.random() { Signal::SIGHUP } else { Signal::SIGTERM });
             }
         }
         while self.recorder.now() < signalled + kill_after {
-            under_trial.notice_end()?;
+            process.check_exit()?;
             std::thread::sleep(Duration::from_millis(1));
         }
-        under_trial.kill()?;
-        self.start_again(front)
+        process.kill()?;
+        self.relaunch(front)
     }
 
-    fn start_again(&self, front: FrontId) -> io::Result<()> {
+    fn relaunch(&self, front: FrontId) -> io::Result<()> {
         self.callers.front_ended(front);
-        let under_trial = &self.fronts[front];
-        under_trial.configure(self.discovery.address(front), &self.discovery.events(front))?;
-        under_trial.launch()?;
+        let process = &self.fronts[front];
+        process.configure(self.discovery.address(front), &self.discovery.events(front))?;
+        process.launch()?;
         locked(&self.ready_at)[front] = self.recorder.now();
         Ok(())
     }
@@ -284,16 +285,16 @@
         }
         self.pause(listed_after);
         for (pool, (id, server)) in &gone {
-            self.leaves(*id, server.port, *pool, "removed");
+            self.withdraw(*id, server.port, *pool, "removed");
         }
         for pool in pools {
-            let new = self.successor(pool, None)?;
-            self.tell(&[member(new.0, pool, new.1, "up", unix_ms())]);
+            let new = self.start_successor(pool, None)?;
+            self.publish(&[member(new.0, pool, new.1, "up", unix_ms())]);
         }
         Ok(())
     }
 
-    fn absent(&self, pool: usize, seconds: f64, presence: Presence) -> io::Result<()> {
+    fn make_absent(&self, pool: usize, seconds: f64, presence: Presence) -> io::Result<()> {
         let (_, server) = self.server(pool);
         server.set_presence(presence)?;
         self.pause(seconds);
@@ -302,15 +303,15 @@
 
     fn replace(&self, pool: usize) -> io::Result<()> {
         let (old, server) = self.server(pool);
-        self.leaves(old, server.port, pool, "draining");
-        self.pause(DRAINS_FOR);
+        self.withdraw(old, server.port, pool, "draining");
+        self.pause(DRAIN_SECONDS);
         server.end_calls();
-        self.pause(LAST_RELEASES);
+        self.pause(RELEASE_SECONDS);
         server.die()?;
-        self.leaves(old, server.port, pool, "removed");
-        self.pause(SUCCEEDS_AFTER);
-        let new = self.successor(pool, Some(server.port))?;
-        self.tell(&[member(new.0, pool, new.1, "up", unix_ms())]);
+        self.withdraw(old, server.port, pool, "removed");
+        self.pause(REPLACEMENT_DELAY);
+        let new = self.start_successor(pool, Some(server.port))?;
+        self.publish(&[member(new.0, pool, new.1, "up", unix_ms())]);
         Ok(())
     }
 
@@ -319,15 +320,15 @@
         for _ in 0..count {
             // Not in a front's first second, and not to one that is about to end.
             let now = self.recorder.now();
-            let settled = locked(&self.ready_at).iter().all(|at| now - at > NO_RELOAD_BEFORE);
-            let accept = self.fronts.iter().all(|f| f.accepts.load(Ordering::Acquire));
+            let settled = locked(&self.ready_at).iter().all(|at| now - at > MIN_UPTIME_BEFORE_RELOAD);
+            let accept = self.fronts.iter().all(|f| f.accepts_connections.load(Ordering::Acquire));
             if settled && accept {
-                self.discovery.moves()?;
+                self.discovery.move_address()?;
                 for front in &self.fronts {
                     front.configure(self.discovery.address(front.id), &self.discovery.events(front.id))?;
                     front.signal(Signal::SIGHUP);
                 }
-                self.discovery.leaves_old_addresses();
+                self.discovery.close_old_listeners();
             }
             self.pause(rng.random_range(0.05..0.7));
         }
@@ -342,13 +343,13 @@
             .collect();
         self.pause(2.0);
         drop(idle);
-        self.callers.set_rate(self.plan.habits.rate);
+        self.callers.set_rate(self.plan.behaviour.rate);
         Ok(())
     }
 }
 
 fn member(id: ServerId, pool: usize, port: u16, phase: &str, up_since_ms: u64) -> Value {
-    json!({"id": server_name(id), "host_port": placeholder(port), "cell": pool, "phase": phase, "up_since_ms": up_since_ms})
+    json!({"id": server_name(id), "host_port": placeholder_address(port), "cell": pool, "phase": phase, "up_since_ms": up_since_ms})
 }
 
 pub(crate) fn event(n: usize, members: &[Value]) -> String {
--- a/crates/trials/tests/terms.rs
+++ b/crates/trials/tests/rules.rs
@@ -1,19 +1,19 @@
 //! Each term: kept on a sound record, found broken on a planted fault.
 
 use shalespindle_trials::record::{Entry, Event};
-use shalespindle_trials::terms::{breaches, Rule, Terms};
+use shalespindle_trials::rules::{breaches, Rule, RuleLimits};
 
-const TERMS: Terms = Terms {
+const LIMITS: RuleLimits = RuleLimits {
     guard: 0.5,
     drain_grace: 0.25,
     answer_slack: 0.5,
-    told_after_release: 1.05,
-    told_after_silence: 8.05,
-    told_after_hand_over: 4.0,
-    taken_after_signal: 0.7,
+    end_after_release: 1.05,
+    end_after_silence: 8.05,
+    end_after_hand_over: 4.0,
+    accepted_after_signal: 0.7,
     ready_within: 10.0,
-    gone_within: 0.1,
-    passing: 0.1,
+    abandon_within: 0.1,
+    transit_allowance: 0.1,
 };
 const END: f64 = 60.0;
 
@@ -37,7 +37,7 @@
 fn rules(entries: &[Entry]) -> Vec<Rule> {
     let mut entries = entries.to_vec();
     entries.sort_by(|a, b| a.0.total_cmp(&b.0));
-    breaches(&entries, &TERMS, END).into_iter().map(|b| b.rule).collect()
+    breaches(&entries, &LIMITS, END).into_iter().map(|b| b.rule).collect()
 }
 
 /// The sound record with one event more.
