--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -232,7 +232,7 @@
         fronts: Vec<usize>,
         /// Kinds of fault as scenarios name them; defaults to all.
         #[arg(long, value_delimiter = ',')]
-        kinds: Vec<shalespindle_lab::scenario::TroubleKind>,
+        kinds: Vec<shalespindle_lab::scenario::FaultKind>,
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
