--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -114,11 +114,11 @@
             false => Relays::direct(&listen, shape.seed)?,
         };
         let (mut fronts, mut feeds) = (Vec::new(), Vec::new());
-        for (place, at) in listen.iter().enumerate() {
+        for (index, at) in listen.iter().enumerate() {
             let feed = ListFeed::start()?;
-            let path = |extension: &str| folder.join(format!("f{place}.{extension}"));
+            let path = |extension: &str| folder.join(format!("f{index}.{extension}"));
             let front = Front {
-                listen: address(CALLER_NETWORK, place)?,
+                listen: address(CALLER_NETWORK, index)?,
                 settings: path("toml"),
                 console: path("sock"),
                 log: path("log"),
@@ -127,7 +127,7 @@
                 paused: false,
             };
             let peer = |to: usize| {
-                let address = relays.address(place, to);
+                let address = relays.address(index, to);
                 format!("[[fleet.peers]]\nname = \"f{to}\"\naddress = \"{address}\"\n")
             };
             let peers: String = (0..shape.fronts).map(peer).collect();
@@ -140,7 +140,7 @@
                  late_share = 0.25\npools = {:?}\n[rules]\ndrain_grace = \"250ms\"\nrelease_guard = \"500ms\"\n\
                  [rules.cold]\nstart_capacity = 0.3\nwarm_after = \"15s\"\ntip_multiple = 2.0\n\
                  [console]\nsocket = {:?}\n\
-                 [fleet]\nname = \"f{place}\"\nlisten = \"{}\"\nkey_file = {key:?}\nevery = \"{}ms\"\n\
+                 [fleet]\nname = \"f{index}\"\nlisten = \"{}\"\nkey_file = {key:?}\nevery = \"{}ms\"\n\
                  suspect_after = \"{}ms\"\ngone_after = \"{}ms\"\nbytes = {}\nwarnings_for = \"600s\"\n{storage}{}\n{peers}{}",
                 front.listen,
                 feed.address,
@@ -166,8 +166,8 @@
     }
 
     /// Starts a front that is down and waits until it answers.
-    pub fn start(&mut self, place: usize) -> io::Result<()> {
-        let front = &mut self.fronts[place];
+    pub fn start(&mut self, index: usize) -> io::Result<()> {
+        let front = &mut self.fronts[index];
         if front.process.is_some() {
             return Ok(());
         }
@@ -179,12 +179,12 @@
         front.process = Some(command.spawn()?);
         self.starts += 1;
         let begin = Instant::now();
-        while self.status(place).is_none() {
-            if let Some(why) = self.ended(place)? {
-                return Err(self.error_with_log(place, &format!("ended while starting: {why}")));
+        while self.status(index).is_none() {
+            if let Some(status) = self.ended(index)? {
+                return Err(self.error_with_log(index, &format!("ended while starting: {status}")));
             }
             if begin.elapsed() > START_TIMEOUT {
-                return Err(self.error_with_log(place, "did not answer in time after its start"));
+                return Err(self.error_with_log(index, "did not answer in time after its start"));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -192,20 +192,20 @@
     }
 
     /// The exit status of a front that ended unexpectedly.
-    pub fn ended(&mut self, place: usize) -> io::Result<Option<String>> {
-        let Some(process) = &mut self.fronts[place].process else { return Ok(None) };
+    pub fn ended(&mut self, index: usize) -> io::Result<Option<String>> {
+        let Some(process) = &mut self.fronts[index].process else { return Ok(None) };
         Ok(process.try_wait()?.map(|status| status.to_string()))
     }
 
     /// An error about a front, with the front's log.
-    pub fn error_with_log(&self, place: usize, what: &str) -> io::Error {
-        let log = std::fs::read_to_string(&self.fronts[place].log).unwrap_or_default();
-        io::Error::other(format!("front f{place} {what}:\n{log}"))
+    pub fn error_with_log(&self, index: usize, what: &str) -> io::Error {
+        let log = std::fs::read_to_string(&self.fronts[index].log).unwrap_or_default();
+        io::Error::other(format!("front f{index} {what}:\n{log}"))
     }
 
     /// Kills a front with SIGKILL.
-    pub fn kill(&mut self, place: usize) {
-        let front = &mut self.fronts[place];
+    pub fn kill(&mut self, index: usize) {
+        let front = &mut self.fronts[index];
         front.paused = false;
         if let Some(mut process) = front.process.take() {
             // Fails if the process has ended already, which is fine.
@@ -215,70 +215,70 @@
     }
 
     /// Shuts a front down gracefully (SIGTERM) and waits for it; returns whether it exited successfully.
-    pub fn end(&mut self, place: usize) -> io::Result<bool> {
-        let Some(mut process) = self.fronts[place].process.take() else { return Ok(true) };
+    pub fn end(&mut self, index: usize) -> io::Result<bool> {
+        let Some(mut process) = self.fronts[index].process.take() else { return Ok(true) };
         signal(&process, Signal::SIGTERM)?;
         Ok(process.wait()?.success())
     }
 
     /// Pauses (SIGSTOP) or resumes (SIGCONT) the process of a front.
-    pub fn set_paused(&mut self, place: usize, paused: bool) -> io::Result<()> {
-        let front = &mut self.fronts[place];
+    pub fn set_paused(&mut self, index: usize, paused: bool) -> io::Result<()> {
+        let front = &mut self.fronts[index];
         let Some(process) = &front.process else { return Ok(()) };
         front.paused = paused;
         signal(process, if paused { Signal::SIGSTOP } else { Signal::SIGCONT })
     }
 
     /// Makes a front reload its settings (SIGHUP).
-    pub fn reload(&self, place: usize) -> io::Result<()> {
-        self.fronts[place].process.as_ref().map_or(Ok(()), |process| signal(process, Signal::SIGHUP))
+    pub fn reload(&self, index: usize) -> io::Result<()> {
+        self.fronts[index].process.as_ref().map_or(Ok(()), |process| signal(process, Signal::SIGHUP))
     }
 
     /// The process id of a running front.
-    pub fn process_id(&self, place: usize) -> Option<u32> {
-        self.fronts[place].process.as_ref().map(Child::id)
+    pub fn process_id(&self, index: usize) -> Option<u32> {
+        self.fronts[index].process.as_ref().map(Child::id)
     }
 
     /// Whether a front runs and is not paused.
-    pub fn is_up(&self, place: usize) -> bool {
-        self.fronts[place].process.is_some() && !self.fronts[place].paused
+    pub fn is_up(&self, index: usize) -> bool {
+        self.fronts[index].process.is_some() && !self.fronts[index].paused
     }
 
     /// Sends a request to a front's console; none if it does not answer in time.
-    pub fn ask(&self, place: usize, request: &Request) -> Option<Reply> {
-        ask(&self.fronts[place].console, request, ANSWER_TIMEOUT).ok()
+    pub fn ask(&self, index: usize, request: &Request) -> Option<Reply> {
+        ask(&self.fronts[index].console, request, ANSWER_TIMEOUT).ok()
     }
 
     /// The fleet status that a front reports.
-    pub fn status(&self, place: usize) -> Option<FleetStatus> {
-        match self.ask(place, &Request::Fleet)? {
+    pub fn status(&self, index: usize) -> Option<FleetStatus> {
+        match self.ask(index, &Request::Fleet)? {
             Reply::Fleet(status) => Some(*status),
             _ => None,
         }
     }
 
     /// The state of the servers that a front reports.
-    pub fn members(&self, place: usize) -> Option<Members> {
-        match self.ask(place, &Request::Members)? {
+    pub fn members(&self, index: usize) -> Option<Members> {
+        match self.ask(index, &Request::Members)? {
             Reply::Members(members) => Some(*members),
             _ => None,
         }
     }
 
     /// The file with a front's stored state.
-    pub fn stored_file(&self, place: usize) -> &Path {
-        &self.fronts[place].stored_file
+    pub fn stored_file(&self, index: usize) -> &Path {
+        &self.fronts[index].stored_file
     }
 
     /// Path of the saved copy of a front's stored state.
-    fn saved_copy(&self, place: usize) -> PathBuf {
-        self.fronts[place].stored_file.with_extension("aside")
+    fn saved_copy(&self, index: usize) -> PathBuf {
+        self.fronts[index].stored_file.with_extension("aside")
     }
 
     /// Kills a front and saves a copy of its stored state.
-    pub fn save_stored_state(&mut self, place: usize) -> io::Result<()> {
-        self.kill(place);
-        match std::fs::copy(self.stored_file(place), self.saved_copy(place)) {
+    pub fn save_stored_state(&mut self, index: usize) -> io::Result<()> {
+        self.kill(index);
+        match std::fs::copy(self.stored_file(index), self.saved_copy(index)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
@@ -286,22 +286,22 @@
 
     /// Kills a front and restores the saved copy of its stored state, if there is one; does not start the
     /// front.
-    pub fn restore_stored_state(&mut self, place: usize) -> io::Result<()> {
-        self.kill(place);
-        match std::fs::copy(self.saved_copy(place), self.stored_file(place)) {
+    pub fn restore_stored_state(&mut self, index: usize) -> io::Result<()> {
+        self.kill(index);
+        match std::fs::copy(self.saved_copy(index), self.stored_file(index)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
     }
 
     /// The address at which callers connect to a front.
-    pub fn listen(&self, place: usize) -> SocketAddr {
-        self.fronts[place].listen
+    pub fn listen(&self, index: usize) -> SocketAddr {
+        self.fronts[index].listen
     }
 
     /// The settings file of a front.
-    pub fn settings(&self, place: usize) -> &Path {
-        &self.fronts[place].settings
+    pub fn settings(&self, index: usize) -> &Path {
+        &self.fronts[index].settings
     }
 }
 
@@ -312,6 +312,6 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        (0..self.fronts.len()).for_each(|place| self.kill(place));
+        (0..self.fronts.len()).for_each(|index| self.kill(index));
     }
 }
--- a/crates/rig/src/live.rs
+++ b/crates/rig/src/live.rs
@@ -42,7 +42,7 @@
     /// back.
     pub unlinked: usize,
     /// Time from the feed's return until the last front had connected to the server that the feed added,
-    /// seconds.
+    /// measured for up to `LINK_TIMEOUT`; seconds.
     pub linked_after: f64,
 }
 
@@ -60,9 +60,9 @@
 
 /// The address at which a front of a run listens. Each front has a loopback host of its own, so that no other
 /// process can use its port.
-pub fn own_address(run_number: u8, place: u8) -> io::Result<SocketAddr> {
+pub fn own_address(run_number: u8, host_number: u8) -> io::Result<SocketAddr> {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let host = Ipv4Addr::new(127, (high % 100) + 100 + run_number % 50, low, place.max(1));
+    let host = Ipv4Addr::new(127, (high % 100) + 100 + run_number % 50, low, host_number.max(1));
     TcpListener::bind((host, 0))?.local_addr()
 }
 
@@ -227,11 +227,11 @@
             let mut summary = lock(&run.summary);
             *(if status == 200 { &mut summary.established } else { &mut summary.refused }) += 1;
         }
-        Err(why) => {
+        Err(error) => {
             let killed = lock(&front.killed).iter().any(|at| *at >= asked - 0.05);
             if !killed {
                 let after = run.now() - asked;
-                lock(&run.summary).lost.push(format!("{id} at front {front_id}, {after:.3} s: {why}"));
+                lock(&run.summary).lost.push(format!("{id} at front {front_id}, {after:.3} s: {error}"));
             }
         }
     }
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -69,8 +69,8 @@
         report_progress(format!("{action:?}"));
         apply(&mut fleet, &mut latest, &action)?;
         for front in 0..shape.fronts {
-            if let Some(why) = fleet.ended(front)? {
-                return Err(fleet.error_with_log(front, &format!("ended unexpectedly: {why}")));
+            if let Some(status) = fleet.ended(front)? {
+                return Err(fleet.error_with_log(front, &format!("ended unexpectedly: {status}")));
             }
         }
         std::thread::sleep(shape.heartbeat_interval * ACTION_HEARTBEATS);
