--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fronts' processes, their settings and what they answer.
+//! The processes of the fronts, their settings and their console replies.
 
 use crate::feed::ListFeed;
 use crate::relay::Relays;
@@ -14,31 +14,32 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The longest wait for an answer of a front that runs.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(10);
-/// The longest wait for a front to come up.
-const UP_WITHIN: Duration = Duration::from_secs(20);
+/// Maximum wait for a console reply of a running front.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum wait until a started front answers.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a fleet is started with.
+/// Parameters of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetShape {
-    /// The binary.
+    /// Path of the binary.
     pub program: PathBuf,
     pub fronts: usize,
-    /// Time between two beats.
+    /// Interval between two heartbeats.
     pub heartbeat_interval: Duration,
     pub seed: u64,
-    /// Fronts keep what they know on disk, so often; none: nothing outlives a process.
+    /// Interval at which fronts store their state on disk; none: nothing is stored.
     pub keep_every: Option<Duration>,
-    /// Bytes of a datagram at most.
-    pub bytes: usize,
-    /// Further lines for `[fleet]` in the settings, before its peers.
-    pub more: String,
-    /// Further tables at the settings' end.
+    /// Maximum size of a datagram in bytes.
+    pub max_datagram_bytes: usize,
+    /// Further lines of `[fleet]` in the settings, before its peers.
+    pub fleet_settings: String,
+    /// Further tables at the end of the settings.
     pub tables: String,
     /// Numbers of the pools that attaches may go to.
     pub pools: Vec<u16>,
-    /// A relay on every path between fronts, for faults; without, they send straight to each other.
+    /// Place a relay, which can apply faults, on every path between fronts; otherwise fronts send directly to
+    /// each other.
     pub relayed: bool,
 }
 
@@ -51,8 +52,8 @@
             heartbeat_interval,
             seed,
             keep_every: None,
-            bytes: 1200,
-            more: String::new(),
+            max_datagram_bytes: 1200,
+            fleet_settings: String::new(),
             tables: String::new(),
             pools: vec![0, 1, 2],
             relayed: true,
@@ -61,29 +62,31 @@
 }
 
 struct Front {
-    /// Where callers reach it.
+    /// Address for callers.
     listen: SocketAddr,
     settings: PathBuf,
     console: PathBuf,
     log: PathBuf,
-    kept: PathBuf,
+    /// File with the stored state.
+    stored_file: PathBuf,
     process: Option<Child>,
-    stopped: bool,
+    paused: bool,
 }
 
-/// Fronts as processes; killed when it is dropped.
+/// Fronts as processes, which are killed when the fleet is dropped.
 pub struct Fleet {
     program: PathBuf,
     fronts: Vec<Front>,
     pub feeds: Vec<ListFeed>,
     pub relays: Relays,
+    /// Processes started so far.
     pub starts: u64,
     _folder: Option<tempfile::TempDir>,
 }
 
-/// Kinds of loopback network of a fleet: where fronts reach each other, where callers reach them.
-const FRONTS: u8 = 0;
-const CALLERS: u8 = 1;
+/// Offsets of the fleet's loopback networks: between fronts, and from callers to fronts.
+const FRONT_NETWORK: u8 = 0;
+const CALLER_NETWORK: u8 = 1;
 
 impl Fleet {
     /// Writes settings into `folder`, or into a temporary one, and starts nothing yet.
@@ -101,35 +104,35 @@
         let key = folder.join("key");
         std::fs::write(&key, "5a".repeat(32))?;
         let networks = networks();
-        // Rigs of several processes that run at once differ as well.
+        // Fleets of concurrent test processes get different addresses too.
         let address =
             |kind, front| free_address(networks + kind, std::process::id() as usize % 250 * 250 + front);
         let listen: Vec<SocketAddr> =
-            (0..shape.fronts).map(|front| address(FRONTS, front)).collect::<io::Result<_>>()?;
+            (0..shape.fronts).map(|front| address(FRONT_NETWORK, front)).collect::<io::Result<_>>()?;
         let relays = match shape.relayed {
             true => Relays::start(&listen, shape.seed)?,
             false => Relays::direct(&listen, shape.seed)?,
         };
         let (mut fronts, mut feeds) = (Vec::new(), Vec::new());
-        for (place, at) in listen.iter().enumerate() {
+        for (index, at) in listen.iter().enumerate() {
             let feed = ListFeed::start()?;
-            let path = |what: &str| folder.join(format!("f{place}.{what}"));
+            let path = |extension: &str| folder.join(format!("f{index}.{extension}"));
             let front = Front {
-                listen: address(CALLERS, place)?,
+                listen: address(CALLER_NETWORK, index)?,
                 settings: path("toml"),
                 console: path("sock"),
                 log: path("log"),
-                kept: path("redb"),
+                stored_file: path("redb"),
                 process: None,
-                stopped: false,
+                paused: false,
             };
             let peer = |to: usize| {
-                let address = relays.address(place, to);
+                let address = relays.address(index, to);
                 format!("[[fleet.peers]]\nname = \"f{to}\"\naddress = \"{address}\"\n")
             };
             let peers: String = (0..shape.fronts).map(peer).collect();
-            let keeps = shape.keep_every.map_or(String::new(), |every| {
-                format!("keep_file = {:?}\nkeep_every = \"{}ms\"\n", front.kept, every.as_millis())
+            let storage = shape.keep_every.map_or(String::new(), |every| {
+                format!("keep_file = {:?}\nkeep_every = \"{}ms\"\n", front.stored_file, every.as_millis())
             });
             let text = format!(
                 "[front]\nlisten = \"{}\"\nend_within = \"200ms\"\n[pool_list]\nfeed = \"{}\"\n\
@@ -137,8 +140,8 @@
                  late_share = 0.25\npools = {:?}\n[rules]\ndrain_grace = \"250ms\"\nrelease_guard = \"500ms\"\n\
                  [rules.cold]\nstart_capacity = 0.3\nwarm_after = \"15s\"\ntip_multiple = 2.0\n\
                  [console]\nsocket = {:?}\n\
-                 [fleet]\nname = \"f{place}\"\nlisten = \"{}\"\nkey_file = {key:?}\nevery = \"{}ms\"\n\
-                 suspect_after = \"{}ms\"\ngone_after = \"{}ms\"\nbytes = {}\nwarnings_for = \"600s\"\n{keeps}{}\n{peers}{}",
+                 [fleet]\nname = \"f{index}\"\nlisten = \"{}\"\nkey_file = {key:?}\nevery = \"{}ms\"\n\
+                 suspect_after = \"{}ms\"\ngone_after = \"{}ms\"\nbytes = {}\nwarnings_for = \"600s\"\n{storage}{}\n{peers}{}",
                 front.listen,
                 feed.address,
                 shape.pools,
@@ -147,8 +150,8 @@
                 shape.heartbeat_interval.as_millis(),
                 8 * shape.heartbeat_interval.as_millis(),
                 20 * shape.heartbeat_interval.as_millis(),
-                shape.bytes,
-                shape.more,
+                shape.max_datagram_bytes,
+                shape.fleet_settings,
                 shape.tables,
             );
             std::fs::write(&front.settings, text)?;
@@ -163,12 +166,12 @@
     }
 
     /// Starts a front that is down and waits until it answers.
-    pub fn start(&mut self, place: usize) -> io::Result<()> {
-        let front = &mut self.fronts[place];
+    pub fn start(&mut self, index: usize) -> io::Result<()> {
+        let front = &mut self.fronts[index];
         if front.process.is_some() {
             return Ok(());
         }
-        // A socket left behind by a killed process answers to nobody.
+        // A killed process leaves its console socket behind.
         let _ = std::fs::remove_file(&front.console);
         let log = File::options().create(true).append(true).open(&front.log)?;
         let mut command = Command::new(&self.program);
@@ -176,125 +179,129 @@
         front.process = Some(command.spawn()?);
         self.starts += 1;
         let begin = Instant::now();
-        while self.standing(place).is_none() {
-            if let Some(why) = self.ended(place)? {
-                return Err(self.error_with_log(place, &format!("ended at its start, {why}")));
+        while self.status(index).is_none() {
+            if let Some(status) = self.ended(index)? {
+                return Err(self.error_with_log(index, &format!("ended while starting: {status}")));
             }
-            if begin.elapsed() > UP_WITHIN {
-                return Err(self.error_with_log(place, "never came up"));
+            if begin.elapsed() > START_TIMEOUT {
+                return Err(self.error_with_log(index, "did not answer in time after its start"));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
         Ok(())
     }
 
-    /// How a front that should run has ended by itself.
-    pub fn ended(&mut self, place: usize) -> io::Result<Option<String>> {
-        let Some(process) = &mut self.fronts[place].process else { return Ok(None) };
+    /// The exit status of a front that ended unexpectedly.
+    pub fn ended(&mut self, index: usize) -> io::Result<Option<String>> {
+        let Some(process) = &mut self.fronts[index].process else { return Ok(None) };
         Ok(process.try_wait()?.map(|status| status.to_string()))
     }
 
-    /// A failure of a front, with what it has logged.
-    pub fn error_with_log(&self, place: usize, what: &str) -> io::Error {
-        let log = std::fs::read_to_string(&self.fronts[place].log).unwrap_or_default();
-        io::Error::other(format!("front f{place} {what}:\n{log}"))
+    /// An error about a front, with the front's log.
+    pub fn error_with_log(&self, index: usize, what: &str) -> io::Error {
+        let log = std::fs::read_to_string(&self.fronts[index].log).unwrap_or_default();
+        io::Error::other(format!("front f{index} {what}:\n{log}"))
     }
 
-    /// Kills it outright.
-    pub fn kill(&mut self, place: usize) {
-        let front = &mut self.fronts[place];
-        front.stopped = false;
+    /// Kills a front with SIGKILL.
+    pub fn kill(&mut self, index: usize) {
+        let front = &mut self.fronts[index];
+        front.paused = false;
         if let Some(mut process) = front.process.take() {
-            // Ended by itself already: so much the better.
+            // Fails if the process has ended already, which is fine.
             let _ = process.kill();
             let _ = process.wait();
         }
     }
 
-    /// Asks it to end in order and waits until it has.
-    pub fn end(&mut self, place: usize) -> io::Result<bool> {
-        let Some(mut process) = self.fronts[place].process.take() else { return Ok(true) };
+    /// Shuts a front down gracefully (SIGTERM) and waits for it; returns whether it exited successfully.
+    pub fn end(&mut self, index: usize) -> io::Result<bool> {
+        let Some(mut process) = self.fronts[index].process.take() else { return Ok(true) };
         signal(&process, Signal::SIGTERM)?;
         Ok(process.wait()?.success())
     }
 
-    /// Stops it where it stands, or lets it go on.
-    pub fn hold(&mut self, place: usize, still: bool) -> io::Result<()> {
-        let front = &mut self.fronts[place];
+    /// Pauses (SIGSTOP) or resumes (SIGCONT) the process of a front.
+    pub fn set_paused(&mut self, index: usize, paused: bool) -> io::Result<()> {
+        let front = &mut self.fronts[index];
         let Some(process) = &front.process else { return Ok(()) };
-        front.stopped = still;
-        signal(process, if still { Signal::SIGSTOP } else { Signal::SIGCONT })
+        front.paused = paused;
+        signal(process, if paused { Signal::SIGSTOP } else { Signal::SIGCONT })
     }
 
-    /// Has a front read its settings again.
-    pub fn reload(&self, place: usize) -> io::Result<()> {
-        self.fronts[place].process.as_ref().map_or(Ok(()), |process| signal(process, Signal::SIGHUP))
+    /// Makes a front reload its settings (SIGHUP).
+    pub fn reload(&self, index: usize) -> io::Result<()> {
+        self.fronts[index].process.as_ref().map_or(Ok(()), |process| signal(process, Signal::SIGHUP))
     }
 
-    /// The process id of a front that runs.
-    pub fn process_id(&self, place: usize) -> Option<u32> {
-        self.fronts[place].process.as_ref().map(Child::id)
+    /// The process id of a running front.
+    pub fn process_id(&self, index: usize) -> Option<u32> {
+        self.fronts[index].process.as_ref().map(Child::id)
     }
 
-    pub fn is_up(&self, place: usize) -> bool {
-        self.fronts[place].process.is_some() && !self.fronts[place].stopped
+    /// Whether a front runs and is not paused.
+    pub fn is_up(&self, index: usize) -> bool {
+        self.fronts[index].process.is_some() && !self.fronts[index].paused
     }
 
-    pub fn ask(&self, place: usize, question: &Request) -> Option<Reply> {
-        ask(&self.fronts[place].console, question, ANSWERED_WITHIN).ok()
+    /// Sends a request to a front's console; none if it does not answer in time.
+    pub fn ask(&self, index: usize, request: &Request) -> Option<Reply> {
+        ask(&self.fronts[index].console, request, ANSWER_TIMEOUT).ok()
     }
 
-    /// The other fronts, as this one knows them.
-    pub fn standing(&self, place: usize) -> Option<FleetStatus> {
-        match self.ask(place, &Request::Fleet)? {
-            Reply::Fleet(standing) => Some(*standing),
+    /// The fleet status that a front reports.
+    pub fn status(&self, index: usize) -> Option<FleetStatus> {
+        match self.ask(index, &Request::Fleet)? {
+            Reply::Fleet(status) => Some(*status),
             _ => None,
         }
     }
 
-    /// The servers, as a front judges them.
-    pub fn members(&self, place: usize) -> Option<Members> {
-        match self.ask(place, &Request::Members)? {
+    /// The state of the servers that a front reports.
+    pub fn members(&self, index: usize) -> Option<Members> {
+        match self.ask(index, &Request::Members)? {
             Reply::Members(members) => Some(*members),
             _ => None,
         }
     }
 
-    /// The file in which a front keeps what it knows.
-    pub fn kept(&self, place: usize) -> &Path {
-        &self.fronts[place].kept
+    /// The file with a front's stored state.
+    pub fn stored_file(&self, index: usize) -> &Path {
+        &self.fronts[index].stored_file
     }
 
-    /// Where a copy of it is put aside.
-    fn aside(&self, place: usize) -> PathBuf {
-        self.fronts[place].kept.with_extension("aside")
+    /// Path of the saved copy of a front's stored state.
+    fn saved_copy(&self, index: usize) -> PathBuf {
+        self.fronts[index].stored_file.with_extension("aside")
     }
 
-    /// Kills a front and puts a copy of what it has kept aside.
-    pub fn put_aside(&mut self, place: usize) -> io::Result<()> {
-        self.kill(place);
-        match std::fs::copy(self.kept(place), self.aside(place)) {
-            Err(why) if why.kind() != io::ErrorKind::NotFound => Err(why),
+    /// Kills a front and saves a copy of its stored state.
+    pub fn save_stored_state(&mut self, index: usize) -> io::Result<()> {
+        self.kill(index);
+        match std::fs::copy(self.stored_file(index), self.saved_copy(index)) {
+            Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
     }
 
-    /// Kills a front and gives it what was put aside, if anything was; it is not started.
-    pub fn put_back(&mut self, place: usize) -> io::Result<()> {
-        self.kill(place);
-        match std::fs::copy(self.aside(place), self.kept(place)) {
-            Err(why) if why.kind() != io::ErrorKind::NotFound => Err(why),
+    /// Kills a front and restores the saved copy of its stored state, if there is one; does not start the
+    /// front.
+    pub fn restore_stored_state(&mut self, index: usize) -> io::Result<()> {
+        self.kill(index);
+        match std::fs::copy(self.saved_copy(index), self.stored_file(index)) {
+            Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
     }
 
-    /// Where callers reach a front.
-    pub fn listen(&self, place: usize) -> SocketAddr {
-        self.fronts[place].listen
+    /// The address at which callers connect to a front.
+    pub fn listen(&self, index: usize) -> SocketAddr {
+        self.fronts[index].listen
     }
 
-    pub fn settings(&self, place: usize) -> &Path {
-        &self.fronts[place].settings
+    /// The settings file of a front.
+    pub fn settings(&self, index: usize) -> &Path {
+        &self.fronts[index].settings
     }
 }
 
@@ -305,6 +312,6 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        (0..self.fronts.len()).for_each(|place| self.kill(place));
+        (0..self.fronts.len()).for_each(|index| self.kill(index));
     }
 }
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -79,8 +79,8 @@
         Ok(Relays { shared, addresses, threads })
     }
 
-    /// No relays: fronts send directly to each other, and faults have no effect. For fleets too large for one thread
-    /// per pair.
+    /// No relays: fronts send directly to each other, and faults have no effect. For fleets too large for one
+    /// thread per pair.
     pub fn direct(fronts: &[SocketAddr], seed: u64) -> io::Result<Relays> {
         let mut relays = Relays::start(&[], seed)?;
         relays.addresses = vec![fronts.to_vec(); fronts.len()];
@@ -98,7 +98,7 @@
     }
 
     /// Number of frames of a version that a front has sent.
-    pub fn sent_in(&self, front: usize, version: u8) -> u64 {
+    pub fn frames_sent(&self, front: usize, version: u8) -> u64 {
         let versions = self.shared.versions.lock().unwrap_or_else(PoisonError::into_inner);
         versions.get(&(front, version)).copied().unwrap_or(0)
     }
