--- a/crates/standin/src/feed.rs
+++ b/crates/standin/src/feed.rs
@@ -1,12 +1,12 @@
-//! The pool list service without I/O: it knows each server's state, writes whole lists and changes as JSON
-//! lines, and pushes each of them late.
+//! The pool list service without I/O: it holds each server's state, writes full lists and changes as JSON
+//! lines, and sends each change after a delay.
 
 use crate::trace::{Entry, FrontId, Seen, ServerId};
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// State of a server's processor as the list tells it.
+/// State of a server's processor as the list reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
     Ready,
@@ -23,9 +23,9 @@
     started: Option<f64>,
 }
 
-/// One push that is not due yet.
+/// A change that has not been sent yet.
 #[derive(Clone, Debug)]
-struct Late {
+struct Pending {
     at: f64,
     front: FrontId,
     server: ServerId,
@@ -36,21 +36,21 @@
 #[derive(Clone, Debug)]
 pub struct FeedOut {
     pub front: FrontId,
-    /// None: its connection is closed.
+    /// `None`: the connection is closed.
     pub line: Option<Vec<u8>>,
 }
 
-/// The service.
+/// The state machine of the service.
 pub struct Feed {
     epoch: u64,
     sequence: u64,
-    now_rows: BTreeMap<ServerId, Row>,
-    /// What each front has been told, or will be told first on connecting.
-    told: BTreeMap<FrontId, BTreeMap<ServerId, Row>>,
-    late: VecDeque<Late>,
-    /// Seconds that a push is late.
+    current: BTreeMap<ServerId, Row>,
+    /// The rows that each front has been sent, or will be sent on connecting.
+    sent: BTreeMap<FrontId, BTreeMap<ServerId, Row>>,
+    pending: VecDeque<Pending>,
+    /// Delay of a change, seconds.
     pub delay: f64,
-    /// Says nothing, neither of changes nor to whom connects.
+    /// Sends no changes and closes new connections.
     stopped: bool,
     out: VecDeque<FeedOut>,
     seen: Vec<Entry>,
@@ -62,9 +62,9 @@
         Feed {
             epoch,
             sequence: 0,
-            now_rows: BTreeMap::new(),
-            told: (0..fronts).map(|f| (f, BTreeMap::new())).collect(),
-            late: VecDeque::new(),
+            current: BTreeMap::new(),
+            sent: (0..fronts).map(|f| (f, BTreeMap::new())).collect(),
+            pending: VecDeque::new(),
             delay,
             stopped: false,
             out: VecDeque::new(),
@@ -73,31 +73,31 @@
         }
     }
 
-    /// A server that was there before any front.
+    /// Adds a server that was present before any front.
     pub fn known(&mut self, server: ServerId, address: SocketAddr, pool: u16) {
         let row = Row { address, pool, state: Listed::Ready, incarnation: 1, started: None };
-        self.now_rows.insert(server, row.clone());
-        for rows in self.told.values_mut() {
+        self.current.insert(server, row.clone());
+        for rows in self.sent.values_mut() {
             rows.insert(server, row.clone());
         }
     }
 
-    /// The state of a server changed; every front is told later.
-    pub fn change(&mut self, now: f64, server: ServerId, state: Listed, started_anew: bool) {
-        let Some(row) = self.now_rows.get_mut(&server) else { return };
+    /// Records a server's new state, which is sent to every front after the delay.
+    pub fn change(&mut self, now: f64, server: ServerId, state: Listed, restarted: bool) {
+        let Some(row) = self.current.get_mut(&server) else { return };
         row.state = state;
-        if started_anew {
+        if restarted {
             row.incarnation += 1;
             row.started = Some(now);
         }
         let row = row.clone();
         let at = now + self.delay;
-        for &front in self.told.keys() {
-            self.late.push_back(Late { at, front, server, row: row.clone() });
+        for &front in self.sent.keys() {
+            self.pending.push_back(Pending { at, front, server, row: row.clone() });
         }
     }
 
-    /// A front's connection: it gets what it would have been told by now.
+    /// Handles a front's new connection: sends the rows whose delay has passed.
     pub fn connected(&mut self, now: f64, front: FrontId) {
         self.connected.insert(front, true);
         if self.stopped {
@@ -105,11 +105,11 @@
             return;
         }
         let rows: Vec<(ServerId, Row)> =
-            self.told.get(&front).into_iter().flatten().map(|(s, r)| (*s, r.clone())).collect();
+            self.sent.get(&front).into_iter().flatten().map(|(s, r)| (*s, r.clone())).collect();
         self.write(now, front, true, &rows);
     }
 
-    /// From now on it says nothing and holds no connection, or speaks again.
+    /// Closes all connections and sends nothing, or resumes.
     pub fn silence(&mut self, silent: bool) {
         self.stopped = silent;
         if silent {
@@ -127,18 +127,19 @@
         if self.stopped {
             return f64::INFINITY;
         }
-        self.late.iter().map(|l| l.at).fold(f64::INFINITY, f64::min)
+        self.pending.iter().map(|l| l.at).fold(f64::INFINITY, f64::min)
     }
 
     pub fn tick(&mut self, now: f64) {
         if self.stopped {
             return;
         }
-        let (due, rest): (VecDeque<Late>, VecDeque<Late>) = self.late.drain(..).partition(|l| l.at <= now);
-        self.late = rest;
-        for Late { front, server, row, .. } in due {
-            let known = self.told.entry(front).or_default();
-            // A push made later but due sooner (the delay shrank) is not undone by an older one.
+        let (due, rest): (VecDeque<Pending>, VecDeque<Pending>) =
+            self.pending.drain(..).partition(|l| l.at <= now);
+        self.pending = rest;
+        for Pending { front, server, row, .. } in due {
+            let known = self.sent.entry(front).or_default();
+            // When the delay has been reduced, an older change may expire after a newer one; it is discarded.
             if known.get(&server).is_some_and(|r| r.incarnation > row.incarnation) {
                 continue;
             }
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -1,5 +1,5 @@
-//! The cores on sockets. Each core has one coroutine that owns it; readers send it what came over one
-//! bounded mailbox, so that nothing is shared between cores.
+//! Runs the state machines (cores) on sockets. One coroutine owns each core and receives the input of its
+//! readers through one bounded mailbox, so that cores share no state.
 
 use crate::callers::Callers;
 use crate::feed::Feed;
@@ -16,32 +16,32 @@
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::Duration;
 
-/// Letters that may wait for a core.
-const ROOM: usize = 8192;
-/// Letters handled before the core's turn.
+/// Capacity of a core's mailbox, messages.
+const MAILBOX_CAPACITY: usize = 8192;
+/// Messages handled before the core's next tick.
 const BATCH: usize = 256;
 
-/// Something to do with a core, in its own coroutine.
-type Act<C> = Box<dyn FnOnce(&mut C, f64) + Send>;
+/// A function to run on a core, in the core's own coroutine.
+type Action<C> = Box<dyn FnOnce(&mut C, f64) + Send>;
 
-/// What reaches a core's owner.
-enum Letter<C> {
+/// A message to the coroutine that owns a core.
+enum Message<C> {
     Opened { connection: u64, tag: usize, outgoing: StreamWriter },
     Bytes { connection: u64, bytes: Vec<u8> },
     Closed { connection: u64 },
     Datagram(Vec<u8>),
-    Do(Act<C>),
+    Do(Action<C>),
     Stop(mpsc::Sender<C>),
 }
 
-/// A core in service on sockets.
+/// A core that runs on sockets.
 pub struct Hosted<C> {
-    mailbox: Mailbox<Letter<C>>,
+    mailbox: Mailbox<Message<C>>,
     readers: Vec<Handle>,
     owner: Option<Handle>,
 }
 
-/// What a kind of core does with what its sockets bring.
+/// A state machine that is driven by socket input and time.
 trait Core: Sized + Send + 'static {
     fn opened(&mut self, now: f64, connection: u64, tag: usize);
     fn bytes(&mut self, now: f64, connection: u64, bytes: &[u8]);
@@ -49,29 +49,29 @@
     fn datagram(&mut self, now: f64, bytes: &[u8]);
     fn due(&self) -> f64;
     fn tick(&mut self, now: f64);
-    /// Hands out what is to be sent and adds what passed to the trace.
-    fn drain(&mut self, out: &mut dyn FnMut(Carry), trace: &Trace);
+    /// Passes pending output to `out` and adds recorded events to the trace.
+    fn drain(&mut self, out: &mut dyn FnMut(Output), trace: &Trace);
 }
 
-/// Something to send.
-enum Carry {
+/// An output of a core.
+enum Output {
     To(u64, Vec<u8>),
-    /// To whichever connection has that tag.
+    /// Bytes for every connection with that tag.
     Tagged(usize, Vec<u8>),
     Close(u64),
-    /// Whichever connection has that tag.
+    /// Closes every connection with that tag.
     CloseTagged(usize),
     Datagram(Vec<u8>),
 }
 
 impl<C> Hosted<C> {
-    /// Does something with the core, in its own coroutine.
+    /// Runs a function on the core, in its own coroutine, without waiting for it.
     pub fn act(&self, what: impl FnOnce(&mut C, f64) + Send + 'static) {
-        // A core that has ended is acted on no more.
-        let _ = self.mailbox.send_unbounded(Letter::Do(Box::new(what)));
+        // The message is dropped when the core has ended.
+        let _ = self.mailbox.send_unbounded(Message::Do(Box::new(what)));
     }
 
-    /// Asks the core something and waits for the answer.
+    /// Runs a function on the core and waits for its result; `None` after 10 seconds.
     pub fn ask<T: Send + 'static>(&self, what: impl FnOnce(&mut C) -> T + Send + 'static) -> Option<T> {
         let (to, from) = mpsc::channel();
         self.act(move |core, _| {
@@ -80,10 +80,10 @@
         from.recv_timeout(Duration::from_secs(10)).ok()
     }
 
-    /// Ends its sockets and gives the core back.
+    /// Closes the sockets and returns the core.
     pub fn finish(mut self) -> Option<C> {
         let (to, from) = mpsc::channel();
-        let _ = self.mailbox.send_unbounded(Letter::Stop(to));
+        let _ = self.mailbox.send_unbounded(Message::Stop(to));
         let core = from.recv_timeout(Duration::from_secs(10)).ok();
         self.close();
         core
@@ -102,65 +102,65 @@
     }
 }
 
-/// Owns a core until it is stopped.
-fn own<C: Core>(
+/// Runs a core until it is stopped.
+fn run_core<C: Core>(
     mut core: C,
-    mail: MailboxReceiver<Letter<C>>,
-    ground: MonotonicClock,
+    inbox: MailboxReceiver<Message<C>>,
+    clock: MonotonicClock,
     trace: Trace,
     udp: Option<(UdpSocket, SocketAddr)>,
 ) {
     let mut connections: BTreeMap<u64, (usize, StreamWriter)> = BTreeMap::new();
     loop {
-        let mut next = mail.recv_timeout(ground.duration_until(core.due()));
+        let mut next = inbox.recv_timeout(clock.duration_until(core.due()));
         let mut taken = 0;
         while let Some(letter) = next {
-            let now = ground.now();
+            let now = clock.now();
             match letter {
-                Letter::Opened { connection, tag, outgoing } => {
+                Message::Opened { connection, tag, outgoing } => {
                     connections.insert(connection, (tag, outgoing));
                     core.opened(now, connection, tag);
                 }
-                Letter::Bytes { connection, bytes } => core.bytes(now, connection, &bytes),
-                Letter::Closed { connection } => {
+                Message::Bytes { connection, bytes } => core.bytes(now, connection, &bytes),
+                Message::Closed { connection } => {
                     if let Some((tag, _)) = connections.remove(&connection) {
                         core.closed(now, connection, tag);
                     }
                 }
-                Letter::Datagram(bytes) => core.datagram(now, &bytes),
-                Letter::Do(what) => what(&mut core, now),
-                Letter::Stop(to) => {
+                Message::Datagram(bytes) => core.datagram(now, &bytes),
+                Message::Do(what) => what(&mut core, now),
+                Message::Stop(to) => {
                     for (_, outgoing) in connections.values() {
                         outgoing.close(false);
                     }
-                    // Nobody to give it to: then it is dropped here.
+                    // The core is dropped when nobody waits for it.
                     let _ = to.send(core);
                     return;
                 }
             }
             taken += 1;
-            next = if taken < BATCH { mail.try_recv() } else { None };
+            next = if taken < BATCH { inbox.try_recv() } else { None };
         }
-        core.tick(ground.now());
+        core.tick(clock.now());
         let mut gone = Vec::new();
-        let mut send = |what: Carry| match what {
-            Carry::To(connection, bytes) => {
+        let mut send = |what: Output| match what {
+            Output::To(connection, bytes) => {
                 if let Some((_, outgoing)) = connections.get_mut(&connection) {
                     outgoing.write(&bytes, || {});
                 }
             }
-            Carry::Tagged(tag, bytes) => {
+            Output::Tagged(tag, bytes) => {
                 for (_, outgoing) in connections.values_mut().filter(|c| c.0 == tag) {
                     outgoing.write(&bytes, || {});
                 }
             }
-            Carry::Close(connection) => gone.push(connection),
-            Carry::CloseTagged(tag) => {
+            Output::Close(connection) => gone.push(connection),
+            Output::CloseTagged(tag) => {
                 gone.extend(connections.iter().filter(|c| c.1 .0 == tag).map(|c| *c.0));
             }
-            Carry::Datagram(bytes) => {
+            Output::Datagram(bytes) => {
                 if let Some((udp, to)) = &udp {
-                    // Lost like any other datagram; its sender repeats it.
+                    // A datagram that cannot be sent is lost; the sender retransmits it.
                     let _ = udp.inner().send_to(&bytes, *to);
                 }
             }
@@ -171,7 +171,7 @@
                 outgoing.close(true);
             }
         }
-        // Readers woken on this worker wait behind its owner.
+        // Readers that were woken on this worker run only once its owner yields.
         may::coroutine::yield_now();
     }
 }
@@ -193,13 +193,13 @@
     fn tick(&mut self, now: f64) {
         Server::tick(self, now);
     }
-    fn drain(&mut self, out: &mut dyn FnMut(Carry), trace: &Trace) {
-        // What passed is in the trace before it can have an effect elsewhere.
+    fn drain(&mut self, out: &mut dyn FnMut(Output), trace: &Trace) {
+        // Events are added to the trace before their output can have an effect elsewhere.
         trace.extend(self.take_seen());
         while let Some(next) = self.next_output() {
             out(match next {
-                ServerOut::Bytes { connection, bytes } => Carry::To(connection, bytes),
-                ServerOut::Close { connection } => Carry::Close(connection),
+                ServerOut::Bytes { connection, bytes } => Output::To(connection, bytes),
+                ServerOut::Close { connection } => Output::Close(connection),
             });
         }
     }
@@ -220,12 +220,12 @@
     fn tick(&mut self, now: f64) {
         Feed::tick(self, now);
     }
-    fn drain(&mut self, out: &mut dyn FnMut(Carry), trace: &Trace) {
+    fn drain(&mut self, out: &mut dyn FnMut(Output), trace: &Trace) {
         trace.extend(self.take_seen());
         while let Some(next) = self.next_output() {
             out(match next.line {
-                Some(line) => Carry::Tagged(next.front, line),
-                None => Carry::CloseTagged(next.front),
+                Some(line) => Output::Tagged(next.front, line),
+                None => Output::CloseTagged(next.front),
             });
         }
     }
@@ -244,20 +244,20 @@
     fn tick(&mut self, now: f64) {
         Callers::tick(self, now);
     }
-    fn drain(&mut self, out: &mut dyn FnMut(Carry), trace: &Trace) {
+    fn drain(&mut self, out: &mut dyn FnMut(Output), trace: &Trace) {
         trace.extend(self.take_seen());
         while let Some(bytes) = self.next_output() {
-            out(Carry::Datagram(bytes));
+            out(Output::Datagram(bytes));
         }
     }
 }
 
-/// Accepts connections and reads each in a coroutine of its own.
+/// Accepts connections and reads each one in a separate coroutine.
 fn accept<C: Send + 'static>(
     listener: TcpListener,
     tag: usize,
     next: Arc<Mutex<u64>>,
-    mailbox: Mailbox<Letter<C>>,
+    mailbox: Mailbox<Message<C>>,
 ) -> io::Result<Handle> {
     start(LARGE_STACK, move || loop {
         let Ok((mut stream, _)) = listener.accept() else { continue };
@@ -268,7 +268,7 @@
             *next += 1;
             *next
         };
-        if mailbox.send(Letter::Opened { connection, tag, outgoing }).is_err() {
+        if mailbox.send(Message::Opened { connection, tag, outgoing }).is_err() {
             return;
         }
         let mailbox = mailbox.clone();
@@ -279,7 +279,7 @@
                 match stream.read(&mut buffer) {
                     Ok(n) if n > 0 => {
                         let bytes = buffer[..n].to_vec();
-                        if mailbox.send(Letter::Bytes { connection, bytes }).is_err() {
+                        if mailbox.send(Message::Bytes { connection, bytes }).is_err() {
                             return;
                         }
                     }
@@ -287,15 +287,15 @@
                     _ => break,
                 }
             }
-            let _ = mailbox.send(Letter::Closed { connection });
+            let _ = mailbox.send(Message::Closed { connection });
         });
         if reader.is_err() {
-            let _ = lost.send(Letter::Closed { connection });
+            let _ = lost.send(Message::Closed { connection });
         }
     })
 }
 
-/// A server whose listener can be closed and opened again, as its process ends and starts.
+/// A server whose listener can be closed and reopened, as when its process ends and restarts.
 pub struct HostedServer {
     pub core: Hosted<Server>,
     address: SocketAddr,
@@ -304,15 +304,15 @@
 }
 
 impl HostedServer {
-    /// Starts a server on that address, its processor warm.
+    /// Starts a server on that address with a warm processor.
     pub fn start(
         core: Server,
         address: SocketAddr,
-        ground: MonotonicClock,
+        clock: MonotonicClock,
         trace: Trace,
     ) -> io::Result<HostedServer> {
-        let (outgoing, mail) = mailbox(ROOM);
-        let owner = start(LARGE_STACK, move || own(core, mail, ground, trace, None))?;
+        let (outgoing, inbox) = mailbox(MAILBOX_CAPACITY);
+        let owner = start(LARGE_STACK, move || run_core(core, inbox, clock, trace, None))?;
         let server = HostedServer {
             core: Hosted { mailbox: outgoing, readers: Vec::new(), owner: Some(owner) },
             address,
@@ -331,7 +331,7 @@
         Ok(())
     }
 
-    /// Its process ends: connections are reset, new ones refused.
+    /// Ends the process: connections are reset, new ones refused.
     pub fn stop(&self) {
         if let Some(listener) = self.listener.lock().unwrap_or_else(|e| e.into_inner()).take() {
             end(listener);
@@ -339,7 +339,7 @@
         self.core.act(Server::stop);
     }
 
-    /// A new process, cold.
+    /// Starts a new process with a cold processor.
     pub fn start_again(&self) -> io::Result<()> {
         self.core.act(|core, now| core.start(now, true));
         if self.listener.lock().unwrap_or_else(|e| e.into_inner()).is_none() {
@@ -356,43 +356,43 @@
     }
 }
 
-/// The feed, with one listening address for each front.
+/// Runs the pool list service with one listener for each front.
 pub fn feed(
     core: Feed,
     listeners: Vec<TcpListener>,
-    ground: MonotonicClock,
+    clock: MonotonicClock,
     trace: Trace,
 ) -> io::Result<Hosted<Feed>> {
-    let (outgoing, mail) = mailbox(ROOM);
+    let (outgoing, inbox) = mailbox(MAILBOX_CAPACITY);
     let next = Arc::new(Mutex::new(0));
     let mut readers = Vec::new();
     for (front, listener) in listeners.into_iter().enumerate() {
         readers.push(accept(listener, front as FrontId, next.clone(), outgoing.clone())?);
     }
-    let owner = start(LARGE_STACK, move || own(core, mail, ground, trace, None))?;
+    let owner = start(LARGE_STACK, move || run_core(core, inbox, clock, trace, None))?;
     Ok(Hosted { mailbox: outgoing, readers, owner: Some(owner) })
 }
 
-/// Callers on a datagram socket of their own, asking the front at `to`.
+/// Runs callers on their own UDP socket; their messages go to the front at `to`.
 pub fn callers(
     core: Callers,
     udp: UdpSocket,
     to: SocketAddr,
-    ground: MonotonicClock,
+    clock: MonotonicClock,
     trace: Trace,
 ) -> io::Result<Hosted<Callers>> {
-    let (outgoing, mail) = mailbox(ROOM);
+    let (outgoing, inbox) = mailbox(MAILBOX_CAPACITY);
     let writer = udp.try_clone()?;
     let mailbox = outgoing.clone();
     let reader = start(SMALL_STACK, move || {
         let mut buffer = vec![0; 65_536];
         loop {
             let Ok((size, _)) = udp.recv_from(&mut buffer) else { continue };
-            if mailbox.send(Letter::Datagram(buffer[..size].to_vec())).is_err() {
+            if mailbox.send(Message::Datagram(buffer[..size].to_vec())).is_err() {
                 return;
             }
         }
     })?;
-    let owner = start(LARGE_STACK, move || own(core, mail, ground, trace, Some((writer, to))))?;
+    let owner = start(LARGE_STACK, move || run_core(core, inbox, clock, trace, Some((writer, to))))?;
     Ok(Hosted { mailbox: outgoing, readers: vec![reader], owner: Some(owner) })
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,6 +1,5 @@
-//! Peers of a live front on sockets, from the platform's published pages: a signalling server of JSON lines
-//! and a control feed of server-sent events. A test says what they do; everything they get comes out of a
-//! channel.
+//! Peers of a live front on sockets, according to the platform's published pages: a signalling server of JSON
+//! lines and a control feed of server-sent events. Tests control them and receive every line from a channel.
 
 use crate::presence::{Presence, PresenceSwitch};
 use serde_json::Value;
@@ -18,7 +17,7 @@
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A line that a signalling server got, and where to answer it.
+/// A line that a signalling server received, and the connection on which to answer it.
 pub struct Got {
     pub line: Value,
     stream: TcpStream,
@@ -33,12 +32,12 @@
         self.line["id"].as_str().unwrap_or("")
     }
 
-    /// Writes a line on the connection that this one came on.
+    /// Writes a line on the connection on which this one arrived.
     pub fn reply(&self, line: &Value) -> io::Result<()> {
         write_line(&self.stream, line)
     }
 
-    /// Ends that connection.
+    /// Shuts that connection down.
     pub fn cut(&self) -> io::Result<()> {
         self.stream.shutdown(std::net::Shutdown::Both)
     }
@@ -48,7 +47,7 @@
     stream.write_all(format!("{line}\n").as_bytes())
 }
 
-/// A signalling server: says its state first on every connection and answers tests by itself.
+/// A signalling server: sends its state first on every connection and answers pings automatically.
 pub struct LineServer {
     pub address: SocketAddr,
     got: Receiver<Got>,
@@ -57,7 +56,7 @@
     presence: PresenceSwitch,
 }
 
-/// The connections whose first word is held back; none where it is not.
+/// The connections on which the state has not been sent; `None`: the state is sent at once.
 type Held = Shared<Option<Vec<TcpStream>>>;
 
 impl LineServer {
@@ -65,7 +64,7 @@
         LineServer::with(None)
     }
 
-    /// One that takes connections and says nothing on them before [`LineServer::say_state`].
+    /// Starts a server that accepts connections and sends nothing on them before [`LineServer::say_state`].
     pub fn silent() -> io::Result<LineServer> {
         LineServer::with(Some(Vec::new()))
     }
@@ -73,7 +72,7 @@
     fn with(held: Option<Vec<TcpStream>>) -> io::Result<LineServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (tell, got) = channel();
+        let (sender, got) = channel();
         let held = Arc::new(Mutex::new(held));
         let holding = held.clone();
         let accepted = Arc::new(AtomicUsize::new(0));
@@ -83,39 +82,39 @@
         std::thread::spawn(move || {
             while let Ok(stream) = switch.accept(0) {
                 counting.fetch_add(1, Ordering::Relaxed);
-                let (tell, held, switch) = (tell.clone(), holding.clone(), switch.clone());
-                std::thread::spawn(move || serve(stream, &tell, &held, &switch));
+                let (sender, held, switch) = (sender.clone(), holding.clone(), switch.clone());
+                std::thread::spawn(move || serve(stream, &sender, &held, &switch));
             }
         });
         Ok(LineServer { address, got, held, accepted, presence })
     }
 
-    /// Hangs, vanishes or serves again.
+    /// Makes the server hang, vanish or serve again.
     pub fn set_presence(&self, presence: Presence) -> io::Result<()> {
         self.presence.set(presence)
     }
 
-    /// How many connections have been made to it so far.
+    /// Number of connections accepted so far.
     pub fn accepted(&self) -> usize {
         self.accepted.load(Ordering::Relaxed)
     }
 
-    /// How many connections wait for its first word.
+    /// Number of connections on which the state has not been sent.
     pub fn held(&self) -> usize {
         locked(&self.held).as_ref().map_or(0, Vec::len)
     }
 
-    /// Says its state on all connections that wait for it; from now on it is said at once.
+    /// Sends the state on all connections that wait for it; on later ones it is sent at once.
     pub fn say_state(&self) -> io::Result<()> {
         locked(&self.held).take().into_iter().flatten().try_for_each(|stream| write_line(&stream, &state()))
     }
 
-    /// All lines that have come so far, tests aside.
+    /// Takes all lines that have arrived, without the pings.
     pub fn so_far(&self) -> Vec<Got> {
         self.got.try_iter().collect()
     }
 
-    /// The next line of that type; others before it are passed over.
+    /// Waits for the next line of that type and discards others before it.
     pub fn expect(&self, kind: &str, within: Duration) -> Result<Got, RecvTimeoutError> {
         loop {
             let got = self.got.recv_timeout(within)?;
@@ -130,8 +129,8 @@
     serde_json::json!({"type": "state", "id": "", "fields": {"load": "x0:40;x1:40"}})
 }
 
-/// Ends with its connection, whatever the reason.
-fn serve(stream: TcpStream, tell: &Sender<Got>, held: &Held, presence: &PresenceSwitch) -> Option<()> {
+/// Serves one connection until it ends for any reason.
+fn serve(stream: TcpStream, sender: &Sender<Got>, held: &Held, presence: &PresenceSwitch) -> Option<()> {
     presence.wait_until_serving();
     match &mut *locked(held) {
         Some(waiting) => waiting.push(stream.try_clone().ok()?),
@@ -141,7 +140,7 @@
         let line: Value = serde_json::from_str(&line.ok()?).ok()?;
         presence.wait_until_serving();
         if line["type"] == "ping" && locked(held).is_some() {
-            // Silent altogether: an answer would be a first word too.
+            // No pong either: it would be the first message on the connection.
             continue;
         }
         if line["type"] == "ping" {
@@ -150,13 +149,12 @@
             write_line(&stream, &pong).ok()?;
             continue;
         }
-        tell.send(Got { line, stream: stream.try_clone().ok()? }).ok()?;
+        sender.send(Got { line, stream: stream.try_clone().ok()? }).ok()?;
     }
     Some(())
 }
 
-/// A server that says its state and reads nothing, with sockets that hold next to nothing, until it is told
-/// to.
+/// A server that sends its state and reads nothing, with minimal socket buffers, until [`DeafServer::hear`].
 pub struct DeafServer {
     pub address: SocketAddr,
     streams: Shared<Vec<(SocketAddr, TcpStream)>>,
@@ -166,7 +164,7 @@
     pub fn start() -> io::Result<DeafServer> {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         listener.set_recv_buffer_size(2048)?;
-        // With small segments the other side gives its socket a small buffer too.
+        // With small segments the client's socket gets a small buffer too.
         listener.set_tcp_mss(536)?;
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         listener.listen(64)?;
@@ -184,8 +182,8 @@
         Ok(DeafServer { address, streams })
     }
 
-    /// Reads at last: the ids of all set-ups that come whole on each connection made so far, until it has
-    /// ended or has been silent for that long.
+    /// Reads every connection made so far until it ends or is silent for that long, and returns the ids of the
+    /// set-ups that arrived complete.
     pub fn hear(&self, silent_for: Duration) -> io::Result<Vec<Heard>> {
         let mut heard = Vec::new();
         for (peer, stream) in locked(&self.streams).drain(..) {
@@ -193,7 +191,8 @@
             stream.set_read_timeout(Some(silent_for))?;
             let mut reader = BufReader::new(stream);
             let mut line = Vec::new();
-            // Reset, ended or silent: nothing more comes on it. What has no line feed has not come whole.
+            // The loop ends when the connection is reset, ended or silent. A line without line feed is
+            // incomplete.
             while reader.read_until(b'\n', &mut line).is_ok() && line.ends_with(b"\n") {
                 let message: Value = serde_json::from_slice(&std::mem::take(&mut line))?;
                 if message["type"] == "setup" {
@@ -206,78 +205,82 @@
     }
 }
 
-/// The set-ups that came whole on one connection, and who sent them.
+/// The set-ups that arrived complete on one connection, and their sender.
 #[derive(Debug)]
 pub struct Heard {
     pub peer: SocketAddr,
     pub ids: Vec<String>,
 }
 
-/// A control feed: keeps all events, and tells a front those after the number it names.
+/// A control feed: stores all events and sends a front those after the number in its request.
 pub struct EventFeed {
     pub address: SocketAddr,
-    told: Shared<Told>,
+    state: Shared<FeedState>,
 }
 
 #[derive(Default)]
-struct Told {
+struct FeedState {
     events: Vec<String>,
     open: Vec<TcpStream>,
+    /// The numbers in the requests so far.
     asked: Vec<usize>,
-    /// Takes connections and ends them without a word.
+    /// Connections are accepted and closed without an answer.
     away: bool,
 }
 
 impl EventFeed {
-    /// A feed that has so many events behind it already.
+    /// Starts a feed with these past events.
     pub fn start(events: Vec<String>) -> io::Result<EventFeed> {
         EventFeed::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), events)
     }
 
-    /// The same at an address that fronts have been told already.
+    /// Starts a feed at an address that is already in the fronts' settings.
     pub fn start_at(at: SocketAddr, events: Vec<String>) -> io::Result<EventFeed> {
         let listener = TcpListener::bind(at)?;
         let address = listener.local_addr()?;
-        let told: Shared<Told> = Arc::new(Mutex::new(Told { events, ..Told::default() }));
-        let (asking, ticking) = (told.clone(), Arc::downgrade(&told));
+        let state: Shared<FeedState> = Arc::new(Mutex::new(FeedState { events, ..FeedState::default() }));
+        let (for_requests, for_ticks) = (state.clone(), Arc::downgrade(&state));
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                asked(stream, &asking);
+                answer_request(stream, &for_requests);
             }
         });
         std::thread::spawn(move || {
-            while let Some(told) = ticking.upgrade() {
-                locked(&told).open.retain_mut(|stream| stream.write_all(b": tick\n\n").is_ok());
-                drop(told);
+            while let Some(state) = for_ticks.upgrade() {
+                locked(&state).open.retain_mut(|stream| stream.write_all(b": tick\n\n").is_ok());
+                drop(state);
                 std::thread::sleep(Duration::from_millis(500));
             }
         });
-        Ok(EventFeed { address, told })
+        Ok(EventFeed { address, state })
     }
 
+    /// Adds an event and sends it to all connected fronts.
     pub fn tell(&self, event: String) {
-        let mut told = locked(&self.told);
-        told.events.push(event);
-        let (number, text) = (told.events.len(), told.events[told.events.len() - 1].clone());
-        told.open.retain_mut(|stream| write!(stream, "id: {number}\ndata: {text}\n\n").is_ok());
+        let mut state = locked(&self.state);
+        state.events.push(event);
+        let (number, text) = (state.events.len(), state.events[state.events.len() - 1].clone());
+        state.open.retain_mut(|stream| write!(stream, "id: {number}\ndata: {text}\n\n").is_ok());
     }
 
-    /// Goes away, and with it all who listen, or comes back; what is told meanwhile is kept.
+    /// Makes the feed unavailable, which closes all its connections, or available again. Events that are
+    /// added in between are stored.
     pub fn set_away(&self, away: bool) {
-        let mut told = locked(&self.told);
-        told.away = away;
+        let mut state = locked(&self.state);
+        state.away = away;
         if away {
-            told.open.clear();
+            state.open.clear();
         }
     }
 
-    /// The numbers after which fronts have asked so far.
+    /// The event numbers after which fronts have requested events so far.
     pub fn asked(&self) -> Vec<usize> {
-        locked(&self.told).asked.clone()
+        locked(&self.state).asked.clone()
     }
 }
 
-fn asked(mut stream: TcpStream, told: &Shared<Told>) -> Option<()> {
+/// Answers one HTTP request with the events after its Last-Event-ID.
+fn answer_request(mut stream: TcpStream, state: &Shared<FeedState>) -> Option<()> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") && head.len() < 4096 {
         let mut byte = [0];
@@ -286,15 +289,15 @@
     }
     let text = String::from_utf8(head).ok()?;
     let after = text.lines().find_map(|l| l.strip_prefix("Last-Event-ID: "))?.parse::<usize>().ok()?;
-    let mut told = locked(told);
-    if told.away {
+    let mut state = locked(state);
+    if state.away {
         return None;
     }
-    told.asked.push(after);
+    state.asked.push(after);
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n").ok()?;
-    for (place, event) in told.events.iter().enumerate().skip(after) {
-        write!(stream, "id: {}\ndata: {event}\n\n", place + 1).ok()?;
+    for (index, event) in state.events.iter().enumerate().skip(after) {
+        write!(stream, "id: {}\ndata: {event}\n\n", index + 1).ok()?;
     }
-    told.open.push(stream);
+    state.open.push(stream);
     Some(())
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A signalling server without I/O: SIP over streams in front of one processor, with faults.
+//! A simulated signalling server without I/O: SIP over streams, one processor, injected faults.
 
 use crate::processor::{Cold, Job, Kind, Processor, Work};
 use crate::trace::{Entry, FrontId, Seen, ServerId};
@@ -11,40 +11,40 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-/// What a server is like.
+/// Properties of a server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ServerSpec {
     pub work: Work,
     pub cold: Cold,
     pub lines: u32,
-    /// Seconds that a line rings before its answer, which are no work.
+    /// Seconds that a line rings before it is answered; ringing does not occupy the processor.
     pub ring: f64,
-    /// It turns set-ups away once its wait passes this, seconds.
+    /// Queueing time beyond which set-ups are refused, seconds.
     pub full_wait: f64,
-    /// It says how long to wait when it does.
+    /// Refusals carry a Retry-After.
     pub tells_wait: bool,
-    /// It reports its wait and lines in answers, refreshed every so many seconds; 0: never.
+    /// Answers report the queueing time and the free lines, refreshed at this interval, seconds; 0: never.
     pub report_every: f64,
-    /// Answers and releases go ahead of set-ups.
+    /// All other jobs are served before set-ups.
     pub answers_first: bool,
-    /// A set-up that was given up is dropped; else its work is still done.
+    /// A cancelled set-up is removed from the queue; otherwise its work is still done.
     pub drops_given_up: bool,
 }
 
-/// What is wrong with a server now.
+/// Faults of a server that are active now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Takes everything and answers nothing, probes neither.
+    /// Accepts all messages and answers none, probes included.
     pub silent: bool,
-    /// Takes set-ups and answers none; probes are answered.
+    /// Accepts set-ups and answers none; probes are answered.
     pub hung: bool,
-    /// Share of answers to set-ups that are lost on the way.
+    /// Fraction of the answers to set-ups that are lost in transit.
     pub answers_lost: f64,
     /// Answers set-ups with 500.
     pub errors: bool,
 }
 
-/// What goes out of a server.
+/// An output of a server.
 #[derive(Clone, Debug)]
 pub enum ServerOut {
     Bytes { connection: u64, bytes: Vec<u8> },
@@ -60,12 +60,12 @@
     connection: u64,
     head: ResponseHead,
     answered: bool,
-    stands: bool,
-    /// Its 200 was lost on the way: a CANCEL then frees what it holds.
+    established: bool,
+    /// The 200 was lost in transit: a CANCEL then frees the line.
     lost: bool,
 }
 
-/// One server.
+/// The state machine of one server.
 pub struct Server {
     id: ServerId,
     address: String,
@@ -74,17 +74,21 @@
     processor: Processor<CallKey>,
     rng: ChaCha8Rng,
     running: bool,
-    fallen: bool,
+    /// Collapsed under overload; it does not start again.
+    collapsed: bool,
     connections: BTreeMap<u64, Framer>,
     calls: BTreeMap<CallKey, Call>,
     by_leg: HashMap<Arc<str>, CallKey>,
-    /// Answers to releases and probes that wait for the processor.
+    /// Responses to releases and probes that wait for the processor.
     replies: BTreeMap<CallKey, (u64, ResponseHead)>,
     next_key: u64,
+    /// Number of established calls, each of which occupies a line.
     standing: u32,
+    /// The load report in use: its time, queueing time in seconds, free lines.
     report: (f64, f64, u32),
-    /// A 100 is owed when a set-up has waited so long.
+    /// Deadlines at which an unanswered set-up gets a 100.
     trying: VecDeque<(f64, CallKey)>,
+    /// Times at which the ringing of a call ends.
     ringing: VecDeque<(f64, CallKey)>,
     out: VecDeque<ServerOut>,
     seen: Vec<Entry>,
@@ -92,7 +96,7 @@
 }
 
 impl Server {
-    /// `fronts` tells a front by the sent-by of its Via.
+    /// `fronts` maps the sent-by of a Via to its front.
     pub fn new(
         id: ServerId,
         address: String,
@@ -108,7 +112,7 @@
             faults: Faults::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             running: false,
-            fallen: false,
+            collapsed: false,
             connections: BTreeMap::new(),
             calls: BTreeMap::new(),
             by_leg: HashMap::new(),
@@ -132,19 +136,19 @@
         self.standing
     }
 
-    /// Starts its processor; a fallen one stays down.
+    /// Starts the processor, unless it has collapsed.
     pub fn start(&mut self, now: f64, cold: bool) {
-        if self.fallen {
+        if self.collapsed {
             return;
         }
         self.running = true;
         self.faults = Faults::default();
         self.processor.start(now, cold);
         self.report = (f64::NEG_INFINITY, 0.0, 0);
-        self.saw(now, Seen::Started { server: self.id, cold, capacity: self.processor.capacity() });
+        self.record(now, Seen::Started { server: self.id, cold, capacity: self.processor.capacity() });
     }
 
-    /// Its processor ends: connections are closed, what it held is lost.
+    /// Ends the process: connections are closed and all calls are lost.
     pub fn stop(&mut self, now: f64) {
         self.running = false;
         self.calls.clear();
@@ -157,7 +161,7 @@
         for (connection, _) in std::mem::take(&mut self.connections) {
             self.out.push_back(ServerOut::Close { connection });
         }
-        self.saw(now, Seen::Stopped { server: self.id });
+        self.record(now, Seen::Stopped { server: self.id });
     }
 
     pub fn slow(&mut self, factor: f64) {
@@ -176,7 +180,7 @@
         if self.connections.remove(&connection).is_none() {
             return;
         }
-        // Standing calls outlive a connection; those in set-up have lost the way back.
+        // Established calls outlive a connection; pending ones cannot be answered any more.
         let lost: Vec<CallKey> = self
             .calls
             .iter()
@@ -188,7 +192,7 @@
             self.processor.withdraw(|k| *k == key);
             if let Some(leg) = call {
                 self.by_leg.remove(&leg);
-                self.saw(now, Seen::Lost { server: self.id, leg });
+                self.record(now, Seen::Lost { server: self.id, leg });
             }
         }
     }
@@ -217,11 +221,11 @@
         }
     }
 
-    fn saw(&mut self, now: f64, seen: Seen) {
+    fn record(&mut self, now: f64, seen: Seen) {
         self.seen.push((now, seen));
     }
 
-    /// What passed since the last call.
+    /// Takes the trace entries since the last call.
     pub fn take_seen(&mut self) -> Vec<Entry> {
         std::mem::take(&mut self.seen)
     }
@@ -241,28 +245,28 @@
         let (Ok(via), Ok(call_id)) = (message.via(), message.call_id()) else { return };
         let front = self.fronts.get(via.sent_by).copied().unwrap_or(FrontId::MAX);
         let leg: Arc<str> = call_id.into();
-        let mute = self.faults.silent;
+        let silent = self.faults.silent;
         match method {
             Method::Invite => self.invite(now, connection, front, leg, message),
             Method::Cancel => self.cancel(now, connection, leg, message),
-            Method::Ack => self.saw(now, Seen::Acknowledged { server: self.id, leg }),
+            Method::Ack => self.record(now, Seen::Acknowledged { server: self.id, leg }),
             Method::Bye => {
-                self.saw(now, Seen::Released { server: self.id, leg: leg.clone() });
-                if mute {
+                self.record(now, Seen::Released { server: self.id, leg: leg.clone() });
+                if silent {
                     return;
                 }
                 let Some(key) = self.by_leg.remove(&leg) else {
                     let head = ResponseHead::for_request(message, "");
                     return self.send(connection, Writer::response(481, &head).finish());
                 };
-                if self.calls.remove(&key).is_some_and(|c| c.stands) {
+                if self.calls.remove(&key).is_some_and(|c| c.established) {
                     self.standing -= 1;
                 }
                 self.reply_after(now, Kind::Release, connection, message);
             }
             Method::Options => {
-                self.saw(now, Seen::Probed { server: self.id, front });
-                if !mute {
+                self.record(now, Seen::Probed { server: self.id, front });
+                if !silent {
                     self.reply_after(now, Kind::Probe, connection, message);
                 }
             }
@@ -270,6 +274,7 @@
         }
     }
 
+    /// Queues the work of a release or probe, after which the response is sent.
     fn reply_after(&mut self, now: f64, kind: Kind, connection: u64, message: &Message) {
         let key = self.key();
         self.replies.insert(key, (connection, ResponseHead::for_request(message, "s")));
@@ -283,15 +288,16 @@
 
     fn invite(&mut self, now: f64, connection: u64, front: FrontId, leg: Arc<str>, message: &Message) {
         let session: Arc<str> = message.session_id().unwrap_or_default().into();
-        self.saw(now, Seen::SetUp { server: self.id, front, session, leg: leg.clone() });
+        self.record(now, Seen::SetUp { server: self.id, front, session, leg: leg.clone() });
         if self.processor.pushed_over(now) {
-            self.fallen = true;
-            self.saw(now, Seen::Fell { server: self.id });
+            self.collapsed = true;
+            self.record(now, Seen::Fell { server: self.id });
             return self.stop(now);
         }
         let key = self.key();
         let head = ResponseHead::for_request(message, &format!("s{}", key.0));
-        let call = Call { leg: leg.clone(), connection, head, answered: false, stands: false, lost: false };
+        let call =
+            Call { leg: leg.clone(), connection, head, answered: false, established: false, lost: false };
         self.calls.insert(key, call);
         self.by_leg.insert(leg, key);
         if self.faults.silent || self.faults.hung {
@@ -311,14 +317,14 @@
         self.trying.push_back((now + 0.2, key));
     }
 
-    /// Turning away is work too, but its answer does not wait for it.
+    /// Refuses a set-up. A refusal costs work too, but the response does not wait for it.
     fn refuse(&mut self, now: f64, key: CallKey, status: u16) {
         self.processor.add(now, Job { kind: Kind::Reject, token: key });
         let wait = self.processor.wait(now);
-        let tells = self.spec.tells_wait;
+        let sends_wait = self.spec.tells_wait;
         self.answer(now, key, status, |w| match status {
             480 => w.with("Reason", "Q.850;cause=34"),
-            503 if tells => w.retry_after(wait),
+            503 if sends_wait => w.retry_after(wait),
             _ => w,
         });
         if let Some(call) = self.calls.remove(&key) {
@@ -327,7 +333,7 @@
     }
 
     fn cancel(&mut self, now: f64, connection: u64, leg: Arc<str>, message: &Message) {
-        self.saw(now, Seen::Cancelled { server: self.id, leg: leg.clone() });
+        self.record(now, Seen::Cancelled { server: self.id, leg: leg.clone() });
         if self.faults.silent {
             return;
         }
@@ -338,7 +344,7 @@
         if self.calls.get(&key).is_some_and(|c| c.answered && !c.lost) {
             return;
         }
-        if self.calls.get(&key).is_some_and(|c| c.stands) {
+        if self.calls.get(&key).is_some_and(|c| c.established) {
             self.standing -= 1;
         }
         if self.spec.drops_given_up {
@@ -363,7 +369,7 @@
             return;
         }
         let bytes = self.with_report(now, more(writer)).finish();
-        self.saw(now, Seen::ServerAnswered { server: self.id, leg, status });
+        self.record(now, Seen::ServerAnswered { server: self.id, leg, status });
         self.send(connection, bytes);
     }
 
@@ -384,7 +390,7 @@
         self.out.push_back(ServerOut::Bytes { connection, bytes });
     }
 
-    /// Ends the jobs that are due.
+    /// Handles all timers and jobs that have ended by now.
     pub fn tick(&mut self, now: f64) {
         while let Some(&(_, key)) = self.trying.front().filter(|t| t.0 <= now) {
             self.trying.pop_front();
@@ -400,7 +406,7 @@
         while let Some(job) = self.processor.finished(now) {
             match job.kind {
                 Kind::SetUp => {
-                    // One that was given up is no longer among the calls; its work is done in vain.
+                    // A cancelled set-up has no call any more; its work has no effect.
                     if self.calls.contains_key(&job.token) && self.spec.ring > 0.0 {
                         self.ringing.push_back((now + self.spec.ring, job.token));
                     } else if self.calls.contains_key(&job.token) {
@@ -410,7 +416,7 @@
                 Kind::Answer => {
                     let silent = self.faults.silent || self.faults.hung;
                     let Some(call) = self.calls.get_mut(&job.token).filter(|_| !silent) else { continue };
-                    call.stands = true;
+                    call.established = true;
                     self.standing += 1;
                     self.answer(now, job.token, 200, |w| w);
                 }
