--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -1,5 +1,5 @@
-//! The callers in front of one front, without I/O: they ask over datagrams, wait as long as their patience,
-//! dial again, hold their calls and release them.
+//! The simulated callers of one front, without I/O: they send INVITEs over UDP, wait until their patience
+//! ends, redial, hold their calls and release them.
 
 use crate::trace::{Entry, FrontId, Seen};
 use rand::{Rng, SeedableRng};
@@ -14,60 +14,63 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// One kind of attach, as its callers see it.
+/// A procedure (kind of attach) from the callers' point of view. Times are seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AskSpec {
     pub name: String,
-    /// Share of all attaches.
+    /// Fraction of all attaches.
     pub share: f64,
-    /// Its Resource-Priority.
+    /// Value of Resource-Priority.
     pub priority: String,
-    /// Seconds within which it is wanted to stand.
+    /// Latency target: time within which the attach should be established.
     pub target: f64,
     pub t_timer: f64,
     pub utility: f64,
     pub late_share: f64,
-    /// Mean seconds that a call lasts.
+    /// Mean duration of a call.
     pub holding: f64,
 }
 
-/// What callers do.
+/// Behaviour of the callers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallerSpec {
     pub procedures: Vec<AskSpec>,
-    /// Trunk groups, one of which an attach names; which are named more often shifts every so many seconds.
+    /// Trunk groups, one of which each attach names. Half of the attaches name the current favourite.
     pub trunk_groups: Vec<String>,
+    /// Interval after which another favourite trunk group is drawn, seconds.
     pub shift_every: f64,
-    /// Names and shares.
+    /// Names and shares of the tenants.
     pub tenants: Vec<(String, f64)>,
-    /// Patience of one dial, in T-timers, from and to.
+    /// Minimum and maximum patience of one dial, as multiples of the T-timer.
     pub patience: (f64, f64),
     pub redials: u32,
-    /// Seconds before dialling again, from and to.
+    /// Minimum and maximum pause before a redial, seconds.
     pub redial_wait: (f64, f64),
+    /// Callers wait at least for the Retry-After of a refusal.
     pub heeds_retry_after: bool,
 }
 
-/// Troubles of callers.
+/// Faults of callers that are active now.
 #[derive(Clone, Debug, Default)]
 pub struct CallerFaults {
-    /// Times the usual rate.
+    /// Factor on the arrival rate.
     pub burst: Option<f64>,
-    /// They hang up after this part of the patience that they told.
+    /// Callers give up after this fraction of the patience that their INVITE announces.
     pub give_up: Option<f64>,
-    /// This tenant's callers dial again at once, many times.
+    /// Callers of this tenant redial up to 20 times with pauses below 0.1 s.
     pub abuse: Option<usize>,
 }
 
-/// One wish for a call; its dials belong to it.
+/// A call that a user wants to make. It may need several dials.
 #[derive(Clone, Debug)]
 pub struct Wish {
     pub asked_at: f64,
     pub procedure: usize,
     pub tenant: usize,
     pub dials: u32,
-    /// When a dial of it stood, in seconds after `asked_at`.
+    /// Seconds from `asked_at` until a dial was established.
     pub stood_after: Option<f64>,
+    /// The front released the established call.
     pub cut: bool,
     number: u64,
     trunk_group: usize,
@@ -76,10 +79,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Asking,
-    /// CANCEL sent, or patience over with nothing heard.
-    Left,
-    Stands,
-    Over,
+    /// The caller gave up: it sent CANCEL, or its patience ended without any response.
+    Abandoned,
+    Established,
+    Ended,
 }
 
 #[derive(Clone, Debug)]
@@ -87,32 +90,38 @@
     wish: usize,
     session: Arc<str>,
     state: State,
-    heard: bool,
-    gap: f64,
+    /// A response to the INVITE has arrived.
+    responded: bool,
+    /// Current interval between retransmissions, seconds.
+    resend_interval: f64,
     resend_at: f64,
+    /// End of the patience.
     until: f64,
     invite: Vec<u8>,
+    /// To header of the 200.
     to: String,
+    /// Request URI for requests in the dialog.
     contact: String,
+    /// The BYE, until it is answered.
     bye: Option<Vec<u8>>,
 }
 
-/// Seconds after which a gap between wishes is drawn anew.
-const LONGEST_GAP: f64 = 1.0;
+/// Interval after which the time to the next arrival is drawn again, seconds.
+const MAX_ARRIVAL_GAP: f64 = 1.0;
 
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum Timer {
     Arrival,
-    /// None came for the longest gap; the next is drawn anew.
+    /// Nothing arrived within the maximum gap; the next gap is drawn.
     NoArrival,
-    Again(usize),
+    Resend(usize),
     Patience(usize),
     Redial(usize),
     Release(usize),
     Forget(usize),
 }
 
-/// Counts over dials.
+/// Numbers of dials by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Dialled {
     pub dials: u64,
@@ -132,21 +141,22 @@
     pub faults: CallerFaults,
     rng: ChaCha8Rng,
     stop_at: f64,
-    timers: Timers<Due>,
+    timers: Timers<Timer>,
     dials: HashMap<usize, Dial>,
     by_session: HashMap<Arc<str>, usize>,
     next_dial: usize,
     wishes: Vec<Wish>,
     counts: Dialled,
+    /// When the favourite trunk group was drawn, and its index.
     favourite: (f64, usize),
     out: VecDeque<Vec<u8>>,
     seen: Vec<Entry>,
-    /// Seconds from the first dial to its standing.
+    /// Seconds from the first dial of a call until it was established.
     pub stood_after: Vec<f64>,
 }
 
 impl Callers {
-    /// `host` is where they are reached, `to` the front; `rate` is wishes a second until `stop_at`.
+    /// `host` is the callers' address, `to` the front's; `rate` is new calls a second until `stop_at`.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         front: FrontId,
@@ -196,7 +206,7 @@
         &self.spec
     }
 
-    /// Dials that wait for their final answer.
+    /// Number of dials that wait for their final answer.
     pub fn asking(&self) -> usize {
         self.dials.values().filter(|d| d.state == State::Asking).count()
     }
@@ -213,33 +223,33 @@
         std::mem::take(&mut self.seen)
     }
 
-    /// Draws when the next wish comes. A gap without memory may be drawn anew at any time: it is, so that a
-    /// rate that changes is followed within a second.
+    /// Draws the time of the next arrival. Exponential gaps are memoryless and may be drawn again at any
+    /// time; doing so at least once a second makes a change of the rate effective within a second.
     fn next_arrival(&mut self, now: f64) {
         let rate = self.rate * self.faults.burst.unwrap_or(1.0);
         let gap = Exp::new(rate).map_or(f64::INFINITY, |d| d.sample(&mut self.rng));
-        match gap <= LONGEST_GAP {
-            true => self.timers.set(now + gap, Due::Arrival),
-            false => self.timers.set(now + LONGEST_GAP, Due::NoArrival),
+        match gap <= MAX_ARRIVAL_GAP {
+            true => self.timers.set(now + gap, Timer::Arrival),
+            false => self.timers.set(now + MAX_ARRIVAL_GAP, Timer::NoArrival),
         }
     }
 
     pub fn tick(&mut self, now: f64) {
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::NoArrival if now < self.stop_at => self.next_arrival(now),
-                Due::NoArrival => {}
-                Due::Arrival => {
+                Timer::NoArrival if now < self.stop_at => self.next_arrival(now),
+                Timer::NoArrival => {}
+                Timer::Arrival => {
                     if now < self.stop_at {
                         self.wish(now);
                         self.next_arrival(now);
                     }
                 }
-                Due::Again(dial) => self.resend(now, dial),
-                Due::Patience(dial) => self.patience_over(now, dial),
-                Due::Redial(wish) => self.dial(now, wish),
-                Due::Release(dial) => self.release(now, dial),
-                Due::Forget(dial) => {
+                Timer::Resend(dial) => self.resend(now, dial),
+                Timer::Patience(dial) => self.patience_over(now, dial),
+                Timer::Redial(wish) => self.dial(now, wish),
+                Timer::Release(dial) => self.release(now, dial),
+                Timer::Forget(dial) => {
                     if let Some(dial) = self.dials.remove(&dial) {
                         self.by_session.remove(&dial.session);
                     }
@@ -248,7 +258,8 @@
         }
     }
 
-    /// A new wish, dialled at once; for callers driven by hand too.
+    /// Creates a new call and dials at once. Also called directly by owners that schedule the calls
+    /// themselves.
     pub fn wish(&mut self, now: f64) {
         let draw = self.rng.random::<f64>();
         let shares: Vec<f64> = self.spec.procedures.iter().map(|p| p.share).collect();
@@ -260,7 +271,7 @@
             self.favourite = (now, self.rng.random_range(0..self.spec.trunk_groups.len().max(1)));
         }
         let groups = self.spec.trunk_groups.len().max(1);
-        // Half of all go to the favourite of the moment, the rest anywhere.
+        // Half of all calls go to the current favourite, the rest to any trunk group.
         let trunk_group =
             if self.rng.random::<bool>() { self.favourite.1 } else { self.rng.random_range(0..groups) };
         let number = 910_000_000_000 + self.rng.random_range(0..10_000_000_000u64);
@@ -279,14 +290,14 @@
     }
 
     fn dial(&mut self, now: f64, wish: usize) {
-        let told = &mut self.wishes[wish];
-        told.dials += 1;
-        let (number, tenant) = (told.number, told.tenant);
-        let procedure = &self.spec.procedures[told.procedure];
-        let group = self.spec.trunk_groups.get(told.trunk_group).cloned().unwrap_or_default();
+        let call = &mut self.wishes[wish];
+        call.dials += 1;
+        let (number, tenant) = (call.number, call.tenant);
+        let procedure = &self.spec.procedures[call.procedure];
+        let group = self.spec.trunk_groups.get(call.trunk_group).cloned().unwrap_or_default();
         let (low, high) = self.spec.patience;
         let patience = procedure.t_timer * (low + (high - low) * self.rng.random::<f64>());
-        let left = told.asked_at + procedure.t_timer - now;
+        let left = call.asked_at + procedure.t_timer - now;
         let patience = patience.min(left.max(0.1));
         let session: Arc<str> = format!("{:032x}", self.rng.random::<u128>()).into();
         let dial = self.next_dial;
@@ -320,8 +331,8 @@
                 wish,
                 session,
                 state: State::Asking,
-                heard: false,
-                gap: T1,
+                responded: false,
+                resend_interval: T1,
                 resend_at: now + T1,
                 until: now + patience,
                 invite,
@@ -330,51 +341,53 @@
                 bye: None,
             },
         );
-        self.timers.set(now + T1, Due::Again(dial));
+        self.timers.set(now + T1, Timer::Resend(dial));
         let hang_up = patience * self.faults.give_up.unwrap_or(1.0);
-        // The rule's slack belongs to the caller's wait too: an answer on the last millisecond still counts.
+        // The caller waits for the checker's slack too, so that an answer at the last millisecond still
+        // counts.
         let slack = if self.faults.give_up.is_some() { 0.0 } else { 0.02 };
-        self.timers.set(now + hang_up + slack, Due::Patience(dial));
+        self.timers.set(now + hang_up + slack, Timer::Patience(dial));
     }
 
-    /// INVITE by Timer A until something is heard (17.1.1.2), BYE by Timer E (17.1.2.2).
+    /// Retransmits the INVITE by Timer A until any response (RFC 3261 section 17.1.1.2), and the BYE by Timer
+    /// E (section 17.1.2.2).
     fn resend(&mut self, now: f64, key: usize) {
         let Some(dial) = self.dials.get_mut(&key) else { return };
         let bytes = match dial.state {
-            State::Asking if !dial.heard => &dial.invite,
-            State::Over if dial.bye.is_some() => dial.bye.as_ref().unwrap_or(&dial.invite),
+            State::Asking if !dial.responded => &dial.invite,
+            State::Ended if dial.bye.is_some() => dial.bye.as_ref().unwrap_or(&dial.invite),
             _ => return,
         };
         if now < dial.resend_at || dial.state == State::Asking && now > dial.until {
             return;
         }
         self.out.push_back(bytes.clone());
-        dial.gap = (dial.gap * 2.0).min(T2);
-        dial.resend_at = now + dial.gap;
-        self.timers.set(dial.resend_at, Due::Again(key));
+        dial.resend_interval = (dial.resend_interval * 2.0).min(T2);
+        dial.resend_at = now + dial.resend_interval;
+        self.timers.set(dial.resend_at, Timer::Resend(key));
     }
 
     fn patience_over(&mut self, now: f64, key: usize) {
         let Some(dial) = self.dials.get_mut(&key).filter(|d| d.state == State::Asking) else { return };
-        dial.state = State::Left;
+        dial.state = State::Abandoned;
         self.counts.left += 1;
-        if dial.heard {
-            // Section 9.1: only once something was heard.
+        if dial.responded {
+            // RFC 3261 section 9.1: CANCEL only after a provisional response.
             let session = dial.session.clone();
             let cancel = self.in_transaction(key, Method::Cancel, "");
             self.out.push_back(cancel);
             self.seen.push((now, Seen::Withdrawn { session }));
         }
-        self.timers.set(now + TRANSACTION_TIMEOUT, Due::Forget(key));
+        self.timers.set(now + TRANSACTION_TIMEOUT, Timer::Forget(key));
         self.redial(now, key, None);
     }
 
     fn redial(&mut self, now: f64, key: usize, pause: Option<f64>) {
         let wish = self.dials[&key].wish;
-        let told = &self.wishes[wish];
-        let abuse = self.faults.abuse == Some(told.tenant);
-        let most = if abuse { 20 } else { self.spec.redials };
-        if told.dials > most {
+        let call = &self.wishes[wish];
+        let abuse = self.faults.abuse == Some(call.tenant);
+        let max_redials = if abuse { 20 } else { self.spec.redials };
+        if call.dials > max_redials {
             return;
         }
         let (low, high) = if abuse { (0.02, 0.1) } else { self.spec.redial_wait };
@@ -382,15 +395,15 @@
         if let (Some(pause), true) = (pause, self.spec.heeds_retry_after && !abuse) {
             wait = wait.max(pause);
         }
-        let procedure = &self.spec.procedures[told.procedure];
-        if now + wait < told.asked_at + procedure.t_timer {
-            self.timers.set(now + wait, Due::Redial(wish));
+        let procedure = &self.spec.procedures[call.procedure];
+        if now + wait < call.asked_at + procedure.t_timer {
+            self.timers.set(now + wait, Timer::Redial(wish));
         }
     }
 
     fn release(&mut self, now: f64, key: usize) {
-        let Some(dial) = self.dials.get_mut(&key).filter(|d| d.state == State::Stands) else { return };
-        dial.state = State::Over;
+        let Some(dial) = self.dials.get_mut(&key).filter(|d| d.state == State::Established) else { return };
+        dial.state = State::Ended;
         self.hang_up(now, key);
     }
 
@@ -399,14 +412,14 @@
         self.out.push_back(bye.clone());
         if let Some(dial) = self.dials.get_mut(&key) {
             dial.bye = Some(bye);
-            dial.gap = T1;
+            dial.resend_interval = T1;
             dial.resend_at = now + T1;
         }
-        self.timers.set(now + T1, Due::Again(key));
-        self.timers.set(now + TRANSACTION_TIMEOUT, Due::Forget(key));
+        self.timers.set(now + T1, Timer::Resend(key));
+        self.timers.set(now + TRANSACTION_TIMEOUT, Timer::Forget(key));
     }
 
-    /// CANCEL, or ACK to a refusal: the INVITE's own branch and CSeq number.
+    /// Creates a CANCEL, or the ACK to a refusal, with the branch and CSeq number of the INVITE.
     fn in_transaction(&self, key: usize, method: Method, to: &str) -> Vec<u8> {
         let dial = &self.dials[&key];
         let Ok(invite) = Message::parse(&dial.invite) else { return Vec::new() };
@@ -422,7 +435,7 @@
             .finish()
     }
 
-    /// ACK to a 200, or BYE: a transaction of its own in the dialog.
+    /// Creates an ACK to a 200, or a BYE: a separate transaction in the dialog.
     fn in_dialog(&self, key: usize, method: Method, cseq: u32) -> Vec<u8> {
         let dial = &self.dials[&key];
         let Ok(invite) = Message::parse(&dial.invite) else { return Vec::new() };
@@ -437,7 +450,7 @@
             .finish()
     }
 
-    /// A datagram from the front.
+    /// Handles a datagram from the front.
     pub fn datagram(&mut self, now: f64, bytes: &[u8]) {
         let Ok(message) = Message::parse(bytes) else { return };
         let Ok(call_id) = message.call_id() else { return };
@@ -458,11 +471,11 @@
                 }
                 let dial = key.and_then(|k| self.dials.get_mut(&k));
                 if let (Method::Bye, Some(dial)) = (method, dial) {
-                    if dial.state == State::Stands {
-                        dial.state = State::Over;
+                    if dial.state == State::Established {
+                        dial.state = State::Ended;
                         self.wishes[dial.wish].cut = true;
                         let key = key.unwrap_or_default();
-                        self.timers.set(now + TRANSACTION_TIMEOUT, Due::Forget(key));
+                        self.timers.set(now + TRANSACTION_TIMEOUT, Timer::Forget(key));
                     }
                 }
             }
@@ -471,7 +484,7 @@
 
     fn response(&mut self, now: f64, key: usize, method: Method, status: u16, message: &Message) {
         let Some(dial) = self.dials.get_mut(&key) else { return };
-        dial.heard = true;
+        dial.responded = true;
         if method == Method::Bye && status >= 200 {
             dial.bye = None;
         }
@@ -489,11 +502,11 @@
             let ack = self.in_dialog(key, Method::Ack, 1);
             self.out.push_back(ack);
             match state {
-                State::Asking => self.stood(now, key, wish),
-                State::Left => {
-                    // CANCEL and 200 crossed: the call is not wanted any more (section 15).
+                State::Asking => self.established(now, key, wish),
+                State::Abandoned => {
+                    // CANCEL and 200 crossed: the call is no longer wanted and is released (section 15).
                     if let Some(dial) = self.dials.get_mut(&key) {
-                        dial.state = State::Over;
+                        dial.state = State::Ended;
                     }
                     self.hang_up(now, key);
                 }
@@ -501,7 +514,7 @@
             }
             return;
         }
-        let was = std::mem::replace(&mut dial.state, State::Over);
+        let was = std::mem::replace(&mut dial.state, State::Ended);
         let to = message.to().unwrap_or_default().to_string();
         let ack = self.in_transaction(key, Method::Ack, &to);
         self.out.push_back(ack);
@@ -510,12 +523,12 @@
                 503 => self.counts.refused += 1,
                 _ => self.counts.failed += 1,
             }
-            self.timers.set(now + TRANSACTION_TIMEOUT, Due::Forget(key));
+            self.timers.set(now + TRANSACTION_TIMEOUT, Timer::Forget(key));
             self.redial(now, key, pause);
         }
     }
 
-    fn stood(&mut self, now: f64, key: usize, wish: usize) {
+    fn established(&mut self, now: f64, key: usize, wish: usize) {
         let wish = &mut self.wishes[wish];
         let after = now - wish.asked_at;
         wish.stood_after = Some(after);
@@ -524,13 +537,13 @@
         let holding = self.spec.procedures[wish.procedure].holding;
         let lasts = Exp::new(1.0 / holding).map_or(holding, |d| d.sample(&mut self.rng));
         if let Some(dial) = self.dials.get_mut(&key) {
-            dial.state = State::Stands;
+            dial.state = State::Established;
         }
-        self.timers.set(now + lasts, Due::Release(key));
+        self.timers.set(now + lasts, Timer::Release(key));
     }
 }
 
-/// The place in `shares` that a draw in 0..1 falls on.
+/// Returns the index in `shares` that a draw in 0..1 selects.
 fn pick(shares: &[f64], draw: f64) -> usize {
     let total: f64 = shares.iter().sum();
     let mut left = draw * total;
--- a/crates/standin/src/nameserver.rs
+++ b/crates/standin/src/nameserver.rs
@@ -1,4 +1,4 @@
-//! A scripted name server without I/O: a zone that changes, and the ways in which name servers fail.
+//! A scripted name server without I/O: a zone that can change, and the failure modes of name servers.
 
 use hickory_proto::op::{Message, MessageType, Query, ResponseCode};
 use hickory_proto::rr::rdata::{A, AAAA, CNAME, NS, SOA, SRV};
@@ -9,52 +9,53 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// How it answers.
+/// How a name server answers. Unless stated otherwise, answers are correct.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Script {
     #[default]
     Plain,
-    /// So many seconds late.
+    /// Answers after this delay, seconds.
     Late(f64),
-    /// This share of its answers is lost.
+    /// This fraction of the answers is lost.
     Lossy(f64),
+    /// Never answers.
     Silent,
     Servfail,
     Refused,
     Nxdomain,
     /// NOERROR without records.
     Empty,
-    /// The id of another question, then the true answer.
+    /// An answer with a wrong message id, then the correct answer.
     WrongId,
     /// Only an answer to another question.
     WrongQuestion,
-    /// A referral elsewhere.
+    /// A referral to other name servers instead of an answer (lame delegation).
     Lame,
-    /// Everything over UDP is cut short; TCP works.
+    /// All answers over UDP are truncated; TCP works.
     Truncates,
-    /// The same, and TCP takes questions and answers none.
+    /// All answers over UDP are truncated; questions over TCP are accepted and not answered.
     TcpHangs,
-    /// No additional records: addresses must be asked for.
+    /// No additional records, so that the addresses need a second question.
     NoAdditional,
-    /// Records of other names are mixed in, and an address for each of them.
+    /// A forged record of another name is added, and an address for it.
     Lies,
-    /// Hundreds of records.
+    /// 600 records more than the zone has.
     TooLarge,
-    /// It knows no EDNS and says so.
+    /// FORMERR to questions with EDNS.
     NoEdns,
-    /// Bytes that are no message.
+    /// Random bytes after a correct message id.
     Garbage,
 }
 
-/// One answer, and how long it takes to come.
+/// One answer and its delay in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     pub after: f64,
     pub bytes: Vec<u8>,
 }
 
-/// One target of an SRV name.
+/// One target of an SRV record set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub target: Name,
@@ -68,11 +69,11 @@
 pub struct NameServer {
     records: BTreeMap<(Name, RecordType), Vec<Record>>,
     zone: Name,
-    /// Lifetime of negative answers, seconds.
+    /// Time to live of negative answers, seconds.
     pub negative: u32,
     pub script: Script,
     rng: ChaCha8Rng,
-    /// When each question came.
+    /// Arrival time of each question, seconds.
     pub asked: Vec<f64>,
 }
 
@@ -88,7 +89,7 @@
         }
     }
 
-    /// All targets of an SRV name; none: the name goes.
+    /// Sets all targets of an SRV name; without targets the record set is removed.
     pub fn publish(&mut self, name: &Name, entries: &[Entry], ttl: u32) {
         let record = |e: &Entry| {
             let srv = SRV::new(e.priority, e.weight, e.port, e.target.clone());
@@ -97,6 +98,7 @@
         self.set(name, RecordType::SRV, entries.iter().map(record).collect());
     }
 
+    /// Sets the IPv4 and IPv6 addresses of a name.
     pub fn addresses(&mut self, name: &Name, addresses: &[IpAddr], ttl: u32) {
         let record = |a: &IpAddr| {
             let data = match a {
@@ -111,6 +113,7 @@
         self.set(name, RecordType::AAAA, v6);
     }
 
+    /// Sets a CNAME record.
     pub fn alias(&mut self, name: &Name, to: &Name, ttl: u32) {
         let record = Record::from_rdata(name.clone(), ttl, RData::CNAME(CNAME(to.clone())));
         self.set(name, RecordType::CNAME, vec![record]);
@@ -128,37 +131,37 @@
         self.records.get(&(name.to_lowercase(), kind)).map_or(&[], Vec::as_slice)
     }
 
-    /// Answers one question as the script says.
+    /// Answers one question according to the script.
     pub fn ask(&mut self, now: f64, bytes: &[u8], tcp: bool) -> Vec<Reply> {
         self.asked.push(now);
         let Ok(question) = Message::from_vec(bytes) else { return Vec::new() };
         let Some(query) = question.query().cloned() else { return Vec::new() };
-        let at_once = |message: Message| vec![Reply { after: 0.0, bytes: written(&message) }];
+        let immediate = |message: Message| vec![Reply { after: 0.0, bytes: encode(&message) }];
         let mut answer = self.answer(&question, &query);
         match self.script {
             Script::Plain => {}
-            Script::Late(after) => return vec![Reply { after, bytes: written(&answer) }],
+            Script::Late(after) => return vec![Reply { after, bytes: encode(&answer) }],
             Script::Lossy(share) if self.rng.random::<f64>() < share => return Vec::new(),
             Script::Lossy(_) => {}
             Script::Silent => return Vec::new(),
             Script::TcpHangs if tcp => return Vec::new(),
-            Script::Servfail => return at_once(code(&question, &query, ResponseCode::ServFail)),
-            Script::Refused => return at_once(code(&question, &query, ResponseCode::Refused)),
+            Script::Servfail => return immediate(response(&question, &query, ResponseCode::ServFail)),
+            Script::Refused => return immediate(response(&question, &query, ResponseCode::Refused)),
             Script::Nxdomain => {
-                let mut answer = code(&question, &query, ResponseCode::NXDomain);
+                let mut answer = response(&question, &query, ResponseCode::NXDomain);
                 answer.add_name_server(self.soa());
-                return at_once(answer);
+                return immediate(answer);
             }
             Script::Empty => {
-                let mut answer = code(&question, &query, ResponseCode::NoError);
+                let mut answer = response(&question, &query, ResponseCode::NoError);
                 answer.add_name_server(self.soa());
-                return at_once(answer);
+                return immediate(answer);
             }
             Script::WrongId => {
                 let mut wrong = answer.clone();
                 wrong.set_id(answer.id().wrapping_add(1));
-                let bytes = written(&wrong);
-                return vec![Reply { after: 0.0, bytes }, Reply { after: 0.0, bytes: written(&answer) }];
+                let bytes = encode(&wrong);
+                return vec![Reply { after: 0.0, bytes }, Reply { after: 0.0, bytes: encode(&answer) }];
             }
             Script::WrongQuestion => {
                 let other = Name::from_ascii("other.example.net.").unwrap_or_default();
@@ -166,18 +169,18 @@
                 answer.add_query(Query::query(other, query.query_type()));
             }
             Script::Lame => {
-                let mut answer = code(&question, &query, ResponseCode::NoError);
+                let mut answer = response(&question, &query, ResponseCode::NoError);
                 let elsewhere = NS(self.zone.clone());
                 answer.set_authoritative(false);
                 answer.add_name_server(Record::from_rdata(self.zone.clone(), 60, RData::NS(elsewhere)));
-                return at_once(answer);
+                return immediate(answer);
             }
-            Script::Truncates | Script::TcpHangs if !tcp => return at_once(answer.truncate()),
+            Script::Truncates | Script::TcpHangs if !tcp => return immediate(answer.truncate()),
             Script::Truncates | Script::TcpHangs => {}
             Script::NoAdditional => {
                 answer.take_additionals();
             }
-            Script::Lies => self.lie(&mut answer),
+            Script::Lies => add_forged_records(&mut answer),
             Script::TooLarge => {
                 for n in 0..600u16 {
                     let name = Name::from_ascii(format!("t{n}.example.net.")).unwrap_or_default();
@@ -185,11 +188,11 @@
                     answer.add_answer(Record::from_rdata(query.name().clone(), 60, RData::SRV(srv)));
                 }
                 if !tcp {
-                    return at_once(answer.truncate());
+                    return immediate(answer.truncate());
                 }
             }
             Script::NoEdns if question.extensions().is_some() => {
-                return at_once(code(&question, &query, ResponseCode::FormErr));
+                return immediate(response(&question, &query, ResponseCode::FormErr));
             }
             Script::NoEdns => {}
             Script::Garbage => {
@@ -198,18 +201,18 @@
                 return vec![Reply { after: 0.0, bytes }];
             }
         }
-        let mut bytes = written(&answer);
+        let mut bytes = encode(&answer);
         if !tcp && bytes.len() > usize::from(question.max_payload().max(512)) {
-            bytes = written(&answer.truncate());
+            bytes = encode(&answer.truncate());
         }
         vec![Reply { after: 0.0, bytes }]
     }
 
     fn answer(&self, question: &Message, query: &Query) -> Message {
-        let mut answer = code(question, query, ResponseCode::NoError);
+        let mut answer = response(question, query, ResponseCode::NoError);
         let mut name = query.name().clone();
         let mut found = false;
-        // A loop in the zone is told as far as it goes once; its end is the asker's to see.
+        // Follows a CNAME loop once around and returns it; detecting the loop is left to the resolver.
         for _ in 0..16 {
             let records = self.get(&name, query.query_type());
             if !records.is_empty() {
@@ -251,17 +254,18 @@
         let soa = SOA::new(self.zone.clone(), self.zone.clone(), 1, 3600, 600, 86_400, self.negative);
         Record::from_rdata(self.zone.clone(), self.negative, RData::SOA(soa))
     }
+}
 
-    fn lie(&self, answer: &mut Message) {
-        let other = Name::from_ascii("evil.example.net.").unwrap_or_default();
-        let srv = SRV::new(0, 100, 6666, other.clone());
-        answer.add_answer(Record::from_rdata(other.clone(), 60, RData::SRV(srv)));
-        let address = RData::A(A::new(127, 66, 66, 66));
-        answer.add_additional(Record::from_rdata(other, 60, address));
-    }
+fn add_forged_records(answer: &mut Message) {
+    let other = Name::from_ascii("evil.example.net.").unwrap_or_default();
+    let srv = SRV::new(0, 100, 6666, other.clone());
+    answer.add_answer(Record::from_rdata(other.clone(), 60, RData::SRV(srv)));
+    let address = RData::A(A::new(127, 66, 66, 66));
+    answer.add_additional(Record::from_rdata(other, 60, address));
 }
 
-fn code(question: &Message, query: &Query, code: ResponseCode) -> Message {
+/// Creates a response to a question, with this response code and without records.
+fn response(question: &Message, query: &Query, code: ResponseCode) -> Message {
     let mut message = Message::new();
     message
         .set_id(question.id())
@@ -273,17 +277,17 @@
     message
 }
 
-fn written(message: &Message) -> Vec<u8> {
-    // A message of our own records can be written; were one not, the asker would see a lost answer.
+fn encode(message: &Message) -> Vec<u8> {
+    // Messages of these records can always be encoded; a failure would look like a lost answer to the client.
     message.to_vec().unwrap_or_default()
 }
 
-/// The targets that an answer names, where it is one that a resolver may take: to this question, whole, and
-/// with records of the name that was asked for.
+/// Returns the SRV targets in an answer, if a resolver may accept it: it matches the question, is not
+/// truncated, and has records of the queried name.
 pub fn targets(question: &[u8], answer: &[u8]) -> Option<Vec<Name>> {
     let (question, answer) = (Message::from_vec(question).ok()?, Message::from_vec(answer).ok()?);
     let asked = question.query()?;
-    let fits = answer.id() == question.id()
+    let is_acceptable = answer.id() == question.id()
         && answer.query() == Some(asked)
         && !answer.truncated()
         && answer.response_code() == ResponseCode::NoError
@@ -293,5 +297,5 @@
         _ => None,
     });
     let named: Vec<Name> = named.collect();
-    (fits && !named.is_empty()).then_some(named)
+    (is_acceptable && !named.is_empty()).then_some(named)
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -182,8 +182,8 @@
         Ok(DeafServer { address, streams })
     }
 
-    /// Reads every connection made so far until it ends or is silent for that long, and returns the ids of the
-    /// set-ups that arrived complete.
+    /// Reads every connection made so far until it ends or is silent for that long, and returns the ids of
+    /// the set-ups that arrived complete.
     pub fn hear(&self, silent_for: Duration) -> io::Result<Vec<Heard>> {
         let mut heard = Vec::new();
         for (peer, stream) in locked(&self.streams).drain(..) {
