--- a/crates/cli/tests/live_fleet.rs
+++ b/crates/cli/tests/live_fleet.rs
@@ -2,8 +2,8 @@
 //! that goes away while idle clients fill descriptors. `LIVE_SEEDS=1-20` plays others, `LIVE_SECONDS=60` longer.
 
 use shalespindle_rig::{play_live, LiveShape};
+use shalespindle_standin::acceptance::{evaluate, AcceptanceLimits};
 use shalespindle_standin::processor::Cold;
-use shalespindle_standin::terms::{look, Terms};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
@@ -17,7 +17,7 @@
     let seconds = number(&std::env::var("LIVE_SECONDS").unwrap_or_else(|_| "8".into()));
     let (first, last) = seeds.split_once('-').unwrap_or((&seeds, &seeds));
     let shape = LiveShape { fronts: 20, servers: 4, callers: 24, capacity: 40.0, seconds, descriptors: 128 };
-    let terms = Terms {
+    let terms = AcceptanceLimits {
         gone_within: 0.1,
         // Stand-ins and fronts share the machine's cores with other tests.
         passing: 0.1,
@@ -29,7 +29,7 @@
         let folder = tempfile::tempdir().unwrap();
         let binary = Path::new(env!("CARGO_BIN_EXE_shalespindle"));
         let (trace, summary) = play_live(binary, folder.path(), seed, shape).unwrap();
-        let found = look(&trace.sorted(), &terms);
+        let found = evaluate(&trace.sorted(), &terms);
         println!(
             "seed {seed}: {} attaches, {} stood, {} refused; {} callers gone, last attempt begun {:.3} s after; fullest \
              cold window {:?}; {} starts, slowest ready after {:.3} s; all linked to a new server {:.2} s \
--- a/crates/standin/src/terms.rs
+++ b/crates/standin/src/acceptance.rs
@@ -8,7 +8,7 @@
 
 /// Limits of the acceptance rules. Times are seconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct AcceptanceLimits {
     /// Maximum time from a caller's close or CANCEL to an attempt that begins for it.
     pub gone_within: f64,
     /// Allowance for the sockets' delay and for the scheduling delay of the peers.
@@ -25,13 +25,13 @@
     /// End of the window.
     pub until: f64,
     pub sum: usize,
-    /// N + 2 sqrt(N) + 2, where N is the server's capacity for one window at that time.
+    /// N + 2 sqrt(N) + 2, where N set-ups are what the server tolerates in one window at that time.
     pub bound: f64,
 }
 
 /// Measurements of one trace.
 #[derive(Clone, Debug, Default)]
-pub struct Found {
+pub struct Measurements {
     /// Sessions with an attempt that began after their caller had left, and how long after, seconds.
     pub after_gone: Vec<(Arc<str>, f64)>,
     /// Callers that left while their attach was pending.
@@ -44,7 +44,7 @@
     pub never_ready: Vec<FrontId>,
 }
 
-impl Found {
+impl Measurements {
     /// The longest time from a caller's leaving to the start of an attempt for it; 0 where there was none.
     pub fn longest_after_gone(&self) -> f64 {
         self.after_gone.iter().fold(0.0, |longest: f64, attempt| longest.max(attempt.1))
@@ -56,9 +56,9 @@
     }
 
     /// One message for each violation.
-    pub fn broken(&self, terms: &Terms) -> Vec<String> {
+    pub fn broken(&self, limits: &AcceptanceLimits) -> Vec<String> {
         let mut broken = Vec::new();
-        for (session, after) in self.after_gone.iter().filter(|g| g.1 > terms.gone_within + terms.passing) {
+        for (session, after) in self.after_gone.iter().filter(|g| g.1 > limits.gone_within + limits.passing) {
             broken.push(format!("{session} is sent on {after:.3} s after its caller had gone"));
         }
         if let Some(w) = self.fullest.as_ref().filter(|w| w.sum as f64 > w.bound) {
@@ -67,18 +67,18 @@
                 w.sum, w.server, w.bound, w.until
             ));
         }
-        let slow = self.ready.iter().filter(|r| r.1 > terms.ready_within).count() + self.never_ready.len();
+        let slow = self.ready.iter().filter(|r| r.1 > limits.ready_within).count() + self.never_ready.len();
         let all = self.ready.len() + self.never_ready.len();
         if 10 * slow > all {
-            broken.push(format!("{slow} of {all} starts took over {} s to be ready", terms.ready_within));
+            broken.push(format!("{slow} of {all} starts took over {} s to be ready", limits.ready_within));
         }
         broken
     }
 }
 
 /// Evaluates a trace, which must be in order of time.
-pub fn look(entries: &[Entry], terms: &Terms) -> Found {
-    let mut found = Found::default();
+pub fn evaluate(entries: &[Entry], limits: &AcceptanceLimits) -> Measurements {
+    let mut measured = Measurements::default();
     let mut gone: HashMap<Arc<str>, f64> = HashMap::new();
     let mut answered: HashMap<Arc<str>, f64> = HashMap::new();
     let mut started: HashMap<ServerId, (f64, f64)> = HashMap::new();
@@ -94,24 +94,24 @@
             }
             Seen::SetUp { server, session, .. } => {
                 if let Some(at) = gone.get(session) {
-                    found.after_gone.push((session.clone(), now - at));
+                    measured.after_gone.push((session.clone(), now - at));
                 }
                 let Some(&(since, capacity)) = started.get(server) else { continue };
-                if now - since >= terms.cold.warm_after {
+                if now - since >= limits.cold.warm_after {
                     continue;
                 }
                 let window = recent.entry(*server).or_default();
-                while window.front().is_some_and(|t| *t <= now - terms.cold.fall_after) {
+                while window.front().is_some_and(|t| *t <= now - limits.cold.fall_after) {
                     window.pop_front();
                 }
                 window.push_back(*now);
-                let served = capacity * warmth(&terms.cold, now - since) * terms.cold.fall_after;
-                let tolerated = terms.cold.tip_multiple * served;
+                let served = capacity * warmth(&limits.cold, now - since) * limits.cold.fall_after;
+                let tolerated = limits.cold.tip_multiple * served;
                 let bound = tolerated + 2.0 * tolerated.sqrt() + 2.0;
                 let excess = |w: &Window| w.sum as f64 - w.bound;
                 let current = Window { server: *server, until: *now, sum: window.len(), bound };
-                if found.fullest.as_ref().is_none_or(|w| excess(w) < excess(&current)) {
-                    found.fullest = Some(current);
+                if measured.fullest.as_ref().is_none_or(|w| excess(w) < excess(&current)) {
+                    measured.fullest = Some(current);
                 }
             }
             Seen::Started { server, cold, capacity } => {
@@ -126,7 +126,7 @@
             }
             Seen::FrontUp { front } => {
                 if let Some(at) = launched.remove(front) {
-                    found.ready.push((*front, now - at));
+                    measured.ready.push((*front, now - at));
                 }
             }
             Seen::FrontKilled { front } => {
@@ -135,7 +135,7 @@
             _ => {}
         }
     }
-    found.gone = gone.len();
-    found.never_ready = launched.into_keys().collect();
-    found
+    measured.gone = gone.len();
+    measured.never_ready = launched.into_keys().collect();
+    measured
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -3,6 +3,7 @@
 //! the same code runs on sockets (`net`) and under virtual time. The checker reads only the trace of the
 //! messages that the peers sent and received.
 
+pub mod acceptance;
 pub mod callers;
 pub mod checker;
 pub mod feed;
@@ -14,5 +15,4 @@
 pub mod presence;
 pub mod processor;
 pub mod server;
-pub mod terms;
 pub mod trace;
