--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -13,7 +13,7 @@
 };
 use nix::sys::signal::Signal;
 use process::{until, Front, PATIENCE};
-use shalespindle_standin::platform::{DeafServer, EventFeed, LineServer};
+use shalespindle_standin::platform::{EventFeed, LineServer, NonReadingServer};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -275,7 +275,7 @@
 /// A server takes connections and reads nothing: set-ups wait in the front's own memory when their callers close.
 #[test]
 fn a_set_up_that_has_not_left_the_front_does_not_leave_it_when_its_caller_has_gone() {
-    let server = DeafServer::start().unwrap();
+    let server = NonReadingServer::start().unwrap();
     let (listen, folder) = (free_address(), tempfile::tempdir().unwrap());
     let config = folder.path().join("config.json");
     write_config(&config, listen, free_address(), &event(1, &[("s-0", server.address)]));
@@ -308,7 +308,7 @@
     // Answered after what came before it: connections are read in the order in which they have something to read.
     Caller::accepted(listen);
     let (mut heard, mut whole) = (0, 0);
-    for connection in server.hear(Duration::from_millis(300)).unwrap() {
+    for connection in server.read_set_ups(Duration::from_millis(300)).unwrap() {
         let had_left = left.get(&connection.peer.port()).map_or(0, |bytes| bytes / SET_UP_LINE);
         assert!(connection.ids.len() <= had_left, "{connection:?}: {had_left} had left, of {left:?}");
         (heard, whole) = (heard + connection.ids.len(), whole + had_left);
--- a/crates/lab/src/summary.rs
+++ b/crates/lab/src/summary.rs
@@ -4,7 +4,7 @@
 use crate::sim::Run;
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use shalespindle_standin::callers::{Callers, Dialled};
+use shalespindle_standin::callers::{Callers, DialCounts};
 use shalespindle_standin::checker::Verdict;
 use shalespindle_standin::feed::Listed;
 use std::collections::BTreeMap;
@@ -63,7 +63,7 @@
 
 /// Puts a run's callers and its verdict together.
 pub fn report(scenario: &str, seed: u64, callers: &[&Callers], verdict: Verdict) -> Report {
-    let mut counts = Dialled::default();
+    let mut counts = DialCounts::default();
     let mut whole = Utility::default();
     let mut by_procedure: BTreeMap<String, Utility> = BTreeMap::new();
     let mut by_tenant: BTreeMap<String, Utility> = BTreeMap::new();
@@ -76,7 +76,7 @@
         counts.refused += c.refused;
         counts.failed += c.failed;
         counts.left += c.left;
-        for wish in callers.wishes() {
+        for wish in callers.call_requests() {
             let procedure = &callers.spec().procedures[wish.procedure];
             let tenant = &callers.spec().tenants[wish.tenant].0;
             let add = |u: &mut Utility| {
--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -63,7 +63,7 @@
 
 /// A call that a user wants to make. It may need several dials.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct CallRequest {
     pub asked_at: f64,
     pub procedure: usize,
     pub tenant: usize,
@@ -87,7 +87,7 @@
 
 #[derive(Clone, Debug)]
 struct Dial {
-    wish: usize,
+    request: usize,
     session: Arc<str>,
     state: State,
     /// A response to the INVITE has arrived.
@@ -123,7 +123,7 @@
 
 /// Numbers of dials by outcome.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Dialled {
+pub struct DialCounts {
     pub dials: u64,
     pub stood: u64,
     pub refused: u64,
@@ -145,8 +145,8 @@
     dials: HashMap<usize, Dial>,
     by_session: HashMap<Arc<str>, usize>,
     next_dial: usize,
-    wishes: Vec<Wish>,
-    counts: Dialled,
+    call_requests: Vec<CallRequest>,
+    counts: DialCounts,
     /// When the favourite trunk group was drawn, and its index.
     favourite: (f64, usize),
     out: VecDeque<Vec<u8>>,
@@ -181,8 +181,8 @@
             dials: HashMap::new(),
             by_session: HashMap::new(),
             next_dial: 0,
-            wishes: Vec::new(),
-            counts: Dialled::default(),
+            call_requests: Vec::new(),
+            counts: DialCounts::default(),
             favourite: (f64::NEG_INFINITY, 0),
             out: VecDeque::new(),
             seen: Vec::new(),
@@ -194,11 +194,11 @@
         callers
     }
 
-    pub fn wishes(&self) -> &[Wish] {
-        &self.wishes
+    pub fn call_requests(&self) -> &[CallRequest] {
+        &self.call_requests
     }
 
-    pub fn counts(&self) -> Dialled {
+    pub fn counts(&self) -> DialCounts {
         self.counts
     }
 
@@ -241,13 +241,13 @@
                 Timer::NoArrival => {}
                 Timer::Arrival => {
                     if now < self.stop_at {
-                        self.wish(now);
+                        self.request_call(now);
                         self.next_arrival(now);
                     }
                 }
                 Timer::Resend(dial) => self.resend(now, dial),
                 Timer::Patience(dial) => self.patience_over(now, dial),
-                Timer::Redial(wish) => self.dial(now, wish),
+                Timer::Redial(request) => self.dial(now, request),
                 Timer::Release(dial) => self.release(now, dial),
                 Timer::Forget(dial) => {
                     if let Some(dial) = self.dials.remove(&dial) {
@@ -260,7 +260,7 @@
 
     /// Creates a new call and dials at once. Also called directly by owners that schedule the calls
     /// themselves.
-    pub fn wish(&mut self, now: f64) {
+    pub fn request_call(&mut self, now: f64) {
         let draw = self.rng.random::<f64>();
         let shares: Vec<f64> = self.spec.procedures.iter().map(|p| p.share).collect();
         let procedure = pick(&shares, draw);
@@ -275,7 +275,7 @@
         let trunk_group =
             if self.rng.random::<bool>() { self.favourite.1 } else { self.rng.random_range(0..groups) };
         let number = 910_000_000_000 + self.rng.random_range(0..10_000_000_000u64);
-        let wish = Wish {
+        let request = CallRequest {
             asked_at: now,
             procedure,
             tenant,
@@ -285,12 +285,12 @@
             number,
             trunk_group,
         };
-        self.wishes.push(wish);
-        self.dial(now, self.wishes.len() - 1);
+        self.call_requests.push(request);
+        self.dial(now, self.call_requests.len() - 1);
     }
 
-    fn dial(&mut self, now: f64, wish: usize) {
-        let call = &mut self.wishes[wish];
+    fn dial(&mut self, now: f64, request: usize) {
+        let call = &mut self.call_requests[request];
         call.dials += 1;
         let (number, tenant) = (call.number, call.tenant);
         let procedure = &self.spec.procedures[call.procedure];
@@ -328,7 +328,7 @@
         self.dials.insert(
             dial,
             Dial {
-                wish,
+                request,
                 session,
                 state: State::Asking,
                 responded: false,
@@ -383,8 +383,8 @@
     }
 
     fn redial(&mut self, now: f64, key: usize, pause: Option<f64>) {
-        let wish = self.dials[&key].wish;
-        let call = &self.wishes[wish];
+        let request = self.dials[&key].request;
+        let call = &self.call_requests[request];
         let abuse = self.faults.abuse == Some(call.tenant);
         let max_redials = if abuse { 20 } else { self.spec.redials };
         if call.dials > max_redials {
@@ -397,7 +397,7 @@
         }
         let procedure = &self.spec.procedures[call.procedure];
         if now + wait < call.asked_at + procedure.t_timer {
-            self.timers.set(now + wait, Timer::Redial(wish));
+            self.timers.set(now + wait, Timer::Redial(request));
         }
     }
 
@@ -473,7 +473,7 @@
                 if let (Method::Bye, Some(dial)) = (method, dial) {
                     if dial.state == State::Established {
                         dial.state = State::Ended;
-                        self.wishes[dial.wish].cut = true;
+                        self.call_requests[dial.request].cut = true;
                         let key = key.unwrap_or_default();
                         self.timers.set(now + TRANSACTION_TIMEOUT, Timer::Forget(key));
                     }
@@ -498,11 +498,11 @@
             if let Some(contact) = message.header("Contact") {
                 dial.contact = address(contact).into();
             }
-            let (state, wish) = (dial.state, dial.wish);
+            let (state, request) = (dial.state, dial.request);
             let ack = self.in_dialog(key, Method::Ack, 1);
             self.out.push_back(ack);
             match state {
-                State::Asking => self.established(now, key, wish),
+                State::Asking => self.established(now, key, request),
                 State::Abandoned => {
                     // CANCEL and 200 crossed: the call is no longer wanted and is released (section 15).
                     if let Some(dial) = self.dials.get_mut(&key) {
@@ -528,13 +528,13 @@
         }
     }
 
-    fn established(&mut self, now: f64, key: usize, wish: usize) {
-        let wish = &mut self.wishes[wish];
-        let after = now - wish.asked_at;
-        wish.stood_after = Some(after);
+    fn established(&mut self, now: f64, key: usize, request: usize) {
+        let request = &mut self.call_requests[request];
+        let after = now - request.asked_at;
+        request.stood_after = Some(after);
         self.stood_after.push(after);
         self.counts.stood += 1;
-        let holding = self.spec.procedures[wish.procedure].holding;
+        let holding = self.spec.procedures[request.procedure].holding;
         let lasts = Exp::new(1.0 / holding).map_or(holding, |d| d.sample(&mut self.rng));
         if let Some(dial) = self.dials.get_mut(&key) {
             dial.state = State::Established;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -154,14 +154,15 @@
     Some(())
 }
 
-/// A server that sends its state and reads nothing, with minimal socket buffers, until [`DeafServer::hear`].
-pub struct DeafServer {
+/// A server that sends its state and reads nothing, with minimal socket buffers, until
+/// [`NonReadingServer::read_set_ups`].
+pub struct NonReadingServer {
     pub address: SocketAddr,
     streams: Shared<Vec<(SocketAddr, TcpStream)>>,
 }
 
-impl DeafServer {
-    pub fn start() -> io::Result<DeafServer> {
+impl NonReadingServer {
+    pub fn start() -> io::Result<NonReadingServer> {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         listener.set_recv_buffer_size(2048)?;
         // With small segments the client's socket gets a small buffer too.
@@ -179,13 +180,13 @@
                 }
             }
         });
-        Ok(DeafServer { address, streams })
+        Ok(NonReadingServer { address, streams })
     }
 
     /// Reads every connection made so far until it ends or is silent for that long, and returns the ids of
     /// the set-ups that arrived complete.
-    pub fn hear(&self, silent_for: Duration) -> io::Result<Vec<Heard>> {
-        let mut heard = Vec::new();
+    pub fn read_set_ups(&self, silent_for: Duration) -> io::Result<Vec<ReceivedSetUps>> {
+        let mut received = Vec::new();
         for (peer, stream) in locked(&self.streams).drain(..) {
             let mut ids = Vec::new();
             stream.set_read_timeout(Some(silent_for))?;
@@ -199,15 +200,15 @@
                     ids.push(message["id"].as_str().unwrap_or("").to_string());
                 }
             }
-            heard.push(Heard { peer, ids });
+            received.push(ReceivedSetUps { peer, ids });
         }
-        Ok(heard)
+        Ok(received)
     }
 }
 
 /// The set-ups that arrived complete on one connection, and their sender.
 #[derive(Debug)]
-pub struct Heard {
+pub struct ReceivedSetUps {
     pub peer: SocketAddr,
     pub ids: Vec<String>,
 }
--- a/crates/standin/src/processor.rs
+++ b/crates/standin/src/processor.rs
@@ -123,7 +123,7 @@
     }
 
     /// Counts a received set-up; returns true when it makes a cold processor collapse.
-    pub fn pushed_over(&mut self, now: f64) -> bool {
+    pub fn collapses_on_set_up(&mut self, now: f64) -> bool {
         while self.recent.front().is_some_and(|&t| t <= now - self.cold.fall_after) {
             self.recent.pop_front();
         }
@@ -213,10 +213,10 @@
         p.add(100.0, Job { kind: Kind::SetUp, token: 1 });
         assert!((p.due() - 100.04).abs() < 1e-9);
         // 50 a second when warm, a quarter of that when cold, twice that within a second: slightly above 25.
-        let fell = (0..40).position(|i| p.pushed_over(100.0 + f64::from(i) * 0.01));
+        let fell = (0..40).position(|i| p.collapses_on_set_up(100.0 + f64::from(i) * 0.01));
         assert!(fell.is_some_and(|n| (24..=28).contains(&n)), "{fell:?}");
         let mut warm = processor();
         warm.start(0.0, false);
-        assert!(!(0..400).any(|i| warm.pushed_over(f64::from(i) * 0.001)));
+        assert!(!(0..400).any(|i| warm.collapses_on_set_up(f64::from(i) * 0.001)));
     }
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -289,7 +289,7 @@
     fn invite(&mut self, now: f64, connection: u64, front: FrontId, leg: Arc<str>, message: &Message) {
         let session: Arc<str> = message.session_id().unwrap_or_default().into();
         self.record(now, Seen::SetUp { server: self.id, front, session, leg: leg.clone() });
-        if self.processor.pushed_over(now) {
+        if self.processor.collapses_on_set_up(now) {
             self.collapsed = true;
             self.record(now, Seen::Fell { server: self.id });
             return self.stop(now);
