--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -86,7 +86,7 @@
         caller.send("OPTIONS", "aaaaaaaaaaaaaaaa", "");
         assert_eq!(caller.next().0, "200");
         live.while_stopped(|| {
-            live.servers[0].say_state().unwrap();
+            live.servers[0].send_state().unwrap();
             if reset {
                 socket2::SockRef::from(&caller.stream).set_linger(Some(std::time::Duration::ZERO)).unwrap();
             }
--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -37,7 +37,7 @@
     pub procedures: Vec<AskSpec>,
     /// Trunk groups, one of which each attach names. Half of the attaches name the current favourite.
     pub trunk_groups: Vec<String>,
-    /// Interval after which another favourite trunk group is drawn, seconds.
+    /// Minimum time between two draws of the favourite trunk group, seconds.
     pub shift_every: f64,
     /// Names and shares of the tenants.
     pub tenants: Vec<(String, f64)>,
@@ -211,6 +211,7 @@
         self.dials.values().filter(|d| d.state == State::Asking).count()
     }
 
+    /// Time of the next timer.
     pub fn due(&self) -> f64 {
         self.timers.next()
     }
@@ -219,6 +220,7 @@
         self.out.pop_front()
     }
 
+    /// Takes the trace entries since the last call.
     pub fn take_seen(&mut self) -> Vec<Entry> {
         std::mem::take(&mut self.seen)
     }
@@ -246,7 +248,7 @@
                     }
                 }
                 Timer::Resend(dial) => self.resend(now, dial),
-                Timer::Patience(dial) => self.patience_over(now, dial),
+                Timer::Patience(dial) => self.patience_ended(now, dial),
                 Timer::Redial(request) => self.dial(now, request),
                 Timer::Release(dial) => self.release(now, dial),
                 Timer::Forget(dial) => {
@@ -367,7 +369,7 @@
         self.timers.set(dial.resend_at, Timer::Resend(key));
     }
 
-    fn patience_over(&mut self, now: f64, key: usize) {
+    fn patience_ended(&mut self, now: f64, key: usize) {
         let Some(dial) = self.dials.get_mut(&key).filter(|d| d.state == State::Asking) else { return };
         dial.state = State::Abandoned;
         self.counts.left += 1;
--- a/crates/standin/src/checker.rs
+++ b/crates/standin/src/checker.rs
@@ -145,17 +145,17 @@
             Seen::SetUp { server, front, session, leg } => self.set_up(now, *server, *front, session, leg),
             Seen::Cancelled { leg, .. } => self.ended(leg, now, true),
             Seen::ServerAnswered { leg, status, .. } => {
-                if let Some(&place) = self.by_leg.get(leg) {
+                if let Some(&index) = self.by_leg.get(leg) {
                     if (200..300).contains(status) {
-                        self.legs[place].established = Some(now);
+                        self.legs[index].established = Some(now);
                     }
                 }
                 self.ended(leg, now, false);
             }
             Seen::Lost { leg, .. } => self.ended(leg, now, true),
             Seen::Released { leg, .. } => {
-                if let Some(&place) = self.by_leg.get(leg) {
-                    self.legs[place].released = true;
+                if let Some(&index) = self.by_leg.get(leg) {
+                    self.legs[index].released = true;
                 }
             }
             Seen::Started { server, cold, capacity } => {
@@ -163,7 +163,7 @@
                 self.recent.remove(server);
             }
             Seen::Fell { server } => {
-                self.broken(4, now, format!("server {server} was pushed over"));
+                self.broken(4, now, format!("server {server} collapsed under overload"));
             }
             Seen::Stopped { server } => {
                 self.stopped.entry(*server).or_default().push(now);
@@ -214,14 +214,14 @@
     }
 
     fn ended(&mut self, leg: &Arc<str>, now: f64, guarded: bool) {
-        if let Some(&place) = self.by_leg.get(leg) {
-            self.legs[place].ended.get_or_insert((now, guarded));
+        if let Some(&index) = self.by_leg.get(leg) {
+            self.legs[index].ended.get_or_insert((now, guarded));
         }
     }
 
     fn answered(&mut self, now: f64, name: &Arc<str>, status: u16) {
         let Some(session) = self.sessions.get_mut(name) else {
-            return self.broken(1, now, format!("an answer {status} for {name}, which nobody asked for"));
+            return self.broken(1, now, format!("an answer {status} for the unknown session {name}"));
         };
         let repeat = session.finals.iter().any(|f| f.1 == status);
         session.finals.push((now, status));
@@ -242,7 +242,7 @@
             self.broken(1, now, format!("{name} is answered {status} after another final answer"));
         }
         if late {
-            self.broken(1, now, format!("{name} is answered {status} after its caller's time was up"));
+            self.broken(1, now, format!("{name} is answered {status} after its caller's patience had ended"));
         }
     }
 
@@ -259,20 +259,20 @@
             }
         }
         let earlier: Vec<usize> = self.by_session.get(name).cloned().unwrap_or_default();
-        for place in earlier {
-            let (other, from) = (self.legs[place].server, self.legs[place].from);
-            match self.legs[place].ended {
+        for index in earlier {
+            let (other, from) = (self.legs[index].server, self.legs[index].from);
+            match self.legs[index].ended {
                 None => self.broken(
                     2,
                     now,
-                    format!("{name} has tries out at servers {other} (since {from:.3}) and {server}"),
+                    format!("{name} has concurrent tries at servers {other} (since {from:.3}) and {server}"),
                 ),
                 Some((at, true)) if now < at + self.figures.release_guard - passing => {
                     self.broken(
                         5,
                         now,
                         format!(
-                            "{name} is sent again {:.3} s after its try at {other} was given up",
+                            "{name} is sent again {:.3} s after its try at server {other} was abandoned",
                             now - at
                         ),
                     );
@@ -286,7 +286,9 @@
                 self.broken(
                     3,
                     now,
-                    format!("front {front} sends to server {server} {late:.3} s after it was told"),
+                    format!(
+                        "front {front} sends to server {server} {late:.3} s after it was reported not ready"
+                    ),
                 );
             }
         }
@@ -359,9 +361,9 @@
                 self.verdict.killed += 1;
             } else if session.withdrawn.is_none_or(|w| w >= session.until) {
                 self.verdict.unanswered += 1;
-                self.broken(1, last, format!("{name} never got an answer from front {}", session.front));
+                self.broken(1, last, format!("{name} received no answer from front {}", session.front));
             } else {
-                self.broken(1, last, format!("{name} was withdrawn and got no final answer"));
+                self.broken(1, last, format!("{name} was withdrawn and received no final answer"));
             }
         }
         // A call that is established at a server although its caller received a refusal must be released.
@@ -371,7 +373,7 @@
             let accepted = sessions.get(&leg.session).map(|s| s.finals.iter().any(|f| f.1 < 300));
             if accepted == Some(false) && end > established + 5.0 {
                 let what = format!(
-                    "{} stands at server {} although its caller was told otherwise",
+                    "{} is established at server {} although its caller received a refusal",
                     leg.session, leg.server
                 );
                 self.broken(1, end, what);
--- a/crates/standin/src/feed.rs
+++ b/crates/standin/src/feed.rs
@@ -123,6 +123,7 @@
         self.connected.insert(front, false);
     }
 
+    /// Time at which the next change is sent.
     pub fn due(&self) -> f64 {
         if self.stopped {
             return f64::INFINITY;
@@ -179,6 +180,7 @@
         self.out.pop_front()
     }
 
+    /// Takes the trace entries since the last call.
     pub fn take_seen(&mut self) -> Vec<Entry> {
         std::mem::take(&mut self.seen)
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -18,12 +18,12 @@
 }
 
 /// A line that a signalling server received, and the connection on which to answer it.
-pub struct Got {
+pub struct ReceivedLine {
     pub line: Value,
     stream: TcpStream,
 }
 
-impl Got {
+impl ReceivedLine {
     pub fn kind(&self) -> &str {
         self.line["type"].as_str().unwrap_or("")
     }
@@ -50,7 +50,7 @@
 /// A signalling server: sends its state first on every connection and answers pings automatically.
 pub struct LineServer {
     pub address: SocketAddr,
-    got: Receiver<Got>,
+    received: Receiver<ReceivedLine>,
     held: Held,
     accepted: Arc<AtomicUsize>,
     presence: PresenceSwitch,
@@ -64,7 +64,7 @@
         LineServer::with(None)
     }
 
-    /// Starts a server that accepts connections and sends nothing on them before [`LineServer::say_state`].
+    /// Starts a server that accepts connections and sends nothing on them before [`LineServer::send_state`].
     pub fn silent() -> io::Result<LineServer> {
         LineServer::with(Some(Vec::new()))
     }
@@ -72,7 +72,7 @@
     fn with(held: Option<Vec<TcpStream>>) -> io::Result<LineServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (sender, got) = channel();
+        let (sender, received) = channel();
         let held = Arc::new(Mutex::new(held));
         let holding = held.clone();
         let accepted = Arc::new(AtomicUsize::new(0));
@@ -86,7 +86,7 @@
                 std::thread::spawn(move || serve(stream, &sender, &held, &switch));
             }
         });
-        Ok(LineServer { address, got, held, accepted, presence })
+        Ok(LineServer { address, received, held, accepted, presence })
     }
 
     /// Makes the server hang, vanish or serve again.
@@ -105,21 +105,21 @@
     }
 
     /// Sends the state on all connections that wait for it; on later ones it is sent at once.
-    pub fn say_state(&self) -> io::Result<()> {
+    pub fn send_state(&self) -> io::Result<()> {
         locked(&self.held).take().into_iter().flatten().try_for_each(|stream| write_line(&stream, &state()))
     }
 
     /// Takes all lines that have arrived, without the pings.
-    pub fn so_far(&self) -> Vec<Got> {
-        self.got.try_iter().collect()
+    pub fn take_received(&self) -> Vec<ReceivedLine> {
+        self.received.try_iter().collect()
     }
 
     /// Waits for the next line of that type and discards others before it.
-    pub fn expect(&self, kind: &str, within: Duration) -> Result<Got, RecvTimeoutError> {
+    pub fn expect(&self, kind: &str, within: Duration) -> Result<ReceivedLine, RecvTimeoutError> {
         loop {
-            let got = self.got.recv_timeout(within)?;
-            if got.kind() == kind {
-                return Ok(got);
+            let received = self.received.recv_timeout(within)?;
+            if received.kind() == kind {
+                return Ok(received);
             }
         }
     }
@@ -130,7 +130,12 @@
 }
 
 /// Serves one connection until it ends for any reason.
-fn serve(stream: TcpStream, sender: &Sender<Got>, held: &Held, presence: &PresenceSwitch) -> Option<()> {
+fn serve(
+    stream: TcpStream,
+    sender: &Sender<ReceivedLine>,
+    held: &Held,
+    presence: &PresenceSwitch,
+) -> Option<()> {
     presence.wait_until_serving();
     match &mut *locked(held) {
         Some(waiting) => waiting.push(stream.try_clone().ok()?),
@@ -149,7 +154,7 @@
             write_line(&stream, &pong).ok()?;
             continue;
         }
-        sender.send(Got { line, stream: stream.try_clone().ok()? }).ok()?;
+        sender.send(ReceivedLine { line, stream: stream.try_clone().ok()? }).ok()?;
     }
     Some(())
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -234,6 +234,7 @@
         self.out.pop_front()
     }
 
+    /// Time of the next event for which `tick` must be called.
     pub fn due(&self) -> f64 {
         let trying = self.trying.front().map_or(f64::INFINITY, |t| t.0);
         let ringing = self.ringing.front().map_or(f64::INFINITY, |t| t.0);
--- a/crates/standin/src/trace.rs
+++ b/crates/standin/src/trace.rs
@@ -7,7 +7,8 @@
 /// A front, by its number in the fleet.
 pub type FrontId = usize;
 
-/// One event: a message sent or received, or an action of the lab on a front or server.
+/// One event: a message sent or received, or an action of the lab on a front or server. The lab writes the
+/// Debug form to `trace.txt`, so that the names of variants and fields are part of that file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     /// A caller sent the first copy of its INVITE; `until` is the end of its patience.
