--- a/crates/cli/tests/live_fleet.rs
+++ b/crates/cli/tests/live_fleet.rs
@@ -3,8 +3,8 @@
 //! the seeds, `LIVE_SECONDS=60` the length of a run.
 
 use shalespindle_rig::{play_live, LiveShape};
+use shalespindle_standin::acceptance::{evaluate, AcceptanceLimits};
 use shalespindle_standin::processor::Cold;
-use shalespindle_standin::terms::{look, Terms};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
@@ -18,7 +18,7 @@
     let seconds = number(&std::env::var("LIVE_SECONDS").unwrap_or_else(|_| "8".into()));
     let (first, last) = seeds.split_once('-').unwrap_or((&seeds, &seeds));
     let shape = LiveShape { fronts: 20, servers: 4, callers: 24, capacity: 40.0, seconds, descriptors: 128 };
-    let terms = Terms {
+    let terms = AcceptanceLimits {
         gone_within: 0.1,
         // Allows for delays, as stand-ins and fronts share the machine's cores with other tests.
         passing: 0.1,
@@ -30,7 +30,7 @@
         let folder = tempfile::tempdir().unwrap();
         let binary = Path::new(env!("CARGO_BIN_EXE_shalespindle"));
         let (trace, summary) = play_live(binary, folder.path(), seed, shape).unwrap();
-        let found = look(&trace.sorted(), &terms);
+        let found = evaluate(&trace.sorted(), &terms);
         println!(
             "seed {seed}: {} attaches, {} established, {} refused; {} callers disconnected, last try begun {:.3} s after; \
              fullest cold window {:?}; {} starts, slowest ready after {:.3} s; all linked to a new server {:.2} s \
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -14,7 +14,7 @@
 };
 use nix::sys::signal::Signal;
 use process::{wait_until, Front, TIMEOUT};
-use shalespindle_standin::platform::{DeafServer, EventFeed, LineServer};
+use shalespindle_standin::platform::{EventFeed, LineServer, NonReadingServer};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -89,7 +89,7 @@
         caller.send("OPTIONS", "aaaaaaaaaaaaaaaa", "");
         assert_eq!(caller.next().0, "200");
         live.while_stopped(|| {
-            live.servers[0].say_state().unwrap();
+            live.servers[0].send_state().unwrap();
             if reset {
                 socket2::SockRef::from(&caller.stream).set_linger(Some(std::time::Duration::ZERO)).unwrap();
             }
@@ -285,7 +285,7 @@
 /// close.
 #[test]
 fn a_set_up_that_has_not_left_the_front_does_not_leave_it_when_its_caller_has_gone() {
-    let server = DeafServer::start().unwrap();
+    let server = NonReadingServer::start().unwrap();
     let (listen, folder) = (free_address(), tempfile::tempdir().unwrap());
     let config = folder.path().join("config.json");
     write_config(&config, listen, free_address(), &event(1, &[("s-0", server.address)]));
@@ -320,7 +320,7 @@
     // Answered after all earlier input: connections are read in the order in which they become readable.
     Caller::accepted(listen);
     let (mut received, mut fully_written) = (0, 0);
-    for connection in server.hear(Duration::from_millis(300)).unwrap() {
+    for connection in server.read_set_ups(Duration::from_millis(300)).unwrap() {
         let complete = written.get(&connection.peer.port()).map_or(0, |bytes| bytes / SET_UP_LINE);
         assert!(connection.ids.len() <= complete, "{connection:?}: {complete} were written, of {written:?}");
         (received, fully_written) = (received + connection.ids.len(), fully_written + complete);
