--- a/crates/trials/src/address.rs
+++ b/crates/trials/src/address.rs
@@ -1,25 +1,26 @@
-//! Addresses on loopback: each front reaches the services of its trial at a host that is its own, so that servers and
-//! discovery know who is there.
+//! Loopback addresses of a trial. Each front reaches servers and discovery at a host of its own, so that they
+//! can tell the fronts apart by the listener that accepted the connection.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// Stands in an event for the host at which its reader reaches the servers.
+/// Placeholder in an event for the host at which its recipient reaches the servers.
 const HOST_PLACEHOLDER: &str = "{host}";
-/// Ports result until one is free on all hosts.
+/// Ports that are tried until one is free on all hosts.
 const MAX_PORT_ATTEMPTS: usize = 20;
 
-/// The hosts of one trial, by front.
+/// The hosts of one trial, indexed by front.
 #[derive(Clone, Debug)]
 pub struct Hosts {
-    /// Where services reach a front.
+    /// Host on which a front listens.
     pub fronts: Vec<Ipv4Addr>,
-    /// Where a front reaches services.
+    /// Host at which a front reaches servers and discovery.
     pub services: Vec<Ipv4Addr>,
 }
 
 impl Hosts {
-    /// Hosts that no other trial of this or another process uses.
+    /// Returns hosts derived from the process id and the seed, so that trials that run at the same time do
+    /// not collide.
     pub fn for_trial(seed: u64, fronts: usize) -> Hosts {
         let [.., high, low] = std::process::id().to_be_bytes();
         let network = 100 + high % 50 + (seed % 100) as u8;
@@ -30,7 +31,7 @@
         }
     }
 
-    /// A listener for each front, all on one port: that one, or any that is free.
+    /// Opens one listener per front, all on the same port: the given one, or any free one.
     pub fn listen(&self, port: Option<u16>) -> io::Result<Vec<TcpListener>> {
         let mut result = self.listen_once(port);
         for _ in 0..MAX_PORT_ATTEMPTS {
@@ -53,18 +54,18 @@
         Ok(listeners)
     }
 
-    /// Where a front reaches what listens on that port.
+    /// Address at which a front reaches the service that listens on that port.
     pub fn service_address(&self, front: usize, port: u16) -> SocketAddr {
         SocketAddr::from((self.services[front], port))
     }
 
-    /// An event as one front is told it.
+    /// Fills in the host placeholder of an event for one front.
     pub fn event_for(&self, front: usize, event: &str) -> String {
         event.replace(HOST_PLACEHOLDER, &self.services[front].to_string())
     }
 }
 
-/// A server's address in an event.
+/// A server's address in an event, with the host left as a placeholder.
 pub fn placeholder_address(port: u16) -> String {
     format!("{HOST_PLACEHOLDER}:{port}")
 }
--- a/crates/trials/src/bad_clients.rs
+++ b/crates/trials/src/bad_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that send what nobody can use; each is owed a refusal, an error or its connection's close in time.
+//! Clients that send malformed or invalid messages. A front must answer each with a refusal, an error or the
+//! close of the connection in time.
 
 use crate::record::{Event, Recorder};
 use rand::Rng;
@@ -7,10 +8,11 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The platform gives a front this long after the connection, and what passing the sockets may add.
+/// The time after the connection that the platform gives a front to turn a client away, plus a margin for the
+/// sockets.
 const REJECT_TIMEOUT: Duration = Duration::from_millis(3200);
 
-/// What one of them sends, by number.
+/// The bytes that a client sends; `kind` selects one of seven faults.
 fn malformed_message(kind: u32) -> Vec<u8> {
     let head = "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCSeq: 1 INVITE\r\n";
     let text = match kind % 7 {
@@ -20,16 +22,17 @@
         3 => format!("{head}Call-ID: none\r\nX-Service: voice\r\nX-Setup-Ms: 900\r\nContent-Length: 2\r\n\r\nxx"),
         4 => format!("{head}Call-ID: 00000000000000ac\r\nX-Service: fax\r\nX-Setup-Ms: 900\r\nContent-Length: 2\r\n\r\nxx"),
         5 => format!("{head}Call-ID: 00000000000000ad\r\nX-Service: voice\r\nX-Setup-Ms: 1e9\r\nContent-Length: 2\r\n\r\nxx"),
-        // Half a message, and nothing more.
+        // An incomplete message.
         _ => head.to_string(),
     };
     text.into_bytes()
 }
 
-/// Connects, sends, and waits for an answer that is no success, or for the close.
+/// Connects, sends an unusable message, and records whether the front refused it or closed the connection in
+/// time.
 pub fn try_one(to: SocketAddr, rng: &mut ChaCha8Rng, recorder: &Recorder) {
     let Ok(mut stream) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
-    // A front that has just ended is no case of theirs.
+    // Failures to connect or write mean that the front has just ended; nothing is recorded for them.
     if stream.set_read_timeout(Some(REJECT_TIMEOUT)).is_err()
         || stream.write_all(&malformed_message(rng.random())).is_err()
     {
--- a/crates/trials/src/callers.rs
+++ b/crates/trials/src/callers.rs
@@ -1,5 +1,6 @@
-//! Callers of the fronts under trial: they keep connections open and use them until a front's end, some leave early,
-//! some write in pieces, some hand standing calls over to a front that has been restarted.
+//! Callers of the fronts under trial. They keep connections open and use them until a front closes them. Some
+//! leave early, some write messages in pieces, some hand established calls over to a front that has been
+//! restarted.
 
 use crate::front::{Front, Settings};
 use crate::record::{locked, CallId, Event, FrontId, Recorder};
@@ -16,34 +17,37 @@
 
 /// Connections that callers keep to each front.
 const CONNECTIONS: usize = 4;
-/// A set-up that was written so shortly before its connection's end may be sent once more, on a new one.
+/// A set-up that was written at most this long before the end of its connection may be sent once more on a
+/// new one, seconds.
 const CROSSED_CLOSE_WINDOW: f64 = 0.05;
-/// What the reader of a connection may be late by when it sees the end.
+/// Maximum delay with which the reader of a connection notices its end, seconds.
 const CLOSE_DETECTION_DELAY: f64 = 0.02;
 const TICK: Duration = Duration::from_millis(2);
 
-/// How callers behave; shares are of a hundred.
+/// Behaviour of the callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallerBehaviour {
-    /// Set-ups a second over all fronts.
+    /// Set-ups per second over all fronts.
     pub rate: f64,
-    /// Give up early.
+    /// Percentage of set-ups that are cancelled or abandoned early.
     pub cancel_percent: u32,
-    /// Of those that are refused, ask again at once.
+    /// Percentage of refused set-ups that are tried again at once.
     pub retry_percent: u32,
-    /// Write a message in two pieces.
+    /// Percentage of set-ups that are written in two pieces.
     pub split_percent: u32,
-    /// Longest pause between two pieces, seconds.
+    /// Maximum pause between the two pieces, seconds.
     pub max_split_pause: f64,
-    /// Leave very little time.
+    /// Percentage of set-ups with a very short deadline.
     pub short_deadline_percent: u32,
-    /// End a call themselves.
+    /// Percentage of established calls that the caller ends.
     pub hang_up_percent: u32,
-    /// Hand a standing call over when its front was restarted.
+    /// Percentage of established calls that are handed over after a restart of their front.
     pub hand_over_percent: u32,
 }
 
+/// A set-up without a final answer.
 struct Pending {
+    /// When its last byte was written; infinite until then.
     requested_at: f64,
 }
 
@@ -51,28 +55,31 @@
     front: FrontId,
     writer: Mutex<TcpStream>,
     is_open: AtomicBool,
-    /// Set-ups without a final answer, and part of a message that is still to be written.
+    /// Set-ups without a final answer.
     pending: Mutex<HashMap<CallId, Pending>>,
+    /// The second piece of a message is still to be written.
     remainder_pending: AtomicBool,
-    /// What is to be written behind that part.
+    /// Messages to be written after that piece.
     queued_after_remainder: Mutex<Vec<u8>>,
-    /// Its caller has closed it.
+    /// The caller has closed it.
     is_closed_by_caller: AtomicBool,
 }
 
 impl Connection {
-    /// Open, and no part of a message waits to be written.
+    /// Open, with no second piece still to be written.
     fn is_free(&self) -> bool {
         self.is_open.load(Ordering::Acquire) && !self.remainder_pending.load(Ordering::Acquire)
     }
 }
 
-/// A call that stands, for its caller.
+/// An established call, as its caller knows it.
 struct EstablishedCall {
     front: FrontId,
+    /// Id of its server; none if the answer named no server.
     server: Option<String>,
 }
 
+/// What a caller does at a scheduled time.
 enum Action {
     Request { is_retry: bool },
     SendRemainder { connection: Arc<Connection>, bytes: Vec<u8>, call: CallId, until: f64 },
@@ -101,7 +108,7 @@
 }
 
 impl Ord for ScheduledAction {
-    /// The earliest is the greatest: it comes first off the heap.
+    /// Reversed by time, so that the heap yields the earliest action first.
     fn cmp(&self, other: &ScheduledAction) -> std::cmp::Ordering {
         other.at.total_cmp(&self.at).then(other.number.cmp(&self.number))
     }
@@ -115,15 +122,17 @@
     recorder: Recorder,
     connections: Mutex<Vec<Arc<Connection>>>,
     established: Mutex<HashMap<CallId, EstablishedCall>>,
-    /// Calls whose front's process ended under them.
-    orphans: Mutex<Vec<(CallId, EstablishedCall)>>,
+    /// Calls whose front has ended and that are to be handed over.
+    to_hand_over: Mutex<Vec<(CallId, EstablishedCall)>>,
     actions: Mutex<BinaryHeap<ScheduledAction>>,
     next_call: AtomicU64,
     next_action: AtomicU64,
     rng: Mutex<ChaCha8Rng>,
     stopped: AtomicBool,
     pools: usize,
+    /// Set-ups answered with 200.
     pub served: AtomicU64,
+    /// Set-ups that callers began to send.
     pub asked: AtomicU64,
 }
 
@@ -143,7 +152,7 @@
             recorder: recorder.clone(),
             connections: Mutex::default(),
             established: Mutex::default(),
-            orphans: Mutex::default(),
+            to_hand_over: Mutex::default(),
             actions: Mutex::default(),
             next_call: AtomicU64::new((seed << 32) + 1),
             next_action: AtomicU64::new(0),
@@ -159,23 +168,23 @@
         callers
     }
 
-    /// Asks for nothing more; what stands goes on to its end.
+    /// Sends no more set-ups; established calls go on to their end.
     pub fn stop_requests(&self) {
         locked(&self.behaviour).rate = 0.0;
     }
 
-    /// Asks so often from now on.
+    /// Sets the number of set-ups per second.
     pub fn set_rate(&self, rate: f64) {
         locked(&self.behaviour).rate = rate;
     }
 
-    /// Nothing stands any more, and nobody waits.
+    /// No call is established and no set-up is pending.
     pub fn is_idle(&self) -> bool {
-        let waits = locked(&self.connections).iter().any(|c| !locked(&c.pending).is_empty());
-        !waits && locked(&self.established).is_empty() && locked(&self.orphans).is_empty()
+        let has_pending = locked(&self.connections).iter().any(|c| !locked(&c.pending).is_empty());
+        !has_pending && locked(&self.established).is_empty() && locked(&self.to_hand_over).is_empty()
     }
 
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
     }
 
@@ -192,7 +201,7 @@
         locked(&self.actions).push(ScheduledAction { at, number, action });
     }
 
-    /// Does what is due, until the trial is over.
+    /// Draws new set-ups and executes due actions until stopped.
     fn run(&self) {
         let mut next_request = self.recorder.now();
         while !self.stopped.load(Ordering::Acquire) {
@@ -221,11 +230,11 @@
         match action {
             Action::Request { is_retry } => self.request(is_retry),
             Action::SendRemainder { connection, bytes, call, until } => {
-                let mut behind = locked(&connection.queued_after_remainder);
+                let mut queued = locked(&connection.queued_after_remainder);
                 connection.remainder_pending.store(false, Ordering::Release);
                 let written = write_now(&connection, &bytes);
-                write_now(&connection, &std::mem::take(&mut *behind));
-                drop(behind);
+                write_now(&connection, &std::mem::take(&mut *queued));
+                drop(queued);
                 if written {
                     self.record_requested(&connection, call, until);
                 }
@@ -235,15 +244,15 @@
         }
     }
 
-    /// Opens connections again as soon as a front takes them.
+    /// Opens missing connections to each front that accepts them, and hands calls over.
     fn maintain_connections(self: &Arc<Callers>) {
         while !self.stopped.load(Ordering::Acquire) {
             for front in &self.fronts {
                 if !front.accepts_connections.load(Ordering::Acquire) {
                     continue;
                 }
-                let held = locked(&self.connections).iter().filter(|c| c.front == front.id).count();
-                if held < CONNECTIONS {
+                let open = locked(&self.connections).iter().filter(|c| c.front == front.id).count();
+                if open < CONNECTIONS {
                     self.connect(front);
                 }
             }
@@ -253,7 +262,7 @@
     }
 
     fn connect(self: &Arc<Callers>, front: &Front) {
-        // Not up, or full: nothing was asked.
+        // The front is down or full; nothing was sent.
         let Ok(stream) = TcpStream::connect_timeout(&front.listen, Duration::from_millis(500)) else {
             return;
         };
@@ -295,15 +304,15 @@
         let dest = locked(&self.rng).random_range(0..self.pools);
         let message = invite(call, patience, &format!("dest:{dest};width:1;via:-1"));
         self.asked.fetch_add(1, Ordering::Relaxed);
-        // Known before it is written: its answer may come at once.
+        // Inserted before the message is written, because the answer may come at once.
         locked(&connection.pending).insert(call, Pending { requested_at: f64::INFINITY });
         let now = self.recorder.now();
         if !is_retry && self.chance(behaviour.split_percent) {
             let index = locked(&self.rng).random_range(1..message.len());
-            let behind = locked(&connection.queued_after_remainder);
+            let queued = locked(&connection.queued_after_remainder);
             connection.remainder_pending.store(true, Ordering::Release);
             let written = write_now(&connection, &message[..index]);
-            drop(behind);
+            drop(queued);
             if written {
                 let at = now + self.uniform(0.001, behaviour.max_split_pause);
                 let bytes = message[index..].to_vec();
@@ -316,13 +325,13 @@
         }
     }
 
-    /// The last byte of a set-up has been written.
+    /// Records that the last byte of a set-up was written.
     fn record_requested(&self, connection: &Arc<Connection>, call: CallId, patience: f64) {
         let now = self.recorder.now();
         {
             let mut pending = locked(&connection.pending);
             let Some(entry) = pending.get_mut(&call) else {
-                // Answered before this is known, or its connection has ended under it.
+                // It was answered before this point, or its connection has ended.
                 return;
             };
             entry.requested_at = now;
@@ -350,7 +359,7 @@
         } else if write_message(connection, &request("CANCEL", call)) {
             self.recorder.record(Event::CallerLeft { call });
         } else {
-            // Its connection has ended meanwhile: so has its interest.
+            // The connection has ended, so the caller has left as well.
             self.recorder.record(Event::CallerLeft { call });
         }
     }
@@ -361,7 +370,7 @@
         connections.iter().find(|c| c.front == front && c.is_free()).cloned()
     }
 
-    /// Ends a call that stands, on any connection to its front.
+    /// Ends an established call on any connection to its front.
     fn hang_up(&self, call: CallId) {
         let front = locked(&self.established).get(&call).map(|established| established.front);
         let Some(connection) = front.and_then(|front| self.free_connection(front)) else { return };
@@ -371,10 +380,10 @@
         }
     }
 
-    /// Calls whose front's process has ended are handed over to it once it is back.
+    /// Hands the calls of an ended front over to its new process once that accepts connections.
     fn hand_over(&self) {
-        let orphans = std::mem::take(&mut *locked(&self.orphans));
-        for (call, established) in orphans {
+        let to_hand_over = std::mem::take(&mut *locked(&self.to_hand_over));
+        for (call, established) in to_hand_over {
             let Some(server) = established.server.clone() else { continue };
             let message = invite(call, self.settings.deadline, &format!("at:{server}"));
             let written =
@@ -383,7 +392,7 @@
                 self.recorder.record(Event::HandedOver { call, front: established.front });
                 locked(&self.established).insert(call, established);
             } else {
-                locked(&self.orphans).push((call, established));
+                locked(&self.to_hand_over).push((call, established));
             }
         }
     }
@@ -424,7 +433,7 @@
                 write_message(connection, &release_confirmation(call));
                 self.recorder.record(Event::ReleasedToCaller { call });
                 locked(&self.established).remove(&call);
-                locked(&self.orphans).retain(|(orphan, _)| *orphan != call);
+                locked(&self.to_hand_over).retain(|(waiting, _)| *waiting != call);
             }
             _ => {}
         }
@@ -432,13 +441,13 @@
 
     fn handle_answer(&self, connection: &Arc<Connection>, call: CallId, status: u16, message: &Message) {
         let was_pending = locked(&connection.pending).remove(&call);
-        // A 487 belongs to a cancel, and nobody waits for it.
+        // A 487 answers a cancelled set-up; its caller no longer waits.
         if was_pending.is_none() && status != 200 {
             return;
         }
         let requested = was_pending.is_some_and(|p| p.requested_at.is_finite());
         if !requested {
-            // The answer overtook the note of the request's last byte.
+            // The answer arrived before `record_requested` recorded the request.
             let now = self.recorder.now();
             let until = now + self.settings.deadline;
             self.recorder.record_at(now, Event::Requested { call, front: connection.front, until });
@@ -468,7 +477,7 @@
         let crossed_close = |p: &Pending| {
             p.requested_at.is_finite() && now - p.requested_at < CROSSED_CLOSE_WINDOW + CLOSE_DETECTION_DELAY
         };
-        // One of which only a part was written asks for nothing yet.
+        // A set-up that was only partly written does not count.
         let all_crossed = pending.iter().all(|(_, p)| crossed_close(p) || !p.requested_at.is_finite());
         for (call, pending) in pending.iter().filter(|(_, p)| p.requested_at.is_finite()) {
             if connection.is_closed_by_caller.load(Ordering::Acquire) {
@@ -483,21 +492,22 @@
         }
     }
 
-    /// The process of a front has ended: what interrupted there is handed over, or given up.
+    /// Called when the process of a front has ended: its established calls are kept for a hand-over or
+    /// dropped.
     pub fn front_ended(&self, front: FrontId) {
         let interrupted: Vec<(CallId, EstablishedCall)> =
             locked(&self.established).extract_if(|_, established| established.front == front).collect();
         let share = locked(&self.behaviour).hand_over_percent;
         let handed = interrupted.into_iter().filter(|_| self.chance(share));
-        locked(&self.orphans).extend(handed);
+        locked(&self.to_hand_over).extend(handed);
     }
 }
 
-/// Writes a whole message; behind the rest of another one where that is still to come.
+/// Writes a whole message, or queues it if the second piece of another message is still to be written.
 fn write_message(connection: &Connection, bytes: &[u8]) -> bool {
-    let mut behind = locked(&connection.queued_after_remainder);
+    let mut queued = locked(&connection.queued_after_remainder);
     if connection.remainder_pending.load(Ordering::Acquire) {
-        behind.extend_from_slice(bytes);
+        queued.extend_from_slice(bytes);
         return connection.is_open.load(Ordering::Acquire);
     }
     write_now(connection, bytes)
@@ -507,6 +517,7 @@
     connection.is_open.load(Ordering::Acquire) && locked(&connection.writer).write_all(bytes).is_ok()
 }
 
+/// An INVITE with the given patience in seconds.
 fn invite(call: CallId, patience: f64, route: &str) -> Vec<u8> {
     let body = "9d41\r\nc=IN IP4 10.4.7.9\r\n";
     format!(
@@ -519,6 +530,7 @@
     .into_bytes()
 }
 
+/// A request without a body.
 fn request(method: &str, call: CallId) -> Vec<u8> {
     format!(
         "{method} sip:net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call:016x}\r\nCSeq: 1 {method}\r\n\
@@ -527,6 +539,7 @@
     .into_bytes()
 }
 
+/// The 200 to a BYE.
 fn release_confirmation(call: CallId) -> Vec<u8> {
     format!(
         "SIP/2.0 200 OK\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call:016x}\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n"
--- a/crates/trials/src/discovery.rs
+++ b/crates/trials/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery with faults: it refuses, falls silent, breaks_next_event off in the middle of an event, or move_address to another address.
+//! A discovery service with faults: it refuses connections, falls silent, cuts an event off in the middle, or
+//! moves to another address.
 
 use crate::address::Hosts;
 use crate::record::{locked, FrontId, Recorder};
@@ -10,43 +11,47 @@
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(5);
-/// A comment comes so often, seconds.
+/// Interval between keep-alive comments on a watch, seconds.
 const COMMENT_INTERVAL: f64 = 1.0;
-/// An address that fronts have left closes what is open there after this, seconds.
+/// Time after which open watches at a replaced address are closed, seconds.
 const OLD_ADDRESS_CLOSE_DELAY: f64 = 1.5;
-/// A front is owed time to find discovery again, by the terms, seconds.
+/// Time that the acceptance rules allow a front to receive events again after a fault of discovery, seconds:
+/// after refused connections, a silent watch, a cut-off event, and a new address.
 const RECEIVED_AFTER_FAILED_CONNECT: f64 = 6.0;
 const RECEIVED_AFTER_SILENCE: f64 = 4.0;
 const RECEIVED_AFTER_BREAK: f64 = 2.0;
 const RECEIVED_AFTER_RELOAD: f64 = 4.0;
 
-/// What discovery does.
+/// How discovery treats connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
+    /// Serves normally.
     Up,
-    /// Connections are refused, those that were open are closed.
+    /// New connections are refused, open ones closed.
     Down,
-    /// Open watches say nothing any more; new ones are served.
+    /// Open watches receive nothing more; new ones are served.
     OpenWatchesSilent,
 }
 
+/// An open event stream of one front.
 struct Watch {
     stream: TcpStream,
-    /// Which address it came to.
+    /// Index of the endpoint that accepted it.
     endpoint: usize,
     front: FrontId,
     events_sent: usize,
     silent: bool,
-    /// The next event is broken off in its middle, and the connection closed.
+    /// The next event is cut off in the middle and the connection closed.
     breaks_next_event: bool,
     next_comment_at: f64,
 }
 
+/// One address of discovery.
 struct Endpoint {
     port: u16,
-    /// One for each front; none while discovery is down, or once fronts have left.
+    /// One per front; empty while discovery is down or after the address was replaced.
     listeners: Vec<TcpListener>,
-    /// Since when fronts have been told of another.
+    /// When fronts were given another address.
     replaced_at: Option<f64>,
 }
 
@@ -55,13 +60,13 @@
     events: Vec<String>,
     endpoints: Vec<Endpoint>,
     watches: Vec<Watch>,
-    /// Times from which on, and until when, fronts are owed more time.
+    /// Periods for whose events the fronts are allowed more time.
     grace_periods: Vec<GracePeriod>,
     down_since: Option<f64>,
     stopped: bool,
 }
 
-/// What comes within this time counts as told at `received_by` at the latest.
+/// Events published between `from` and `until` must have been received by `received_by`, seconds.
 struct GracePeriod {
     from: f64,
     until: f64,
@@ -98,25 +103,25 @@
         Ok(discovery)
     }
 
-    /// Where a front finds it now.
+    /// The current address for a front.
     pub fn address(&self, front: FrontId) -> SocketAddr {
         let state = locked(&self.state);
         self.hosts.service_address(front, state.endpoints[state.endpoints.len() - 1].port)
     }
 
-    /// All events so far, as a front is told them.
+    /// All events so far, in the form sent to a front.
     pub fn events(&self, front: FrontId) -> Vec<String> {
         locked(&self.state).events.iter().map(|event| self.hosts.event_for(front, event)).collect()
     }
 
-    /// Adds an event about these servers.
+    /// Publishes an event with the state of these servers.
     pub fn publish_members(&self, members: &[Value]) {
         let mut state = locked(&self.state);
         let number = state.events.len() + 1;
         state.events.push(event(number, members));
     }
 
-    /// When what came at that time counts as told.
+    /// Time by which fronts must have received an event published at `at`.
     pub fn received_by(&self, at: f64) -> f64 {
         let state = locked(&self.state);
         let periods = state.grace_periods.iter().filter(|e| e.from <= at && at <= e.until);
@@ -155,12 +160,12 @@
         Ok(())
     }
 
-    /// The next event on each open watch stops in its middle.
+    /// Cuts the next event on each open watch off in the middle.
     pub fn break_next_event(&self) {
         let now = self.recorder.now();
         let mut state = locked(&self.state);
         state.watches.iter_mut().for_each(|watch| watch.breaks_next_event = true);
-        // Counted from the break itself, which is the next event.
+        // The period counts from the break itself, which happens at the next event.
         state.grace_periods.push(GracePeriod {
             from: now,
             until: now + RECEIVED_AFTER_BREAK,
@@ -168,7 +173,7 @@
         });
     }
 
-    /// Opens another address and leaves the one before: fronts are told of it by a new configuration.
+    /// Opens a new address; fronts learn it from a new configuration.
     pub fn move_address(&self) -> io::Result<()> {
         let now = self.recorder.now();
         let mut state = locked(&self.state);
@@ -182,7 +187,7 @@
         Ok(())
     }
 
-    /// The addresses before the last one take no new connection from now on.
+    /// Stops accepting connections at all addresses but the newest.
     pub fn close_old_listeners(&self) {
         let now = self.recorder.now();
         let mut state = locked(&self.state);
@@ -193,11 +198,11 @@
         }
     }
 
-    pub fn end(&self) {
+    pub fn stop(&self) {
         locked(&self.state).stopped = true;
     }
 
-    /// False when the trial is over.
+    /// Accepts watches and sends pending events; returns false once stopped.
     fn tick(&self) -> io::Result<bool> {
         let now = self.recorder.now();
         let mut state = locked(&self.state);
@@ -226,7 +231,7 @@
             }
             watch.silent
                 || replaced_at.is_some()
-                || send_events(watch, &self.hosts, events, now).is_ok_and(|goes_on| goes_on)
+                || send_events(watch, &self.hosts, events, now).is_ok_and(|is_open| is_open)
         });
         Ok(!*stopped)
     }
@@ -240,7 +245,7 @@
     Ok(Endpoint { port: listeners[0].local_addr()?.port(), listeners, replaced_at: None })
 }
 
-/// Reads a front's question: the number of the last event that it has.
+/// Reads a front's request and starts the response; returns the number of the last event that the front has.
 fn read_request(mut stream: &TcpStream) -> Option<usize> {
     stream.set_nonblocking(false).ok()?;
     stream.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
@@ -257,7 +262,7 @@
     Some(after)
 }
 
-/// Says what a watch has not been told yet; false where it is broken off.
+/// Sends the events that a watch has not received, and comments; returns false if the watch is cut off.
 fn send_events(watch: &mut Watch, hosts: &Hosts, events: &[String], now: f64) -> io::Result<bool> {
     while watch.events_sent < events.len() {
         let text = format!(
--- a/crates/trials/src/front.rs
+++ b/crates/trials/src/front.rs
@@ -1,4 +1,4 @@
-//! Fronts under trial: real processes, their configuration, signals and restarts.
+//! The fronts under trial: processes, their configuration, signals and restarts.
 
 use crate::record::{locked, Event, FrontId, Recorder};
 use nix::sys::signal::{kill, Signal};
@@ -12,25 +12,32 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The settings of a trial that the checker and the callers need too, seconds.
+/// Settings of the fronts that the rules and the callers also use. Times are seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
+    /// Time in which a request must be answered.
     pub deadline: f64,
+    /// Time to wait after an attempt that may still be running.
     pub guard: f64,
+    /// Timeout of a connection attempt to a server.
     pub dial_timeout: f64,
+    /// Limit of open file descriptors of a process.
     pub max_descriptors: usize,
+    /// Whether the front probes its servers.
     pub probes: bool,
 }
 
-/// SIGKILL comes no sooner than the longest deadline, counted as this at most, and `KILL_MARGIN` after SIGTERM.
+/// SIGKILL comes no sooner after SIGTERM than the deadline, counted as at most this, plus `KILL_MARGIN`;
+/// seconds.
 const MAX_DEADLINE_COUNTED: f64 = 3.0;
 const KILL_MARGIN: f64 = 0.7;
-/// Between two looks at a process.
+/// Interval between two checks of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time that `launch` waits for a process to be ready, seconds.
 const READY_TIMEOUT: f64 = 30.0;
 
 impl Settings {
-    /// The earliest time of SIGKILL after SIGTERM.
+    /// The earliest time of SIGKILL after SIGTERM, seconds.
     pub fn kill_after(&self) -> f64 {
         self.deadline.min(MAX_DEADLINE_COUNTED) + KILL_MARGIN
     }
@@ -51,7 +58,7 @@
     terminated: bool,
 }
 
-/// One front; its process comes and goes.
+/// One front; its process may be ended and launched again.
 pub struct Front {
     pub id: FrontId,
     pub listen: SocketAddr,
@@ -60,7 +67,7 @@
     settings: Settings,
     pools: usize,
     process: Mutex<Process>,
-    /// New connections come to it.
+    /// Callers may open connections to it.
     pub accepts_connections: AtomicBool,
     launches: AtomicU64,
     recorder: Recorder,
@@ -90,7 +97,7 @@
         }))
     }
 
-    /// Writes its configuration: discovery's address and all events so far.
+    /// Writes its configuration with discovery's address and all events so far.
     pub fn configure(&self, discovery: SocketAddr, events: &[String]) -> io::Result<()> {
         let known_events: Vec<Value> = events.iter().filter_map(|e| serde_json::from_str(e).ok()).collect();
         let start = self.launches.load(Ordering::Relaxed);
@@ -103,7 +110,7 @@
         std::fs::rename(new, &self.config)
     }
 
-    /// Starts its process and waits until it passes a test.
+    /// Starts its process and waits until it answers an OPTIONS request.
     pub fn launch(&self) -> io::Result<()> {
         self.launches.fetch_add(1, Ordering::Relaxed);
         let limited =
@@ -147,19 +154,19 @@
 
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &locked(&self.process).child {
-            // Ended already: seen where it is waited for.
+            // Fails only if the process has already ended, which `check_exit` records.
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
-    /// SIGTERM; callers still connect for a moment.
+    /// Sends SIGTERM. Callers may still connect until `accepts_connections` is cleared.
     pub fn terminate(&self) {
         self.recorder.record(Event::Terminated { front: self.id });
         locked(&self.process).terminated = true;
         self.signal(Signal::SIGTERM);
     }
 
-    /// SIGKILL, where it has not ended by itself.
+    /// Ends the process with SIGKILL unless it has already exited.
     pub fn kill(&self) -> io::Result<()> {
         self.accepts_connections.store(false, Ordering::Release);
         self.check_exit()?;
@@ -171,7 +178,7 @@
         Ok(())
     }
 
-    /// The trial is over: its process ends with it, unseen.
+    /// Ends the process at the end of the trial, without recording an event.
     pub fn stop(&self) -> io::Result<()> {
         let Some(mut child) = locked(&self.process).child.take() else { return Ok(()) };
         child.kill()?;
@@ -179,7 +186,7 @@
         Ok(())
     }
 
-    /// Whether its process has ended by itself; seen once.
+    /// Returns whether the process has ended; records an exit once.
     pub fn check_exit(&self) -> io::Result<bool> {
         let mut process = locked(&self.process);
         let ended = match &mut process.child {
@@ -198,7 +205,7 @@
 impl Drop for Front {
     fn drop(&mut self) {
         if let Some(mut child) = locked(&self.process).child.take() {
-            // Ended already: so much the better.
+            // Fails only if the process has already ended.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -1,5 +1,6 @@
-//! Short, dense trials of live fronts: a handful of processes among stand-in servers, a discovery service and callers,
-//! with two or three kinds of trouble at once drawn from one seed, and the operators' terms checked over what was seen.
+//! Short, dense trials of live fronts: a few front processes among stand-in servers, a discovery service and
+//! callers. Each trial injects two or three kinds of fault at once, drawn from one seed, and checks the
+//! operators' acceptance rules over the events that the peers of the fronts recorded.
 
 mod address;
 pub mod bad_clients;
--- a/crates/trials/src/plan.rs
+++ b/crates/trials/src/plan.rs
@@ -1,5 +1,5 @@
-//! What goes wrong in a trial, drawn from its seed: two or three kinds of fault at once, and the behaviour of servers and
-//! callers beside them.
+//! The plan of a trial, drawn from its seed: two or three kinds of fault at once, and the behaviour of
+//! servers and callers.
 
 use crate::callers::CallerBehaviour;
 use crate::front::Settings;
@@ -8,66 +8,44 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// When faults begin and end, seconds from the first request.
+/// Range of time in which faults begin, seconds from the first request.
 const FIRST_FAULT: f64 = 2.0;
 const LAST_FAULT: f64 = 9.0;
 
-/// One thing that goes wrong, at a time.
+/// One fault. Times are seconds; fronts, servers and pools are indices.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// SIGTERM to a front, further signals meanwhile, SIGKILL at the earliest; then it starts again.
-    Restart {
-        front: usize,
-        signals_between: u32,
-    },
-    /// SIGKILL alone.
-    Kill {
-        front: usize,
-    },
-    /// So many servers vanish for good; the list says so so much later.
-    Vanish {
-        first: usize,
-        count: usize,
-        listed_after: f64,
-    },
-    Hang {
-        server: usize,
-        seconds: f64,
-    },
-    Cut {
-        server: usize,
-        seconds: f64,
-    },
-    /// A server's process dies; a new one takes its address after a while.
-    Die {
-        server: usize,
-        replaced_after: f64,
-        listed_after: f64,
-    },
+    /// SIGTERM to a front, further signals, SIGKILL at the earliest time that the platform's grace period
+    /// allows, then a new process.
+    Restart { front: usize, signals_between: u32 },
+    /// SIGKILL without SIGTERM, then a new process.
+    Kill { front: usize },
+    /// `count` servers vanish permanently; discovery reports it `listed_after` later.
+    Vanish { first: usize, count: usize, listed_after: f64 },
+    /// A server accepts connections but sends nothing.
+    Hang { server: usize, seconds: f64 },
+    /// A server is unreachable for some time.
+    Cut { server: usize, seconds: f64 },
+    /// A server's process dies; a new one takes its address `replaced_after` later, and discovery reports the
+    /// change `listed_after` the death.
+    Die { server: usize, replaced_after: f64, listed_after: f64 },
     /// A server drains, ends its calls, leaves, and a new one takes its address.
-    Replace {
-        server: usize,
-    },
-    DiscoveryDown {
-        seconds: f64,
-    },
+    Replace { server: usize },
+    /// Discovery refuses connections and closes the open ones.
+    DiscoveryDown { seconds: f64 },
+    /// Open watches receive nothing more; new ones are served.
     DiscoverySilent,
+    /// The next event on each watch is cut off in the middle.
     DiscoveryBreaks,
-    /// New configurations in quick succession.
-    Reloads {
-        count: u32,
-    },
-    BadClients {
-        count: u32,
-    },
-    /// Connections that say nothing, and a burst of requests.
-    Crowd {
-        connections: usize,
-        rate: f64,
-    },
+    /// New configurations in quick succession, each announced with SIGHUP.
+    Reloads { count: u32 },
+    /// Clients that send malformed or invalid messages.
+    BadClients { count: u32 },
+    /// Idle connections and a burst of requests.
+    Crowd { connections: usize, rate: f64 },
 }
 
-/// A trial's whole script.
+/// Everything that a trial needs to run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub settings: Settings,
@@ -75,11 +53,11 @@
     pub servers: usize,
     pub fault_profile: FaultProfile,
     pub behaviour: CallerBehaviour,
-    /// In order of time.
+    /// Faults and their times, seconds from the first request, in order of time.
     pub faults: Vec<(f64, Fault)>,
 }
 
-/// Kinds of fault that are drawn from.
+/// Kinds of fault from which a plan draws.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum FaultKind {
     Restarts,
@@ -117,7 +95,7 @@
     FaultKind::Writers,
 ];
 
-/// The plan of a seed.
+/// Draws the plan of a seed. The same seed always gives the same plan.
 pub fn plan(seed: u64) -> Plan {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let settings = Settings {
@@ -152,8 +130,8 @@
     let mut kinds = FAULT_KINDS;
     kinds.shuffle(&mut rng);
     let mut drawn: Vec<FaultKind> = kinds.into_iter().take(rng.random_range(2..=3)).collect();
-    // Half of the trials have restarts, whatever else they have: those are what meets all the rest. One front is under
-    // one signal at a time, so kills are left to the other half.
+    // Half of the trials include restarts, because restarts interact with every other kind of fault. Restarts
+    // and kills are never combined: a front is stopped by one of them at a time.
     if seed.is_multiple_of(2) {
         drawn.retain(|kind| ![FaultKind::Restarts, FaultKind::Kills].contains(kind));
         drawn.push(FaultKind::Restarts);
--- a/crates/trials/src/record.rs
+++ b/crates/trials/src/record.rs
@@ -1,4 +1,4 @@
-//! What happened in a trial, as those around the fronts saw it, on one clock.
+//! Events of a trial as observed by servers, callers and the process supervisor, on one clock.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -7,93 +7,54 @@
 pub type FrontId = usize;
 pub type ServerId = usize;
 
-/// One thing that was seen.
+/// One observed event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The last byte of a set-up was written to a front, whose caller waits until then.
-    Requested {
-        call: CallId,
-        front: FrontId,
-        until: f64,
-    },
-    /// A final answer came; `sound` is false for one that says served with something that no server made for it.
-    Answered {
-        call: CallId,
-        status: u16,
-        sound: bool,
-    },
-    /// Its connection ended before a final answer.
-    ConnectionEnded {
-        call: CallId,
-    },
-    /// Its connection ended just as it was written, with nothing else open on it: it may be sent once more.
-    CrossedClose {
-        call: CallId,
-    },
-    /// Its caller cancelled it, or closed its connection.
-    CallerLeft {
-        call: CallId,
-    },
-    /// A caller told a front of a call that stands.
-    HandedOver {
-        call: CallId,
-        front: FrontId,
-    },
-    /// A release came to the caller.
-    ReleasedToCaller {
-        call: CallId,
-    },
-    EndedByCaller {
-        call: CallId,
-    },
-    /// A set-up arrived whole at a server.
-    SetUp {
-        call: CallId,
-        server: ServerId,
-    },
-    /// That attempt ended: by the server's word, by the front's, or with its connection. `unsure`: it may still run.
-    AttemptEnded {
-        call: CallId,
-        server: ServerId,
-        unsure: bool,
-    },
-    /// A call that its server had answered is over there. `released`: its server could write its release.
-    CallOver {
-        call: CallId,
-        released: bool,
-    },
-    /// By now every front counts as told that a server takes nothing new.
-    ToldToLeave {
-        server: ServerId,
-    },
-    Launched {
-        front: FrontId,
-    },
-    Ready {
-        front: FrontId,
-    },
-    /// SIGTERM.
-    Terminated {
-        front: FrontId,
-    },
-    /// SIGKILL.
-    Killed {
-        front: FrontId,
-    },
-    /// It ended by itself; after SIGTERM that is no crash.
-    Exited {
-        front: FrontId,
-    },
-    /// A client that sends what cannot be used had a refusal, an error or a close, or not, by the time it is owed one.
-    BadClient {
-        was_turned_away: bool,
-    },
+    /// The last byte of a set-up was written to a front; its caller waits for an answer until `until`.
+    Requested { call: CallId, front: FrontId, until: f64 },
+    /// A final answer arrived. `sound` is false for a 200 whose description no server made for this call.
+    Answered { call: CallId, status: u16, sound: bool },
+    /// The call's connection ended before a final answer.
+    ConnectionEnded { call: CallId },
+    /// The connection ended just as the set-up was written, with nothing else pending on it: the caller may
+    /// send a set-up once more.
+    CrossedClose { call: CallId },
+    /// The caller cancelled the call or closed its connection.
+    CallerLeft { call: CallId },
+    /// A caller handed an established call over to a front.
+    HandedOver { call: CallId, front: FrontId },
+    /// The caller received a release.
+    ReleasedToCaller { call: CallId },
+    /// The caller sent a BYE.
+    EndedByCaller { call: CallId },
+    /// A server received a complete set-up.
+    SetUp { call: CallId, server: ServerId },
+    /// An attempt ended: by the server's message, by the front's release, or with its connection. `unsure`:
+    /// the front cannot know whether the attempt is still running.
+    AttemptEnded { call: CallId, server: ServerId, unsure: bool },
+    /// An answered call ended at its server. `released`: the server could write the release to a connection.
+    CallOver { call: CallId, released: bool },
+    /// Time by which every front must have received the notice that a server accepts no new set-ups.
+    ToldToLeave { server: ServerId },
+    /// The process was spawned.
+    Launched { front: FrontId },
+    /// The process answered an OPTIONS request.
+    Ready { front: FrontId },
+    /// The process was sent SIGTERM.
+    Terminated { front: FrontId },
+    /// The process was ended with SIGKILL.
+    Killed { front: FrontId },
+    /// The process exited without SIGKILL; this is a crash unless SIGTERM came before.
+    Exited { front: FrontId },
+    /// A client sent a malformed or invalid message. `was_turned_away`: it received a refusal, an error or a
+    /// close in time.
+    BadClient { was_turned_away: bool },
 }
 
-/// An event and when it was seen, seconds since the trial's begin.
+/// An event and the time of its observation, seconds since the recorder was created.
 pub type Entry = (f64, Event);
 
-/// Takes events from all threads of a trial.
+/// Collects events from all threads of a trial.
 #[derive(Clone)]
 pub struct Recorder {
     begin: Instant,
@@ -107,6 +68,7 @@
 }
 
 impl Recorder {
+    /// Seconds since the recorder was created.
     pub fn now(&self) -> f64 {
         self.begin.elapsed().as_secs_f64()
     }
@@ -119,7 +81,7 @@
         locked(&self.entries).push((at, event));
     }
 
-    /// All that was seen, in order of time.
+    /// All events in order of time.
     pub fn sorted(&self) -> Vec<Entry> {
         let mut entries = locked(&self.entries).clone();
         entries.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -127,7 +89,7 @@
     }
 }
 
-/// The value behind a lock; a thread that panicked with it does not matter here.
+/// Locks a mutex, ignoring poisoning by a thread that panicked.
 pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/trials/src/rules.rs
+++ b/crates/trials/src/rules.rs
@@ -1,50 +1,65 @@
-//! The operators' terms, checked over what was seen in a trial and nothing else.
+//! The operators' acceptance rules, checked over the recorded events of a trial and nothing else.
 
 use crate::record::{CallId, Entry, Event, FrontId, ServerId};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// The figures of the limits, seconds. `transit_allowance` is added to each of them for what sockets and a busy machine take.
+/// Limits of the acceptance rules, seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleLimits {
+    /// After an attempt that may still be running, no other attempt of the call starts within this.
     pub guard: f64,
+    /// A drained server may receive set-ups for this long after the fronts were notified.
     pub drain_grace: f64,
-    /// After its time a request may still be answered for so long; it then only earns nothing.
+    /// An answer may come this long after the caller's patience has ended; it then only earns nothing.
     pub answer_slack: f64,
-    /// A call's end is told within this of its server's release.
+    /// The caller is notified of a call's end within this after its server's release.
     pub end_after_release: f64,
-    /// And within this of its end where its server could release nothing.
+    /// The caller is notified within this after the end of a call whose server could not send a release.
     pub end_after_silence: f64,
-    /// A front that was told of a call by its caller has this long at least.
+    /// A front that received a call by hand-over has at least this long to report its end.
     pub end_after_hand_over: f64,
-    /// A request that came later than this after SIGTERM must not be found unanswered by SIGKILL.
+    /// A request that was sent later than this after SIGTERM counts as lost if SIGKILL leaves it unanswered.
     pub accepted_after_signal: f64,
+    /// A launched process answers OPTIONS within this.
     pub ready_within: f64,
-    /// No attempt begins later than this after its caller has gone.
+    /// No attempt starts later than this after its caller has left.
     pub abandon_within: f64,
+    /// Added to the other limits for the time that sockets and a busy machine take.
     pub transit_allowance: f64,
 }
 
-/// The end of a process and the ends of its connections are seen apart by this at most, seconds.
+/// Maximum time between the observed end of a process and the observed ends of its connections, seconds.
 const KILL_DETECTION_DELAY: f64 = 0.05;
 
-/// Which term was report.
+/// The acceptance rule that was broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// A request got no answer in time.
     Lost,
+    /// A request got two final answers.
     SecondAnswer,
+    /// A 200 carried a description that no server made for the call.
     UnsoundAnswer,
+    /// The caller was not notified of the call's end in time.
     EndNotTold,
+    /// A second attempt started while the first one was running.
     TwoAttempts,
+    /// An attempt started within the guard time of one that may still be running.
     SentWithinGuard,
+    /// An attempt started after its caller had left.
     SentAfterCallerLeft,
+    /// A drained server received a set-up after the grace period.
     SentToDrained,
+    /// A process exited without SIGTERM or SIGKILL.
     Crashed,
+    /// A process was not ready in time.
     NotReady,
+    /// A client with a malformed or invalid message was not turned away.
     BadClientServed,
 }
 
-/// One breach: the term, when, and what happened.
+/// One breach of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
     pub rule: Rule,
@@ -58,9 +73,9 @@
     }
 }
 
-/// What is known of one call.
+/// State of one call.
 #[derive(Default)]
-struct Call {
+struct CallState {
     front: Option<FrontId>,
     requested_at: f64,
     until: f64,
@@ -68,32 +83,35 @@
     left_at: Option<f64>,
     connection_ended_at: Option<f64>,
     crossed_close: bool,
-    /// The attempt that is out.
+    /// The server of the running attempt.
     attempt_at: Option<ServerId>,
     next_attempt_at: f64,
     handed_over: Option<(f64, FrontId)>,
-    /// When it was over, and whether its server could say so.
+    /// Time of its end, and whether its server could send the release.
     ended: Option<(f64, bool)>,
     end_reported_at: Option<f64>,
 }
 
-/// What is known of one front's processes.
+/// State of one front's processes.
 #[derive(Default)]
-struct Front {
+struct FrontState {
     launched: Option<f64>,
     is_ready: bool,
     terminated: Option<f64>,
-    /// Ends of its processes: when, when SIGTERM came before, and whether it was SIGKILL.
+    /// Ends of its processes in order of time.
     ends: Vec<ProcessEnd>,
 }
 
+/// End of a process.
 struct ProcessEnd {
     at: f64,
+    /// Time of the SIGTERM that came before.
     terminated: Option<f64>,
+    /// It was ended by SIGKILL.
     killed: bool,
 }
 
-/// All breaches in what was seen until `end`.
+/// Returns all breaches in the events up to `end`, in order of time.
 pub fn breaches(entries: &[Entry], limits: &RuleLimits, end: f64) -> Vec<Breach> {
     let mut checker = Checker {
         limits,
@@ -114,9 +132,9 @@
 struct Checker<'a> {
     limits: &'a RuleLimits,
     end: f64,
-    calls: HashMap<CallId, Call>,
-    fronts: BTreeMap<FrontId, Front>,
-    /// Servers that take nothing new, and since when every front counts as told.
+    calls: HashMap<CallId, CallState>,
+    fronts: BTreeMap<FrontId, FrontState>,
+    /// Servers that accept no new set-ups, and the time by which every front must have been notified.
     drained: HashMap<ServerId, f64>,
     found: Vec<Breach>,
 }
@@ -129,8 +147,8 @@
     fn observe(&mut self, at: f64, event: &Event) {
         match *event {
             Event::Requested { call, front, until } => {
-                let known = self.calls.entry(call).or_default();
-                (known.front, known.requested_at, known.until) = (Some(front), at, until);
+                let state = self.calls.entry(call).or_default();
+                (state.front, state.requested_at, state.until) = (Some(front), at, until);
             }
             Event::Answered { call, status, sound } => self.observe_answer(at, call, status, sound),
             Event::ConnectionEnded { call } => {
@@ -149,10 +167,10 @@
             Event::SetUp { call, server } => self.observe_setup(at, call, server),
             Event::AttemptEnded { call, server, unsure } => {
                 let guard = if unsure { self.limits.guard } else { 0.0 };
-                let known = self.calls.entry(call).or_default();
-                if known.attempt_at == Some(server) {
-                    known.attempt_at = None;
-                    known.next_attempt_at = at + guard;
+                let state = self.calls.entry(call).or_default();
+                if state.attempt_at == Some(server) {
+                    state.attempt_at = None;
+                    state.next_attempt_at = at + guard;
                 }
             }
             Event::CallOver { call, released } => {
@@ -166,7 +184,7 @@
                     self.report(
                         Rule::BadClientServed,
                         at,
-                        "a bad client got no refusal, error or close".into(),
+                        "an invalid client message got no refusal, error or close".into(),
                     );
                 }
             }
@@ -181,10 +199,10 @@
     }
 
     fn observe_answer(&mut self, at: f64, call: CallId, status: u16, sound: bool) {
-        let known = self.calls.entry(call).or_default();
-        let before = known.answered;
-        known.answered.get_or_insert((at, status));
-        let crossed_cancel = known.left_at.is_some();
+        let state = self.calls.entry(call).or_default();
+        let before = state.answered;
+        state.answered.get_or_insert((at, status));
+        let crossed_cancel = state.left_at.is_some();
         if let Some((first, _)) = before.filter(|_| !crossed_cancel) {
             self.report(Rule::SecondAnswer, at, format!("{call:016x} got {status}, answered at {first:.3}"));
         }
@@ -192,36 +210,47 @@
             self.report(
                 Rule::UnsoundAnswer,
                 at,
-                format!("{call:016x} is served with what no server made for it"),
+                format!("{call:016x} got a 200 whose description no server made for it"),
             );
         }
     }
 
     fn observe_setup(&mut self, at: f64, call: CallId, server: ServerId) {
         let RuleLimits { transit_allowance, abandon_within, drain_grace, .. } = *self.limits;
-        let known = self.calls.entry(call).or_default();
-        let (left_at, next_attempt_at) = (known.left_at, known.next_attempt_at);
-        let out = known.attempt_at.replace(server);
-        if let Some(out) = out {
-            self.report(Rule::TwoAttempts, at, format!("{call:016x} at server {server} while out at {out}"));
+        let state = self.calls.entry(call).or_default();
+        let (left_at, next_attempt_at) = (state.left_at, state.next_attempt_at);
+        let previous = state.attempt_at.replace(server);
+        if let Some(previous) = previous {
+            self.report(
+                Rule::TwoAttempts,
+                at,
+                format!("{call:016x} at server {server} while an attempt runs at {previous}"),
+            );
         }
         if at < next_attempt_at - transit_allowance {
             self.report(
                 Rule::SentWithinGuard,
                 at,
-                format!("{call:016x} at server {server}, free at {next_attempt_at:.3}"),
+                format!("{call:016x} at server {server}, allowed from {next_attempt_at:.3}"),
             );
         }
         if let Some(left) = left_at.filter(|left| at > left + abandon_within + transit_allowance) {
-            self.report(Rule::SentAfterCallerLeft, at, format!("{call:016x}, {:.3} s after", at - left));
+            self.report(
+                Rule::SentAfterCallerLeft,
+                at,
+                format!("{call:016x}, {:.3} s after its caller left", at - left),
+            );
         }
-        if let Some(told) =
-            self.drained.get(&server).copied().filter(|told| at > told + drain_grace + transit_allowance)
+        if let Some(notified) = self
+            .drained
+            .get(&server)
+            .copied()
+            .filter(|notified| at > notified + drain_grace + transit_allowance)
         {
             self.report(
                 Rule::SentToDrained,
                 at,
-                format!("{call:016x} at server {server}, told at {told:.3}"),
+                format!("{call:016x} at server {server}, drain notice due at {notified:.3}"),
             );
         }
     }
@@ -232,45 +261,45 @@
             Event::Killed { front } | Event::Exited { front } => front,
             _ => return,
         };
-        let known = self.fronts.entry(front).or_default();
+        let state = self.fronts.entry(front).or_default();
         match event {
             Event::Launched { .. } => {
-                (known.launched, known.is_ready, known.terminated) = (Some(at), false, None)
+                (state.launched, state.is_ready, state.terminated) = (Some(at), false, None)
             }
             Event::Ready { .. } => {
-                known.is_ready = true;
-                let took = known.launched.map_or(0.0, |launched| at - launched);
+                state.is_ready = true;
+                let took = state.launched.map_or(0.0, |launched| at - launched);
                 if took > self.limits.ready_within {
-                    self.report(Rule::NotReady, at, format!("front {front} took {took:.3} s"));
+                    self.report(Rule::NotReady, at, format!("front {front} became ready after {took:.3} s"));
                 }
             }
             Event::Terminated { .. } => {
-                known.terminated.get_or_insert(at);
+                state.terminated.get_or_insert(at);
             }
             Event::Killed { .. } => {
-                let terminated = known.terminated;
-                known.ends.push(ProcessEnd { at, terminated, killed: true });
+                let terminated = state.terminated;
+                state.ends.push(ProcessEnd { at, terminated, killed: true });
             }
             _ => {
-                let terminated = known.terminated;
-                known.ends.push(ProcessEnd { at, terminated, killed: false });
+                let terminated = state.terminated;
+                state.ends.push(ProcessEnd { at, terminated, killed: false });
                 if terminated.is_none() {
-                    self.report(Rule::Crashed, at, format!("front {front} ended by itself"));
+                    self.report(Rule::Crashed, at, format!("front {front} exited without a signal"));
                 }
             }
         }
     }
 
-    /// The first end of that front's process after that time.
+    /// The first end of a process of that front at or after that time.
     fn end_after(&self, front: FrontId, at: f64) -> Option<&ProcessEnd> {
         self.fronts.get(&front)?.ends.iter().find(|end| end.at >= at)
     }
 
     fn finish(&mut self) {
         let mut found = Vec::new();
-        for (call, known) in &self.calls {
-            found.extend(self.check_lost(*call, known));
-            found.extend(self.check_end_reported(*call, known));
+        for (call, state) in &self.calls {
+            found.extend(self.check_lost(*call, state));
+            found.extend(self.check_end_reported(*call, state));
         }
         self.found.extend(found);
         let unready: Vec<FrontId> = self
@@ -282,61 +311,62 @@
             .map(|(front, _)| *front)
             .collect();
         for front in unready {
-            self.report(Rule::NotReady, self.end, format!("front {front} never was"));
+            self.report(Rule::NotReady, self.end, format!("front {front} did not become ready"));
         }
     }
 
-    fn check_lost(&self, call: CallId, known: &Call) -> Option<Breach> {
-        let front = known.front?;
-        let due = known.until + self.limits.answer_slack + self.limits.transit_allowance;
-        let in_time = known.answered.is_some_and(|(at, _)| at <= due);
-        let ended = self.end_after(front, known.requested_at).filter(|end| end.at <= due);
-        // SIGKILL is no close by the front.
+    fn check_lost(&self, call: CallId, state: &CallState) -> Option<Breach> {
+        let front = state.front?;
+        let due = state.until + self.limits.answer_slack + self.limits.transit_allowance;
+        let in_time = state.answered.is_some_and(|(at, _)| at <= due);
+        let ended = self.end_after(front, state.requested_at).filter(|end| end.at <= due);
+        // A connection that ended with SIGKILL was not closed by the front, so it is no crossed close.
         let killed_under_it = ended.is_some_and(|end| {
-            end.killed && known.connection_ended_at.is_some_and(|at| at >= end.at - KILL_DETECTION_DELAY)
+            end.killed && state.connection_ended_at.is_some_and(|at| at >= end.at - KILL_DETECTION_DELAY)
         });
-        if in_time || known.crossed_close && !killed_under_it || known.left_at.is_some() {
+        if in_time || state.crossed_close && !killed_under_it || state.left_at.is_some() {
             return None;
         }
         let excused = ended.is_some_and(|end| match end.terminated {
-            // Killed outright: what was in hand is gone.
+            // SIGKILL without SIGTERM: pending requests are lost with the process.
             None => end.killed,
-            Some(signal) => end.killed && known.requested_at <= signal + self.limits.accepted_after_signal,
+            Some(signal) => end.killed && state.requested_at <= signal + self.limits.accepted_after_signal,
         });
         if excused || due > self.end {
             return None;
         }
-        let how = match (known.answered, known.connection_ended_at) {
-            (Some((at, status)), _) => format!("answered {status}, {:.3} s too late", at - known.until),
+        let how = match (state.answered, state.connection_ended_at) {
+            (Some((at, status)), _) => format!("answered {status}, {:.3} s too late", at - state.until),
             (None, Some(at)) => {
-                format!("its connection ended {:.3} s after it came", at - known.requested_at)
+                format!("its connection ended {:.3} s after the request", at - state.requested_at)
             }
             (None, None) => "no answer".to_string(),
         };
-        let what = format!("{call:016x} at front {front}, came at {:.3}: {how}", known.requested_at);
-        Some(Breach { rule: Rule::Lost, at: known.requested_at, what })
+        let what = format!("{call:016x} at front {front}, requested at {:.3}: {how}", state.requested_at);
+        Some(Breach { rule: Rule::Lost, at: state.requested_at, what })
     }
 
-    fn check_end_reported(&self, call: CallId, known: &Call) -> Option<Breach> {
-        let (ended_at, released) = known.ended?;
-        let (served_at, _) = known.answered.filter(|(_, status)| *status == 200)?;
+    fn check_end_reported(&self, call: CallId, state: &CallState) -> Option<Breach> {
+        let (ended_at, released) = state.ended?;
+        let (served_at, _) = state.answered.filter(|(_, status)| *status == 200)?;
         let limit = if released { self.limits.end_after_release } else { self.limits.end_after_silence };
         let mut due = ended_at.max(served_at) + limit;
-        let mut front = known.front?;
-        if let Some((at, to)) = known.handed_over {
+        let mut front = state.front?;
+        if let Some((at, to)) = state.handed_over {
             front = to;
             due = due.max(at + self.limits.end_after_hand_over);
         }
         due += self.limits.transit_allowance;
-        let since = known.handed_over.map_or(served_at, |(at, _)| at);
+        let since = state.handed_over.map_or(served_at, |(at, _)| at);
         let front_ended = self.end_after(front, since).is_some_and(|end| end.at <= due);
-        if known.end_reported_at.is_some_and(|at| at <= due) || front_ended || due > self.end {
+        if state.end_reported_at.is_some_and(|at| at <= due) || front_ended || due > self.end {
             return None;
         }
-        let told =
-            known.end_reported_at.map_or("never".to_string(), |at| format!("{:.3} s after", at - ended_at));
-        let by = if released { "released" } else { "ended without a word" };
-        let what = format!("{call:016x} at front {front}, {by} at {ended_at:.3}, told {told}");
+        let notified =
+            state.end_reported_at.map_or("never".to_string(), |at| format!("{:.3} s after", at - ended_at));
+        let how = if released { "released" } else { "ended without a release" };
+        let what =
+            format!("{call:016x} at front {front}, {how} at {ended_at:.3}, caller notified {notified}");
         Some(Breach { rule: Rule::EndNotTold, at: ended_at, what })
     }
 }
--- a/crates/trials/src/server.rs
+++ b/crates/trials/src/server.rs
@@ -1,5 +1,5 @@
-//! A signalling server with faults: it answers set-ups, holds calls and ends them, and it hangs, vanishes, dies, spoils
-//! or loses answers, or resets connections when the plan or its dice say so.
+//! A stand-in signalling server with faults. It answers set-ups, holds calls and ends them; as the plan or
+//! its random numbers require, it hangs, vanishes, dies, malforms or loses answers, or resets connections.
 
 use crate::address::Hosts;
 use crate::record::{locked, CallId, Event, FrontId, Recorder, ServerId};
@@ -13,37 +13,43 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between two looks at what is due.
+/// Interval between two checks for due actions.
 const TICK: Duration = Duration::from_millis(3);
-/// It says its state unasked on each connection so often, seconds.
+/// Interval between unrequested state messages on each connection, seconds.
 const STATE_INTERVAL: f64 = 0.5;
+/// Q.850 causes of releases: normal clearing, no circuit available, temporary failure.
 const CAUSE_CLEARED: u16 = 16;
 const CAUSE_FULL: u16 = 34;
 const CAUSE_CUT: u16 = 41;
 
-/// How often a server does what it should not, each of a hundred set-ups.
+/// Fault profile of a server. Percentages are of set-ups; at most one of these faults applies to a set-up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultProfile {
+    /// Released as full.
     pub full_percent: u32,
+    /// Released with a temporary failure; the attempt may still be running.
     pub cut_percent: u32,
+    /// Never answered.
     pub lost_percent: u32,
+    /// Answered with a line that is not valid JSON.
     pub malformed_percent: u32,
+    /// Answered twice.
     pub duplicate_percent: u32,
-    /// The connection is reset under the set-up.
+    /// The connection is reset instead of an answer.
     pub reset_percent: u32,
-    /// Longest time until an answer, seconds.
+    /// Maximum time until an answer, seconds.
     pub max_answer_delay: f64,
-    /// Longest time until the first word on a new connection, seconds.
+    /// Maximum time until the first message on a new connection, seconds.
     pub max_first_message_delay: f64,
-    /// Connections on which nothing was said for so long are closed; 0: none.
+    /// Connections on which nothing was received for so long are closed, seconds; 0: none.
     pub idle_timeout: f64,
-    /// It says its state unasked.
+    /// Sends its state at intervals without being asked, not only once per connection.
     pub sends_state: bool,
-    /// Longest time that a call stands, seconds.
+    /// Maximum time that a call stays established, seconds.
     pub max_call_duration: f64,
 }
 
-/// What becomes of a set-up.
+/// How the server reacts to a set-up.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AttemptOutcome {
     Answer,
@@ -66,16 +72,16 @@
     connection: usize,
     front: FrontId,
     ends_at: f64,
-    /// Its end has come while nobody could be told.
+    /// It ended while the server could send no release.
     has_ended: bool,
 }
 
 struct Connection {
     stream: TcpStream,
     front: FrontId,
-    /// When it says its state next.
+    /// Time of the next state message.
     next_state_at: f64,
-    /// It has said its first word there.
+    /// The first message was sent on this connection.
     first_message_sent: bool,
     last_used_at: f64,
 }
@@ -86,8 +92,9 @@
     next_connection: usize,
     attempts: Vec<Attempt>,
     established: HashMap<CallId, EstablishedCall>,
-    /// Releases that go out on the next connection that is made as well.
+    /// Releases that are sent again on the next new connection of their front.
     releases_to_repeat: Vec<(FrontId, CallId)>,
+    /// The server has ended and does not come back.
     dead: bool,
 }
 
@@ -100,7 +107,7 @@
     rng: Mutex<ChaCha8Rng>,
 }
 
-/// One server; it lives until its trial ends.
+/// One server; it runs until it dies or its trial ends.
 #[derive(Clone)]
 pub struct Server {
     pub port: u16,
@@ -108,7 +115,7 @@
 }
 
 impl Server {
-    /// One that listens on that port for each front, or on any that is free.
+    /// Starts a server with a listener for each front on the given port, or on any free one.
     pub fn start(
         id: ServerId,
         hosts: &Hosts,
@@ -137,21 +144,21 @@
         Ok(Server { port, shared })
     }
 
-    /// Hangs, vanishes or serves again. What stands goes on established.
+    /// Hangs, vanishes or serves again. Established calls stay established.
     pub fn set_presence(&self, presence: Presence) -> io::Result<()> {
         if self.is_dead() {
             return Ok(());
         }
         self.shared.presence.set(presence)?;
         if presence == Presence::Vanished {
-            // What a front says of them does not arrive any more.
+            // Releases from the fronts no longer arrive, so the attempts may still be running.
             let state = locked(&self.shared.state);
             state.attempts.iter().for_each(|a| self.shared.attempt_ended(a.call, true));
         }
         Ok(())
     }
 
-    /// Its machine is gone for good: what stood on it is over, and nobody says so.
+    /// The machine is lost permanently: its calls and attempts end without a release.
     pub fn vanish_for_good(&self) -> io::Result<()> {
         if self.is_dead() {
             return Ok(());
@@ -161,7 +168,7 @@
         Ok(())
     }
 
-    /// Its process dies: its connections are reset, new ones refused.
+    /// The process dies: open connections are reset, new ones refused.
     pub fn die(&self) -> io::Result<()> {
         let mut state = locked(&self.shared.state);
         if std::mem::replace(&mut state.dead, true) {
@@ -176,13 +183,12 @@
         Ok(())
     }
 
-    /// Ends its calls in order, each with a release: it is about to leave.
+    /// Ends all calls, each with a release, before the server leaves.
     pub fn end_calls(&self) {
         let now = self.shared.recorder.now();
         locked(&self.shared.state).established.values_mut().for_each(|call| call.ends_at = now);
     }
 
-    /// It serves no more, nor ever will.
     fn is_dead(&self) -> bool {
         locked(&self.shared.state).dead
     }
@@ -200,7 +206,7 @@
 }
 
 fn reset(stream: &TcpStream) {
-    // Ended already: so much the better.
+    // Fails only if the connection has already ended.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
@@ -209,21 +215,21 @@
     stream.write_all(format!("{line}\n").as_bytes()).is_ok()
 }
 
-fn name(call: CallId) -> String {
+fn call_id(call: CallId) -> String {
     format!("{call:016x}")
 }
 
-/// How the list names a server.
+/// Name of a server in the members list.
 pub fn server_name(id: ServerId) -> String {
     format!("s-{id}")
 }
 
-/// The description that a server gives a call: its caller can tell that it was made for it, and by whom.
+/// Session description in an answer. It names the call and the server, so that the caller can check both.
 fn description(call: CallId, server: ServerId) -> String {
     format!("77aa{call:016x} {}", server_name(server))
 }
 
-/// The server that made a description for that call; none where no server did.
+/// Returns the id of the server that made the description for this call; `None` if no server did.
 pub fn server_in_description(call: CallId, description: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(description).ok()?;
     let server = text.strip_prefix(&format!("77aa{call:016x} "))?;
@@ -232,22 +238,22 @@
 }
 
 fn release(call: CallId, cause: u16) -> Value {
-    json!({"type": "release", "id": name(call), "fields": {}, "cause": cause})
+    json!({"type": "release", "id": call_id(call), "fields": {}, "cause": cause})
 }
 
 fn state_line() -> Value {
     json!({"type": "state", "id": "", "fields": {"load": "x0:40;x1:40;latency_ms:1"}})
 }
 
-/// Ends when the server dies.
+/// Accepts connections of one front until the server dies.
 fn accept(shared: &Arc<Shared>, front: FrontId) {
     while let Ok(stream) = shared.presence.accept(front) {
         let _ = stream.set_nodelay(true);
         let _ = stream.set_write_timeout(Some(Duration::from_secs(1)));
         let Ok(reading) = stream.try_clone() else { continue };
         let now = shared.recorder.now();
-        let latest = shared.fault_profile.max_first_message_delay;
-        let late = if latest > 0.0 { locked(&shared.rng).random_range(0.0..latest) } else { 0.0 };
+        let max_delay = shared.fault_profile.max_first_message_delay;
+        let delay = if max_delay > 0.0 { locked(&shared.rng).random_range(0.0..max_delay) } else { 0.0 };
         let mut state = locked(&shared.state);
         if state.dead {
             return reset(&stream);
@@ -259,7 +265,7 @@
             Connection {
                 stream,
                 front,
-                next_state_at: now + late,
+                next_state_at: now + delay,
                 first_message_sent: false,
                 last_used_at: now,
             },
@@ -270,7 +276,7 @@
     }
 }
 
-/// Does what is due until the server is dead.
+/// Carries out due actions until the server is dead.
 fn tick(shared: &Arc<Shared>) {
     loop {
         std::thread::sleep(TICK);
@@ -297,7 +303,7 @@
     fn read(&self, connection: usize, stream: TcpStream) {
         for line in BufReader::new(stream).lines() {
             let Ok(line) = line else { break };
-            // Nothing reaches a machine that is not there.
+            // Nothing reaches a machine that has vanished.
             if self.presence.get() == Presence::Vanished {
                 continue;
             }
@@ -334,7 +340,7 @@
                 }
                 state.established.remove(&call);
             }
-            // One that hangs answers nothing now; the question is lost with that time.
+            // A hanging server drops pings; they are not answered later.
             "ping" if self.presence.get() == Presence::Serving => {
                 let fields = json!({"load": "x0:40;x1:40;latency_ms:1"});
                 let pong = json!({"type": "pong", "id": id, "fields": fields, "cause": 1});
@@ -359,11 +365,11 @@
             (fault_profile.duplicate_percent, AttemptOutcome::AnswerTwice),
             (fault_profile.reset_percent, AttemptOutcome::Reset),
         ];
-        for (share, outcome) in shares {
-            if roll < share {
+        for (percent, outcome) in shares {
+            if roll < percent {
                 return (outcome, answer_at);
             }
-            roll -= share;
+            roll -= percent;
         }
         (AttemptOutcome::Answer, answer_at)
     }
@@ -375,7 +381,7 @@
             connection.next_state_at =
                 if self.fault_profile.sends_state { now + STATE_INTERVAL } else { f64::INFINITY };
             if !std::mem::replace(&mut connection.first_message_sent, true) {
-                // What that front may not have heard on an older connection.
+                // Releases that the front may have missed on an earlier connection.
                 let own = releases_to_repeat.extract_if(.., |(front, _)| *front == connection.front);
                 for (_, call) in own.collect::<Vec<_>>() {
                     write_line(&connection.stream, &release(call, CAUSE_CLEARED));
@@ -390,15 +396,14 @@
         state.attempts = left;
         for mut attempt in due {
             if attempt.outcome == AttemptOutcome::Lost {
-                // Still out, until the front gives it up.
+                // Keeps running until the front gives it up.
                 attempt.answer_at = f64::INFINITY;
                 state.attempts.push(attempt);
                 continue;
             }
             let Some(connection) = state.connections.get(&attempt.connection) else { continue };
             let (stream, call) = (&connection.stream, attempt.call);
-            let answer =
-                json!({"type": "answer", "id": name(call), "fields": {}, "sdp": description(call, self.id)});
+            let answer = json!({"type": "answer", "id": call_id(call), "fields": {}, "sdp": description(call, self.id)});
             match attempt.outcome {
                 AttemptOutcome::Answer | AttemptOutcome::AnswerTwice => {
                     self.attempt_ended(call, false);
@@ -406,8 +411,8 @@
                     if attempt.outcome == AttemptOutcome::AnswerTwice {
                         write_line(stream, &answer);
                     }
-                    let longest = self.fault_profile.max_call_duration.max(0.2);
-                    let ends_at = now + locked(&self.rng).random_range(0.1..longest);
+                    let max_duration = self.fault_profile.max_call_duration.max(0.2);
+                    let ends_at = now + locked(&self.rng).random_range(0.1..max_duration);
                     let (connection, front) = (attempt.connection, connection.front);
                     state
                         .established
@@ -435,24 +440,25 @@
     }
 
     fn close_idle(&self, now: f64, state: &mut State) {
-        let after = self.fault_profile.idle_timeout;
-        if after <= 0.0 {
+        let idle_timeout = self.fault_profile.idle_timeout;
+        if idle_timeout <= 0.0 {
             return;
         }
-        for connection in state.connections.values().filter(|c| now - c.last_used_at > after) {
+        for connection in state.connections.values().filter(|c| now - c.last_used_at > idle_timeout) {
             let _ = connection.stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// Ends the calls whose time is up. One that does not serve cannot say so; it does when it serves again.
+    /// Ends the calls whose time has come. A server that hangs or has vanished sends their releases when it
+    /// serves again.
     fn end_calls(&self, now: f64, state: &mut State) {
-        let serves = self.presence.get() == Presence::Serving;
-        let over: Vec<CallId> =
+        let is_serving = self.presence.get() == Presence::Serving;
+        let ended: Vec<CallId> =
             state.established.iter().filter(|s| s.1.ends_at <= now).map(|s| *s.0).collect();
-        for call in over {
+        for call in ended {
             let Some(established) = state.established.get_mut(&call) else { continue };
             let had_ended = std::mem::replace(&mut established.has_ended, true);
-            if !serves {
+            if !is_serving {
                 if !had_ended {
                     self.recorder.record(Event::CallOver { call, released: false });
                 }
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -1,4 +1,4 @@
-//! One trial from its plan to its outcome.
+//! Runs one trial from its plan to its outcome.
 
 use crate::address::{placeholder_address, Hosts};
 use crate::bad_clients;
@@ -21,27 +21,32 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Requests come for so long, seconds.
+/// Time during which callers send set-ups, seconds.
 const REQUEST_SECONDS: f64 = 12.0;
-/// And what they left has so long to come to its end.
+/// Maximum time from the first set-up until faults and calls must have ended, seconds.
 const MAX_TRIAL_SECONDS: f64 = 22.0;
-/// New connections come for so long after SIGTERM, seconds.
+/// Time after SIGTERM during which callers still open connections, seconds.
 const CONNECTS_AFTER_SIGTERM: f64 = 0.3;
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Time from the word that a server drains to its end, and from there to its successor, seconds.
+/// Phases of a replacement, seconds: from the drain notice to the release of the calls, from there to the end
+/// of the process, and from there to its successor.
 const DRAIN_SECONDS: f64 = 0.8;
 const RELEASE_SECONDS: f64 = 0.3;
 const REPLACEMENT_DELAY: f64 = 0.4;
-/// A front gets no SIGHUP so soon after it was ready, seconds.
+/// A front gets no SIGHUP within this time after it was ready, seconds.
 const MIN_UPTIME_BEFORE_RELOAD: f64 = 1.1;
 
-/// What a trial came to.
+/// Result of a trial.
 pub struct Outcome {
+    /// All recorded events in order of time.
     pub entries: Vec<Entry>,
+    /// End of the trial, seconds on the recorder's clock.
     pub end: f64,
+    /// Set-ups that callers began to send.
     pub asked: u64,
+    /// Set-ups answered with 200.
     pub served: u64,
-    /// The fronts' logs.
+    /// Paths of the fronts' logs.
     pub logs: Vec<PathBuf>,
     /// Troubles that the machine could not play.
     pub failed_faults: Vec<String>,
@@ -51,20 +56,21 @@
     plan: Plan,
     recorder: Recorder,
     fronts: Vec<Arc<Front>>,
-    /// The server in each pool.
+    /// The current server of each pool.
     servers: Mutex<Vec<(ServerId, Server)>>,
     next_server: AtomicU64,
     discovery: Discovery,
     hosts: Hosts,
     callers: Arc<Callers>,
-    /// Servers that the list said take nothing new, and when it did.
+    /// Servers that discovery reported as draining or removed, and when.
     withdrawn: Mutex<Vec<(ServerId, f64)>>,
     ready_at: Mutex<Vec<f64>>,
     failed_faults: Mutex<Vec<String>>,
     seed: u64,
 }
 
-/// Plays the plan of a seed with fronts of that binary; files go into the folder.
+/// Runs a plan with fronts of that binary; their configurations and logs go into the folder. The seed also
+/// seeds servers and callers.
 pub fn run(binary: &Path, folder: &Path, seed: u64, plan: Plan) -> io::Result<Outcome> {
     let recorder = Recorder::default();
     let hosts = Hosts::for_trial(seed, plan.fronts);
@@ -130,8 +136,8 @@
         }
         self.wait_until(self.recorder.now() + self.plan.settings.deadline + 0.8)?;
         let end = self.recorder.now();
-        self.callers.end();
-        self.discovery.end();
+        self.callers.stop();
+        self.discovery.stop();
         for (server, at) in locked(&self.withdrawn).iter() {
             self.recorder.record_at(self.discovery.received_by(*at), Event::ToldToLeave { server: *server });
         }
@@ -139,7 +145,7 @@
         for (_, server) in locked(&self.servers).iter() {
             server.die()?;
         }
-        // Threads of callers may hold them for longer than this.
+        // Caller threads may hold references to the fronts beyond this point, so `Drop` is not enough.
         self.fronts.iter().try_for_each(|front| front.stop())?;
         Ok(Outcome {
             entries,
@@ -151,7 +157,7 @@
         })
     }
 
-    /// Waits, and notices fronts that end by themselves meanwhile.
+    /// Waits and records fronts that exit meanwhile.
     fn wait_until(&self, at: f64) -> io::Result<()> {
         while self.recorder.now() < at {
             for front in &self.fronts {
@@ -217,13 +223,13 @@
         locked(&self.servers)[pool].clone()
     }
 
-    /// Starts a new server in a pool, at that address.
+    /// Starts a new server in a pool, at the given port if it is free.
     fn start_successor(&self, pool: usize, at: Option<u16>) -> io::Result<(ServerId, u16)> {
         let id = self.next_server.fetch_add(1, Ordering::Relaxed) as ServerId;
         let seed = self.seed ^ (id as u64) << 8;
         let start = |at| Server::start(id, &self.hosts, at, self.plan.fault_profile, seed, &self.recorder);
         let server = match start(at) {
-            // Its predecessor has vanished and left its address taken: two faults met.
+            // The predecessor has vanished and still holds its address: two faults coincided.
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => start(None)?,
             started => started?,
         };
@@ -236,7 +242,7 @@
         self.discovery.publish_members(members);
     }
 
-    /// The list says that a server drains or is gone.
+    /// Publishes that a server is draining or removed.
     fn withdraw(&self, id: ServerId, port: u16, pool: usize, phase: &str) {
         locked(&self.withdrawn).push((id, self.recorder.now()));
         self.publish(&[member(id, pool, port, phase, 0)]);
@@ -318,7 +324,7 @@
     fn reload(&self, count: u32) -> io::Result<()> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x4e1d);
         for _ in 0..count {
-            // Not in a front's first second, and not to one that is about to end.
+            // Skipped in a front's first second and while one is about to end.
             let now = self.recorder.now();
             let settled = locked(&self.ready_at).iter().all(|at| now - at > MIN_UPTIME_BEFORE_RELOAD);
             let accept = self.fronts.iter().all(|f| f.accepts_connections.load(Ordering::Acquire));
--- a/crates/trials/tests/rules.rs
+++ b/crates/trials/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each term: kept on a sound record, found broken on a planted fault.
+//! Each acceptance rule: not reported on a valid record, reported when the record has a breach added.
 
 use shalespindle_trials::record::{Entry, Event};
 use shalespindle_trials::rules::{breaches, Rule, RuleLimits};
@@ -17,8 +17,8 @@
 };
 const END: f64 = 60.0;
 
-/// One call from its request to its end, told in time.
-fn sound() -> Vec<Entry> {
+/// A valid record: one call from its request to its end, whose caller is notified in time.
+fn valid_record() -> Vec<Entry> {
     vec![
         (0.0, Event::Launched { front: 0 }),
         (0.1, Event::Ready { front: 0 }),
@@ -40,25 +40,25 @@
     breaches(&entries, &LIMITS, END).into_iter().map(|b| b.rule).collect()
 }
 
-/// The sound record with one event more.
+/// Checks the valid record with one more event.
 fn with(at: f64, event: Event) -> Vec<Rule> {
-    let mut entries = sound();
+    let mut entries = valid_record();
     entries.push((at, event));
     rules(&entries)
 }
 
-/// The sound record with the events that match moved or taken away.
+/// Checks the valid record with some events changed or removed.
 fn changed(change: impl Fn(Entry) -> Option<Entry>) -> Vec<Rule> {
-    rules(&sound().into_iter().filter_map(change).collect::<Vec<_>>())
+    rules(&valid_record().into_iter().filter_map(change).collect::<Vec<_>>())
 }
 
 #[test]
-fn a_sound_record_breaks_nothing() {
-    assert_eq!(rules(&sound()), []);
+fn a_valid_record_has_no_breaches() {
+    assert_eq!(rules(&valid_record()), []);
 }
 
 #[test]
-fn each_planted_fault_is_found() {
+fn each_breach_is_reported() {
     let without = |unwanted: fn(&Event) -> bool| changed(move |e| Some(e).filter(|e| !unwanted(&e.1)));
     let lost = without(|e| matches!(e, Event::Answered { .. }));
     assert_eq!(lost, [Rule::Lost]);
@@ -82,22 +82,22 @@
 }
 
 #[test]
-fn the_time_for_a_calls_end_depends_on_whether_its_server_could_say_so() {
-    let told = |after: f64, released: bool| {
+fn the_limit_for_reporting_an_end_depends_on_whether_the_server_sent_a_release() {
+    let notified = |after: f64, released: bool| {
         changed(move |(at, event)| match event {
             Event::CallOver { call, .. } => Some((at, Event::CallOver { call, released })),
             Event::ReleasedToCaller { .. } => Some((5.0 + after, event)),
             other => Some((at, other)),
         })
     };
-    assert_eq!(told(1.1, true), []);
-    assert_eq!(told(1.2, true), [Rule::EndNotTold]);
-    assert_eq!(told(8.1, false), []);
-    assert_eq!(told(8.2, false), [Rule::EndNotTold]);
+    assert_eq!(notified(1.1, true), []);
+    assert_eq!(notified(1.2, true), [Rule::EndNotTold]);
+    assert_eq!(notified(8.1, false), []);
+    assert_eq!(notified(8.2, false), [Rule::EndNotTold]);
 }
 
 #[test]
-fn what_is_unanswered_at_a_fronts_end_is_lost_or_not_by_how_it_ended() {
+fn an_unanswered_request_counts_as_lost_depending_on_how_the_front_ended() {
     let unanswered = |events: &[(f64, Event)]| {
         let mut entries = vec![(2.0, Event::Requested { call: 9, front: 0, until: 4.0 })];
         entries.extend(events.iter().cloned());
@@ -107,14 +107,14 @@
     };
     let signal = |at: f64| (at, Event::Terminated { front: 0 });
     let killed = (3.0, Event::Killed { front: 0 });
-    assert_eq!(unanswered(std::slice::from_ref(&killed)), [], "killed outright");
-    assert_eq!(unanswered(&[signal(1.5), killed.clone()]), [], "came 0.5 s after SIGTERM");
-    assert_eq!(unanswered(&[signal(1.2), killed]), [Rule::Lost], "came 0.8 s after SIGTERM");
+    assert_eq!(unanswered(std::slice::from_ref(&killed)), [], "SIGKILL without SIGTERM");
+    assert_eq!(unanswered(&[signal(1.5), killed.clone()]), [], "requested 0.5 s after SIGTERM");
+    assert_eq!(unanswered(&[signal(1.2), killed]), [Rule::Lost], "requested 0.8 s after SIGTERM");
     assert_eq!(
         unanswered(&[signal(1.5), (3.0, Event::Exited { front: 0 })]),
         [Rule::Lost],
-        "it ended by itself"
+        "exited without SIGKILL"
     );
     let crossed = [(2.01, Event::ConnectionEnded { call: 9 }), (2.01, Event::CrossedClose { call: 9 })];
-    assert_eq!(unanswered(&crossed), [], "it crossed a close");
+    assert_eq!(unanswered(&crossed), [], "the request crossed a close of its connection");
 }
