--- a/crates/cli/tests/dense_trials.rs
+++ b/crates/cli/tests/dense_trials.rs
@@ -13,7 +13,7 @@
 const CI_SEEDS: &str = "1-6";
 const CI_JOBS: usize = 2;
 
-fn terms(settings: &Settings) -> RuleLimits {
+fn rule_limits(settings: &Settings) -> RuleLimits {
     RuleLimits {
         guard: settings.guard,
         drain_grace: 0.25,
@@ -48,10 +48,10 @@
 fn trial(seed: u64) -> Vec<String> {
     let work_folder = tempfile::tempdir().unwrap();
     let plan = plan(seed);
-    let terms = terms(&plan.settings);
+    let rule_limits = rule_limits(&plan.settings);
     let faults = format!("{:?}", plan.faults);
     let outcome = run(Path::new(env!("CARGO_BIN_EXE_shalespindle")), work_folder.path(), seed, plan).unwrap();
-    let found = breaches(&outcome.entries, &terms, outcome.end);
+    let found = breaches(&outcome.entries, &rule_limits, outcome.end);
     println!("{}\n    {faults}", summary(seed, &outcome, &found));
     if let Some(root) = std::env::var_os("TRIAL_LOGS").filter(|_| !found.is_empty()) {
         let folder = Path::new(&root).join(format!("seed-{seed}"));
--- a/crates/trials/src/server.rs
+++ b/crates/trials/src/server.rs
@@ -159,7 +159,7 @@
     }
 
     /// The machine is lost permanently: its calls and attempts end without a release.
-    pub fn vanish_for_good(&self) -> io::Result<()> {
+    pub fn vanish_permanently(&self) -> io::Result<()> {
         if self.is_dead() {
             return Ok(());
         }
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -48,7 +48,7 @@
     pub served: u64,
     /// Paths of the fronts' logs.
     pub logs: Vec<PathBuf>,
-    /// Troubles that the machine could not play.
+    /// Faults that the machine could not inject, each with its error.
     pub failed_faults: Vec<String>,
 }
 
@@ -183,12 +183,12 @@
             Fault::Hang { server, seconds } => self.make_absent(server, seconds, Presence::Hanging),
             Fault::Cut { server, seconds } => self.make_absent(server, seconds, Presence::Vanished),
             Fault::Die { server, replaced_after, listed_after } => {
-                let (old, gone) = self.server(server);
-                gone.die()?;
+                let (old, dead) = self.server(server);
+                dead.die()?;
                 self.pause(replaced_after);
-                let new = self.start_successor(server, Some(gone.port))?;
+                let new = self.start_successor(server, Some(dead.port))?;
                 self.pause((listed_after - replaced_after).max(0.0));
-                self.withdraw(old, gone.port, server, "removed");
+                self.withdraw(old, dead.port, server, "removed");
                 self.publish(&[member(new.0, server, new.1, "up", unix_ms())]);
                 Ok(())
             }
@@ -274,6 +274,7 @@
         self.relaunch(front)
     }
 
+    /// Starts a new process of a front whose last one has ended.
     fn relaunch(&self, front: FrontId) -> io::Result<()> {
         self.callers.front_ended(front);
         let process = &self.fronts[front];
@@ -285,12 +286,13 @@
 
     fn vanish(&self, first: usize, count: usize, listed_after: f64) -> io::Result<()> {
         let pools: Vec<usize> = (0..count).map(|n| (first + n) % self.plan.servers).collect();
-        let gone: Vec<(usize, (ServerId, Server))> = pools.iter().map(|p| (*p, self.server(*p))).collect();
-        for (_, (_, server)) in &gone {
-            server.vanish_for_good()?;
+        let vanished: Vec<(usize, (ServerId, Server))> =
+            pools.iter().map(|p| (*p, self.server(*p))).collect();
+        for (_, (_, server)) in &vanished {
+            server.vanish_permanently()?;
         }
         self.pause(listed_after);
-        for (pool, (id, server)) in &gone {
+        for (pool, (id, server)) in &vanished {
             self.withdraw(*id, server.port, *pool, "removed");
         }
         for pool in pools {
@@ -300,6 +302,7 @@
         Ok(())
     }
 
+    /// Makes a server hang or vanish for some time.
     fn make_absent(&self, pool: usize, seconds: f64, presence: Presence) -> io::Result<()> {
         let (_, server) = self.server(pool);
         server.set_presence(presence)?;
@@ -324,7 +327,7 @@
     fn reload(&self, count: u32) -> io::Result<()> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x4e1d);
         for _ in 0..count {
-            // Skipped in a front's first second and while one is about to end.
+            // Skipped in the first second of any front and while any front is about to end.
             let now = self.recorder.now();
             let settled = locked(&self.ready_at).iter().all(|at| now - at > MIN_UPTIME_BEFORE_RELOAD);
             let accept = self.fronts.iter().all(|f| f.accepts_connections.load(Ordering::Acquire));
