--- a/crates/trials/src/plan.rs
+++ b/crates/trials/src/plan.rs
@@ -71,9 +71,13 @@
     Reloads,
     BadClients,
     Crowd,
+    /// Servers refuse, lose, malform, repeat or delay answers.
     Answers,
+    /// Servers reset connections, close idle ones or send their first message late.
     Connections,
+    /// Callers cancel, retry and set short deadlines more often.
     Callers,
+    /// Callers write set-ups in two pieces.
     Writers,
 }
 
--- a/crates/trials/src/rules.rs
+++ b/crates/trials/src/rules.rs
@@ -284,7 +284,7 @@
                 let terminated = state.terminated;
                 state.ends.push(ProcessEnd { at, terminated, killed: false });
                 if terminated.is_none() {
-                    self.report(Rule::Crashed, at, format!("front {front} exited without a signal"));
+                    self.report(Rule::Crashed, at, format!("front {front} exited without SIGTERM"));
                 }
             }
         }
