--- a/crates/lab/src/chain.rs
+++ b/crates/lab/src/chain.rs
@@ -16,11 +16,11 @@
 /// Servers of one hop: the average number of servers of a service.
 const SERVERS: u64 = 6;
 /// Delay of a message from one hop to the next, seconds.
-const WAY: f64 = 0.001;
+const NETWORK_DELAY: f64 = 0.001;
 /// Time that the last server takes to answer, seconds.
-const WORK: f64 = 0.02;
+const SERVER_DELAY: f64 = 0.02;
 /// Interval between two calls, seconds.
-const APART: f64 = 0.2;
+const CALL_INTERVAL: f64 = 0.2;
 
 /// Hops at which tries fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -81,36 +81,36 @@
 /// An event at a hop. A try is identified by its attach and its number within the attach.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Arrives { hop: usize, call: u32, patience: f64, of: Option<(Ue, u32)> },
+    Arrives { hop: usize, call: u32, patience: f64, previous: Option<(Ue, u32)> },
     Answered { hop: usize, ue: Ue, number: u32, ended: Option<EndReason> },
     TimedOut { hop: usize, ue: Ue, number: u32 },
-    GivenUp { hop: usize, call: u32 },
+    Cancelled { hop: usize, call: u32 },
     Wake { hop: usize },
 }
 
 struct Attach {
     call: u32,
     /// The try of the previous hop that this attach serves; none at the first hop.
-    of: Option<(Ue, u32)>,
+    previous: Option<(Ue, u32)>,
     tries: u32,
-    out: Option<(u64, f64)>,
+    pending: Option<(u64, f64)>,
 }
 
 struct Hop {
     control: Control,
     attaches: BTreeMap<Ue, Attach>,
-    next: Ue,
+    last_ue: Ue,
 }
 
 struct Chain<'a> {
     shape: &'a ChainShape,
     hops: Vec<Hop>,
-    due: BinaryHeap<Reverse<(u64, u64)>>,
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     last_event: u64,
     rng: ChaCha8Rng,
     arrived_at: Vec<f64>,
-    stood_after: Vec<f64>,
+    setup_times: Vec<f64>,
     tries: u64,
     tries_at_last: u64,
     run_for_nobody: u64,
@@ -147,16 +147,16 @@
 /// Runs one simulation.
 pub fn measure(shape: &ChainShape) -> ChainCost {
     let mut chain = Chain::new(shape);
-    while let Some(Reverse((at, number))) = chain.due.pop() {
+    while let Some(Reverse((at, number))) = chain.queue.pop() {
         let Some(event) = chain.events.remove(&number) else { continue };
-        chain.happen(at as f64 / 1e6, event);
+        chain.handle(at as f64 / 1e6, event);
     }
     let calls = f64::from(shape.calls.max(1));
-    chain.stood_after.sort_by(f64::total_cmp);
-    let stood = chain.stood_after.len();
-    let at = |part: f64| {
-        let place = (part * stood.saturating_sub(1) as f64).round() as usize;
-        chain.stood_after.get(place).copied().unwrap_or(0.0)
+    chain.setup_times.sort_by(f64::total_cmp);
+    let established = chain.setup_times.len();
+    let quantile = |fraction: f64| {
+        let index = (fraction * established.saturating_sub(1) as f64).round() as usize;
+        chain.setup_times.get(index).copied().unwrap_or(0.0)
     };
     ChainCost {
         hops: shape.hops,
@@ -164,11 +164,11 @@
         failing: shape.failing,
         at: shape.at,
         seed: shape.seed,
-        stood: stood as f64 / calls,
+        stood: established as f64 / calls,
         tries_at_last: chain.tries_at_last as f64 / calls,
         tries: chain.tries as f64 / calls,
-        p50_s: at(0.5),
-        p99_s: at(0.99),
+        p50_s: quantile(0.5),
+        p99_s: quantile(0.99),
         run_for_nobody: chain.run_for_nobody as f64 / calls,
     }
 }
@@ -178,56 +178,56 @@
         let entries: Vec<PoolEntry> = (0..SERVERS)
             .map(|name| PoolEntry { id: name, number: name as u16, started: 0.0, ready: true })
             .collect();
-        let hop = |place: usize| {
-            let mut control = Control::new(shape.seed + place as u64, deployment(shape.patience), 0.0);
+        let hop = |index: usize| {
+            let mut control = Control::new(shape.seed + index as u64, deployment(shape.patience), 0.0);
             control.pools_listed(0.0, &entries, true);
-            Hop { control, attaches: BTreeMap::new(), next: 0 }
+            Hop { control, attaches: BTreeMap::new(), last_ue: 0 }
         };
         let mut chain = Chain {
             shape,
             hops: (0..shape.hops).map(hop).collect(),
-            due: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             last_event: 0,
             rng: ChaCha8Rng::seed_from_u64(shape.seed),
-            arrived_at: (0..shape.calls).map(|call| f64::from(call) * APART).collect(),
-            stood_after: Vec::new(),
+            arrived_at: (0..shape.calls).map(|call| f64::from(call) * CALL_INTERVAL).collect(),
+            setup_times: Vec::new(),
             tries: 0,
             tries_at_last: 0,
             run_for_nobody: 0,
         };
         for call in 0..shape.calls {
-            let event = Event::Arrives { hop: 0, call, patience: shape.patience, of: None };
-            chain.at(f64::from(call) * APART, event);
+            let event = Event::Arrives { hop: 0, call, patience: shape.patience, previous: None };
+            chain.schedule(f64::from(call) * CALL_INTERVAL, event);
         }
         chain
     }
 
-    fn at(&mut self, time: f64, event: Event) {
+    fn schedule(&mut self, time: f64, event: Event) {
         self.last_event += 1;
         self.events.insert(self.last_event, event);
-        self.due.push(Reverse((micros(time), self.last_event)));
+        self.queue.push(Reverse((micros(time), self.last_event)));
     }
 
-    fn happen(&mut self, now: f64, event: Event) {
+    fn handle(&mut self, now: f64, event: Event) {
         let hop = match event {
-            Event::Arrives { hop, call, patience, of } => {
+            Event::Arrives { hop, call, patience, previous } => {
                 if hop == self.shape.hops {
-                    return self.at_last_server(now, call, of);
+                    return self.at_last_server(now, call, previous);
                 }
-                self.arrives(now, hop, call, patience, of);
+                self.on_arrival(now, hop, call, patience, previous);
                 hop
             }
             Event::Answered { hop, ue, number, ended } => {
-                self.answered(now, hop, ue, number, ended);
+                self.on_answer(now, hop, ue, number, ended);
                 hop
             }
             Event::TimedOut { hop, ue, number } => {
-                self.ends(now, hop, ue, number, EndReason::TimedOut);
+                self.end_try(now, hop, ue, number, EndReason::TimedOut);
                 hop
             }
-            Event::GivenUp { hop, call } => {
-                self.given_up(now, hop, call);
+            Event::Cancelled { hop, call } => {
+                self.on_cancel(now, hop, call);
                 hop
             }
             Event::Wake { hop } => {
@@ -239,33 +239,33 @@
     }
 
     /// Handles a call that has passed all hops: the server after the last hop answers.
-    fn at_last_server(&mut self, now: f64, call: u32, of: Option<(Ue, u32)>) {
+    fn at_last_server(&mut self, now: f64, call: u32, previous: Option<(Ue, u32)>) {
         self.tries_at_last += 1;
-        let gone_at = self.arrived_at[call as usize] + self.shape.patience;
-        self.run_for_nobody += u64::from(now > gone_at);
-        if let Some((ue, number)) = of {
+        let gives_up_at = self.arrived_at[call as usize] + self.shape.patience;
+        self.run_for_nobody += u64::from(now > gives_up_at);
+        if let Some((ue, number)) = previous {
             let hop = self.shape.hops - 1;
-            self.at(now + WORK, Event::Answered { hop, ue, number, ended: None });
+            self.schedule(now + SERVER_DELAY, Event::Answered { hop, ue, number, ended: None });
         }
     }
 
-    fn arrives(&mut self, now: f64, hop: usize, call: u32, patience: f64, of: Option<(Ue, u32)>) {
-        let place = &mut self.hops[hop];
-        place.next += 1;
-        let ue = place.next;
-        place.attaches.insert(ue, Attach { call, of, tries: 0, out: None });
+    fn on_arrival(&mut self, now: f64, hop: usize, call: u32, patience: f64, previous: Option<(Ue, u32)>) {
+        let state = &mut self.hops[hop];
+        state.last_ue += 1;
+        let ue = state.last_ue;
+        state.attaches.insert(ue, Attach { call, previous, tries: 0, pending: None });
         let first_choice = (call as u64 % SERVERS) as u16;
         let gives_up_at = now + patience;
         let new = NewAttach { ue, procedure: 0, first_choice, called_number: u64::from(call), gives_up_at };
-        place.control.attach_arrived(now, new);
+        state.control.attach_arrived(now, new);
     }
 
-    fn answered(&mut self, now: f64, hop: usize, ue: Ue, number: u32, ended: Option<EndReason>) {
+    fn on_answer(&mut self, now: f64, hop: usize, ue: Ue, number: u32, ended: Option<EndReason>) {
         if let Some(ended) = ended {
-            return self.ends(now, hop, ue, number, ended);
+            return self.end_try(now, hop, ue, number, ended);
         }
         let Some(attach) = self.hops[hop].attaches.get_mut(&ue) else { return };
-        let Some((pool, sent_at)) = attach.out.filter(|_| attach.tries == number) else { return };
+        let Some((pool, sent_at)) = attach.pending.filter(|_| attach.tries == number) else { return };
         self.hops[hop].control.attach_established(now, ue, pool, now - sent_at);
         // Established calls are not simulated further: the try is released at once.
         self.hops[hop].control.try_ended(now, ue, pool, EndReason::Released, true, Report::default());
@@ -273,24 +273,24 @@
     }
 
     /// Ends a try that was not established. After a timeout or a cancel, the next hop gets a cancel as well.
-    fn ends(&mut self, now: f64, hop: usize, ue: Ue, number: u32, ended: EndReason) {
+    fn end_try(&mut self, now: f64, hop: usize, ue: Ue, number: u32, ended: EndReason) {
         let Some(attach) = self.hops[hop].attaches.get_mut(&ue) else { return };
-        let Some((pool, _)) = attach.out.filter(|_| attach.tries == number) else { return };
-        attach.out = None;
+        let Some((pool, _)) = attach.pending.filter(|_| attach.tries == number) else { return };
+        attach.pending = None;
         let call = attach.call;
         if matches!(ended, EndReason::TimedOut | EndReason::Cancelled) && hop + 1 < self.shape.hops {
-            self.at(now + WAY, Event::GivenUp { hop: hop + 1, call });
+            self.schedule(now + NETWORK_DELAY, Event::Cancelled { hop: hop + 1, call });
         }
         self.hops[hop].control.try_ended(now, ue, pool, ended, false, Report::default());
     }
 
     /// Handles a cancel from the previous hop: the call's pending attaches end here and at the hops after
     /// this one.
-    fn given_up(&mut self, now: f64, hop: usize, call: u32) {
-        let of_call = self.hops[hop].attaches.iter().filter(|(_, attach)| attach.call == call);
-        let ues: Vec<(Ue, u32)> = of_call.map(|(ue, attach)| (*ue, attach.tries)).collect();
+    fn on_cancel(&mut self, now: f64, hop: usize, call: u32) {
+        let attaches_of_call = self.hops[hop].attaches.iter().filter(|(_, attach)| attach.call == call);
+        let ues: Vec<(Ue, u32)> = attaches_of_call.map(|(ue, attach)| (*ue, attach.tries)).collect();
         for (ue, number) in ues {
-            self.ends(now, hop, ue, number, EndReason::Cancelled);
+            self.end_try(now, hop, ue, number, EndReason::Cancelled);
             self.hops[hop].control.client_left(now, ue);
             self.hops[hop].attaches.remove(&ue);
         }
@@ -299,11 +299,11 @@
     /// Sends the final answer of an attach to the previous hop; `ended` is none if the attach is established.
     fn finish(&mut self, now: f64, hop: usize, ue: Ue, ended: Option<EndReason>) {
         let Some(attach) = self.hops[hop].attaches.remove(&ue) else { return };
-        match attach.of {
+        match attach.previous {
             Some((ue, number)) => {
-                self.at(now + WAY, Event::Answered { hop: hop - 1, ue, number, ended });
+                self.schedule(now + NETWORK_DELAY, Event::Answered { hop: hop - 1, ue, number, ended });
             }
-            None if ended.is_none() => self.stood_after.push(now - self.arrived_at[attach.call as usize]),
+            None if ended.is_none() => self.setup_times.push(now - self.arrived_at[attach.call as usize]),
             None => {}
         }
     }
@@ -313,7 +313,7 @@
             match decision {
                 Decision::SetUp { ue, pool, timeout } => self.set_up(now, hop, ue, pool, timeout),
                 Decision::Cancel { ue, setup_try } => {
-                    self.ends(now, hop, ue, setup_try + 1, EndReason::Cancelled)
+                    self.end_try(now, hop, ue, setup_try + 1, EndReason::Cancelled)
                 }
                 // A refusal proves to the previous hop that no procedure ran; a failure does not.
                 Decision::Refuse { ue, .. } => {
@@ -324,30 +324,35 @@
                     self.hops[hop].control.pool_reported(now, pool, true, Report::default());
                 }
                 // After the end of the simulation no more timers are needed.
-                Decision::Wake { after } if !self.is_over(now) => self.at(now + after, Event::Wake { hop }),
+                Decision::Wake { after } if !self.has_ended(now) => {
+                    self.schedule(now + after, Event::Wake { hop })
+                }
                 Decision::Wake { .. } => {}
             }
         }
     }
 
-    fn is_over(&self, now: f64) -> bool {
-        now > f64::from(self.shape.calls) * APART + 2.0 * self.shape.patience
+    fn has_ended(&self, now: f64) -> bool {
+        now > f64::from(self.shape.calls) * CALL_INTERVAL + 2.0 * self.shape.patience
     }
 
     fn set_up(&mut self, now: f64, hop: usize, ue: Ue, pool: u64, timeout: f64) {
         let Some(attach) = self.hops[hop].attaches.get_mut(&ue) else { return };
         attach.tries += 1;
-        attach.out = Some((pool, now));
+        attach.pending = Some((pool, now));
         let (number, call) = (attach.tries, attach.call);
         self.tries += 1;
-        self.at(now + timeout, Event::TimedOut { hop, ue, number });
+        self.schedule(now + timeout, Event::TimedOut { hop, ue, number });
         let fails_here = self.shape.at == Failing::AllHops || hop == self.shape.hops / 2;
         if fails_here && self.rng.random::<f64>() < self.shape.failing {
             let ended = Some(EndReason::Cut);
-            self.at(now + 2.0 * WAY, Event::Answered { hop, ue, number, ended });
+            self.schedule(now + 2.0 * NETWORK_DELAY, Event::Answered { hop, ue, number, ended });
         } else {
-            let patience = (timeout - WAY).max(0.0);
-            self.at(now + WAY, Event::Arrives { hop: hop + 1, call, patience, of: Some((ue, number)) });
+            let patience = (timeout - NETWORK_DELAY).max(0.0);
+            self.schedule(
+                now + NETWORK_DELAY,
+                Event::Arrives { hop: hop + 1, call, patience, previous: Some((ue, number)) },
+            );
         }
     }
 }
--- a/crates/lab/src/fleet_cost.rs
+++ b/crates/lab/src/fleet_cost.rs
@@ -81,10 +81,12 @@
     let address = |n: usize| services[measured[n]].address();
     let mut out = FleetCost::default();
     for _ in 0..rounds {
-        let closed = |n| drive(address(n), &Load::of(Pace::Closed(WINDOW), seconds, CALL_DURATION));
+        let closed =
+            |n| drive(address(n), &Load::with_default_servers(Pace::Closed(WINDOW), seconds, CALL_DURATION));
         let closed = [closed(0)?, closed(1)?, closed(2)?];
         let rate = closed[0].per_second / 2.0;
-        let half = |n| drive(address(n), &Load::of(Pace::Open(rate), seconds, CALL_DURATION));
+        let half =
+            |n| drive(address(n), &Load::with_default_servers(Pace::Open(rate), seconds, CALL_DURATION));
         let half = [half(0)?, half(1)?, half(2)?];
         let [c0, c1, c2] = closed;
         let [h0, h1, h2] = half;
--- a/crates/lab/src/throughput.rs
+++ b/crates/lab/src/throughput.rs
@@ -31,7 +31,7 @@
 /// Pending attaches in the closed loop.
 pub(crate) const WINDOW: usize = 320;
 
-const AT_ONCE: Duration = Duration::ZERO;
+const NO_DURATION: Duration = Duration::ZERO;
 
 /// Results of one measurement.
 #[derive(Clone, Debug)]
@@ -72,15 +72,15 @@
     pub pace: Pace,
     pub seconds: f64,
     /// Duration of a call.
-    pub stands: Duration,
+    pub call_duration: Duration,
     /// Number of trunk groups, and so of servers, over which the calls are distributed in turn.
     pub servers: usize,
 }
 
 impl Load {
     /// Load over the default number of servers.
-    pub fn of(pace: Pace, seconds: f64, stands: Duration) -> Load {
-        Load { pace, seconds, stands, servers: SERVERS }
+    pub fn with_default_servers(pace: Pace, seconds: f64, call_duration: Duration) -> Load {
+        Load { pace, seconds, call_duration, servers: SERVERS }
     }
 }
 
@@ -101,8 +101,8 @@
     }
 }
 
-/// Starts servers with negligible processing time; with `never`, they accept setups and never answer.
-pub(crate) fn servers(scenario: &Scenario, ground: &MonotonicClock, never: bool) -> io::Result<Servers> {
+/// Starts servers with negligible processing time; with `unanswering`, they accept setups and never answer.
+pub(crate) fn servers(scenario: &Scenario, clock: &MonotonicClock, unanswering: bool) -> io::Result<Servers> {
     let trace = Trace::off();
     let mut list = Feed::new(1, 1, 0.0);
     let (mut hosted, mut addresses) = (Vec::new(), Vec::new());
@@ -111,14 +111,14 @@
         list.known(s, address, s as u16);
         let core =
             Server::new(s, address.to_string(), scenario.server(s), Arc::new(HashMap::new()), s as u64);
-        let server = HostedServer::start(core, address, ground.clone(), trace.clone())?;
-        server.core.act(move |core, _| core.faults.hung = never);
+        let server = HostedServer::start(core, address, clock.clone(), trace.clone())?;
+        server.core.act(move |core, _| core.faults.hung = unanswering);
         hosted.push(server);
         addresses.push(address);
     }
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    let list = feed(list, vec![listener], ground.clone(), trace)?;
+    let list = feed(list, vec![listener], clock.clone(), trace)?;
     Ok(Servers { hosted, addresses, feed: address, list })
 }
 
@@ -138,29 +138,30 @@
 /// Measures `rounds` rounds of four measurements of `seconds` each, then the memory of pending attaches.
 pub fn measure(seconds: f64, rounds: usize) -> io::Result<Throughput> {
     let scenario = scenario(SERVERS)?;
-    let ground = MonotonicClock::new();
-    let servers = servers(&scenario, &ground, false)?;
+    let clock = MonotonicClock::new();
+    let servers = servers(&scenario, &clock, false)?;
     let relay = Relay::start(&servers.addresses)?;
     let settings = scenario.settings(SocketAddr::from(([127, 0, 0, 1], 0)), servers.feed, &[], 0.05);
-    let service = Service::start(&settings, 1, ground.clone())?;
+    let service = Service::start(&settings, 1, clock.clone())?;
     let front = service.address();
     std::thread::sleep(Duration::from_millis(500));
     let mut out = Throughput::default();
     for _ in 0..rounds {
-        let closed = Load::of(Pace::Closed(WINDOW), seconds, AT_ONCE);
-        let bare = drive(relay.address, &closed)?;
-        let ours = drive(front, &closed)?;
-        let half = Load::of(Pace::Open(ours.per_second / 2.0), seconds, AT_ONCE);
-        let bare_half = drive(relay.address, &half)?;
-        let ours_half = drive(front, &half)?;
-        out.rounds.push([bare, ours, bare_half, ours_half]);
+        let closed = Load::with_default_servers(Pace::Closed(WINDOW), seconds, NO_DURATION);
+        let relay_result = drive(relay.address, &closed)?;
+        let front_result = drive(front, &closed)?;
+        let half =
+            Load::with_default_servers(Pace::Open(front_result.per_second / 2.0), seconds, NO_DURATION);
+        let relay_half = drive(relay.address, &half)?;
+        let front_half = drive(front, &half)?;
+        out.rounds.push([relay_result, front_result, relay_half, front_half]);
     }
     std::thread::sleep(Duration::from_millis(500));
     out.snapshot = service.status();
 
     drop(service);
     servers.finish();
-    out.bytes_an_attach = memory()?;
+    out.bytes_an_attach = bytes_per_pending_attach()?;
     Ok(out)
 }
 
@@ -188,29 +189,29 @@
 }
 
 /// Measures the relay and the front in turn at a rate of setups per second, `rounds` times.
-pub fn measure_added(seconds: f64, rounds: usize, rate: f64, in_scope: usize) -> io::Result<Vec<Added>> {
-    let scenario = scenario(in_scope)?;
-    let ground = MonotonicClock::new();
-    let servers = servers(&scenario, &ground, false)?;
+pub fn measure_added(seconds: f64, rounds: usize, rate: f64, server_count: usize) -> io::Result<Vec<Added>> {
+    let scenario = scenario(server_count)?;
+    let clock = MonotonicClock::new();
+    let servers = servers(&scenario, &clock, false)?;
     let relay = Relay::start(&servers.addresses)?;
     let settings = scenario.settings(SocketAddr::from(([127, 0, 0, 1], 0)), servers.feed, &[], 0.05);
-    let service = Service::start(&settings, 1, ground.clone())?;
+    let service = Service::start(&settings, 1, clock.clone())?;
     std::thread::sleep(Duration::from_millis(500));
-    let load = Load { pace: Pace::Open(rate), seconds, stands: AT_ONCE, servers: in_scope };
+    let load = Load { pace: Pace::Open(rate), seconds, call_duration: NO_DURATION, servers: server_count };
     let mut out = Vec::new();
     for _ in 0..rounds {
-        let bare = drive(relay.address, &load)?;
-        let ours = drive(service.address(), &load)?;
+        let relay_result = drive(relay.address, &load)?;
+        let front_result = drive(service.address(), &load)?;
         out.push(Added {
             rate,
-            servers: in_scope,
-            relay_p50_us: bare.p50_us,
-            relay_p99_us: bare.p99_us,
-            front_p50_us: ours.p50_us,
-            front_p99_us: ours.p99_us,
-            added_p50_us: ours.p50_us as i64 - bare.p50_us as i64,
-            added_p99_us: ours.p99_us as i64 - bare.p99_us as i64,
-            failed: ours.lost + ours.refused,
+            servers: server_count,
+            relay_p50_us: relay_result.p50_us,
+            relay_p99_us: relay_result.p99_us,
+            front_p50_us: front_result.p50_us,
+            front_p99_us: front_result.p99_us,
+            added_p50_us: front_result.p50_us as i64 - relay_result.p50_us as i64,
+            added_p99_us: front_result.p99_us as i64 - relay_result.p99_us as i64,
+            failed: front_result.lost + front_result.refused,
         });
     }
     drop(service);
@@ -220,12 +221,12 @@
 
 /// Measures the resident memory per pending attach, bytes, with thousands of attaches to servers that never
 /// answer.
-fn memory() -> io::Result<f64> {
+fn bytes_per_pending_attach() -> io::Result<f64> {
     let scenario = scenario(SERVERS)?;
-    let ground = MonotonicClock::new();
-    let servers = servers(&scenario, &ground, true)?;
+    let clock = MonotonicClock::new();
+    let servers = servers(&scenario, &clock, true)?;
     let settings = scenario.settings(SocketAddr::from(([127, 0, 0, 1], 0)), servers.feed, &[], 0.05);
-    let service = Service::start(&settings, 1, ground)?;
+    let service = Service::start(&settings, 1, clock)?;
     std::thread::sleep(Duration::from_millis(500));
     let socket = std::net::UdpSocket::bind("127.0.0.1:0")?;
     let host = socket.local_addr()?.to_string();
@@ -263,7 +264,7 @@
 }
 
 /// A request within the dialog of an established call: ACK or BYE.
-fn within(host: &str, to: SocketAddr, call: u64, tag: &str, method: Method) -> Vec<u8> {
+fn in_dialog_request(host: &str, to: SocketAddr, call: u64, tag: &str, method: Method) -> Vec<u8> {
     let cseq = if method == Method::Ack { 1 } else { 2 };
     Writer::request(method, &format!("sip:+91{call:09}@{to}"))
         .with_args("Via", format_args!("SIP/2.0/UDP {host};rport;branch=z9hG4bK{method}{call}"))
@@ -280,7 +281,7 @@
 /// Calls that are established at the end of the measurement are released on schedule, too, so that the next
 /// measurement does not start amid a burst of releases.
 pub(crate) fn drive(to: SocketAddr, load: &Load) -> io::Result<Measured> {
-    let Load { pace, seconds, stands, servers } = *load;
+    let Load { pace, seconds, call_duration, servers } = *load;
     let socket = std::net::UdpSocket::bind("127.0.0.1:0")?;
     socket.set_read_timeout(Some(Duration::from_micros(200)))?;
     let host = socket.local_addr()?.to_string();
@@ -292,12 +293,12 @@
     let begin = Instant::now();
     let length = Duration::from_secs_f64(seconds);
     let mut buffer = vec![0; 65_536];
-    let mut swept = begin;
-    let mut standing: VecDeque<(Instant, u64, String)> = VecDeque::new();
+    let mut last_expiry = begin;
+    let mut established: VecDeque<(Instant, u64, String)> = VecDeque::new();
     loop {
         let now = Instant::now();
-        while let Some((_, call, tag)) = standing.pop_front_if(|(due, ..)| *due <= now) {
-            socket.send_to(&within(&host, to, call, &tag, Method::Bye), to)?;
+        while let Some((_, call, tag)) = established.pop_front_if(|(due, ..)| *due <= now) {
+            socket.send_to(&in_dialog_request(&host, to, call, &tag, Method::Bye), to)?;
         }
         if now - begin > length {
             break;
@@ -319,8 +320,8 @@
             out.insert(call, due);
             next += 1;
         }
-        if now - swept > Duration::from_millis(500) {
-            swept = now;
+        if now - last_expiry > Duration::from_millis(500) {
+            last_expiry = now;
             let before = out.len();
             out.retain(|_, sent| now - *sent < Duration::from_secs(2));
             lost += (before - out.len()) as u64;
@@ -335,16 +336,16 @@
                 delays.saturating_record(sent.elapsed().as_micros() as u64);
                 done += 1;
                 let tag = message.to().unwrap_or_default().to_string();
-                socket.send_to(&within(&host, to, call, &tag, Method::Ack), to)?;
-                standing.push_back((now + stands, call, tag));
+                socket.send_to(&in_dialog_request(&host, to, call, &tag, Method::Ack), to)?;
+                established.push_back((now + call_duration, call, tag));
             }
         } else if method == Method::Invite && status > 200 {
             refused += u64::from(out.remove(&call).is_some());
         }
     }
-    for (due, call, tag) in standing {
+    for (due, call, tag) in established {
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        socket.send_to(&within(&host, to, call, &tag, Method::Bye), to)?;
+        socket.send_to(&in_dialog_request(&host, to, call, &tag, Method::Bye), to)?;
     }
     Ok(Measured {
         per_second: done as f64 / seconds,
@@ -382,7 +383,7 @@
                     }
                     framer.push(&buffer[..size]);
                     while let Ok(Some(frame)) = framer.next_frame() {
-                        back(frame, &writer);
+                        forward_response(frame, &writer);
                     }
                 }
             })?);
@@ -391,7 +392,7 @@
             let mut buffer = vec![0; 65_536];
             loop {
                 let Ok((size, from)) = udp.recv_from(&mut buffer) else { continue };
-                there(&buffer[..size], from, address, &links);
+                forward_request(&buffer[..size], from, address, &links);
             }
         })?);
         Ok(Relay { address, handles })
@@ -406,7 +407,7 @@
 
 /// Forwards a request with a Via added on top, to a server chosen by the call's number modulo the number of
 /// servers.
-fn there(bytes: &[u8], from: SocketAddr, own: SocketAddr, links: &[Arc<Mutex<StreamWriter>>]) {
+fn forward_request(bytes: &[u8], from: SocketAddr, own: SocketAddr, links: &[Arc<Mutex<StreamWriter>>]) {
     let Ok(message) = Message::parse(bytes) else { return };
     let (Ok(via), Ok(id)) = (message.via(), message.call_id()) else { return };
     let number: u64 = id.split('@').next().and_then(|c| c.parse().ok()).unwrap_or(0);
@@ -421,7 +422,7 @@
 }
 
 /// Forwards a response to the caller with the topmost Via removed.
-fn back(frame: &[u8], udp: &UdpSocket) {
+fn forward_response(frame: &[u8], udp: &UdpSocket) {
     let Ok(message) = Message::parse(frame) else { return };
     let Some(via) = message.header("Via") else { return };
     let from = via
@@ -442,30 +443,30 @@
 impl fmt::Display for Throughput {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "closed loop of {WINDOW}; then open loop at half of the front's rate")?;
-        for [bare, ours, bare_half, ours_half] in &self.rounds {
+        for [relay_result, front_result, relay_half, front_half] in &self.rounds {
             writeln!(
                 f,
                 "attaches/s: relay {:.0}, front {:.0}, ratio {:.2}; lost {} and {}, refused {} and {}",
-                bare.per_second,
-                ours.per_second,
-                ours.per_second / bare.per_second,
-                bare.lost,
-                ours.lost,
-                bare.refused,
-                ours.refused
+                relay_result.per_second,
+                front_result.per_second,
+                front_result.per_second / relay_result.per_second,
+                relay_result.lost,
+                front_result.lost,
+                relay_result.refused,
+                front_result.refused
             )?;
             writeln!(
                 f,
                 "  at half: relay p50 {} us p99 {} us, front p50 {} us p99 {} us, added p50 {} us p99 {} us; lost {} and {}, refused {}",
-                bare_half.p50_us,
-                bare_half.p99_us,
-                ours_half.p50_us,
-                ours_half.p99_us,
-                ours_half.p50_us as i64 - bare_half.p50_us as i64,
-                ours_half.p99_us as i64 - bare_half.p99_us as i64,
-                bare_half.lost,
-                ours_half.lost,
-                ours_half.refused
+                relay_half.p50_us,
+                relay_half.p99_us,
+                front_half.p50_us,
+                front_half.p99_us,
+                front_half.p50_us as i64 - relay_half.p50_us as i64,
+                front_half.p99_us as i64 - relay_half.p99_us as i64,
+                relay_half.lost,
+                front_half.lost,
+                front_half.refused
             )?;
         }
         if let Some(s) = &self.snapshot {
