--- a/crates/lab/src/coordinated/fleet.rs
+++ b/crates/lab/src/coordinated/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: nodes, the frames under way between them, and what each spent.
+//! The simulated fleet: its nodes, the frames in flight, and the traffic and processor time spent.
 
 use crate::resources::thread_seconds;
 use rand::{Rng, SeedableRng};
@@ -10,41 +10,43 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Seconds between two looks at the clock.
+/// Simulation step, seconds.
 pub(crate) const STEP: f64 = 0.025;
-/// A frame's way, seconds: at least, and so much more at most.
+/// Network delay of a frame, seconds: the minimum, and the maximum of the random time added to it.
 const DELAY: (f64, f64) = (0.02, 0.02);
-/// A start in milliseconds of Unix time, as large as a process has it.
+/// Base of incarnation numbers: milliseconds of Unix time, as real processes use.
 const START: u64 = 1_790_000_000_000;
-/// Senders that one codec remembers at most.
+/// Maximum number of senders for which one codec holds state.
 const MOST_SENDERS: usize = 4096;
 
-/// One node's place in the fleet: coordinators first, then fronts.
+/// Index of a node in the fleet: coordinators first, then fronts.
 pub(crate) type Place = usize;
 
-/// A simulated front, and what its host would do.
+/// A simulated front: the client of the coordinators and the state of its host.
 pub(crate) struct Front {
     pub client: Client,
     pub started_at: f64,
-    /// The highest version in force that this process knew of.
+    /// Number of the configuration version in force on this front.
     pub in_force: u64,
-    /// The servers that its list names, the first of them in scope.
+    /// The servers that the front subscribes to.
     pub scope: Vec<SocketAddr>,
 }
 
+/// A node and its state.
 pub(crate) enum Node {
     Down,
     Coordinator(Box<Coordinator>),
     Front(Box<Front>),
 }
 
-/// Bytes of frames, both ways.
+/// Frames and their bytes, sent and received together.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Traffic {
     pub bytes: u64,
     pub frames: u64,
 }
 
+/// The fleet and its network.
 pub(crate) struct Fleet {
     pub now: f64,
     look: u64,
@@ -54,18 +56,19 @@
     codecs: Vec<Option<Codec>>,
     pub names: Vec<NodeId>,
     places: BTreeMap<NodeId, Place>,
-    /// By the look at which they arrive: to, frame.
+    /// Frames in flight, by the step at which they arrive: destination and frame.
     under_way: BTreeMap<u64, Vec<(Place, Vec<u8>)>>,
     pub rng: ChaCha8Rng,
     loss: f64,
-    /// The region that is cut off from the others.
+    /// The region that is partitioned from the others.
     pub cut_off: Option<usize>,
     pub traffic: Vec<Traffic>,
-    /// Processor time spent in fronts and in coordinators, their codecs included.
+    /// Processor time spent in fronts, their codecs included.
     pub front_seconds: f64,
+    /// Processor time spent in coordinators, their codecs included.
     pub coordinator_seconds: f64,
     starts: u64,
-    /// Fronts whose version in force went down in one process.
+    /// Number of times that the version in force on a front decreased within one incarnation.
     pub went_back: u64,
 }
 
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Nodes take turns at regions.
+    /// Region of a node; coordinators and fronts are each distributed over the regions in turn.
     pub fn region(&self, place: Place) -> usize {
         match place.checked_sub(self.coordinators) {
             Some(front) => front % self.regions,
@@ -127,7 +130,7 @@
         self.nodes[place] = Node::Coordinator(Box::new(coordinator));
     }
 
-    /// Starts a front whose list names these servers, all of them ready.
+    /// Starts a front that subscribes to these servers.
     pub fn start_front(&mut self, place: Place, scope: Vec<SocketAddr>) {
         let incarnation = self.incarnation();
         let region = self.region(place);
@@ -165,7 +168,7 @@
         self.cut_off.is_some_and(|region| (self.region(a) == region) != (self.region(b) == region))
     }
 
-    /// One look at the clock: what has arrived, what is due, what goes out.
+    /// Advances the clock by one step: delivers frames, runs expired timers and sends output.
     pub fn step(&mut self) {
         self.look += 1;
         self.now = self.look as f64 * STEP;
@@ -232,8 +235,8 @@
 }
 
 impl Front {
-    /// What a front's host does with what becomes known: acts on the version in force. Returns 1 where that is older
-    /// than one it knew of before.
+    /// Acts on client events as the host of a front does: accepts the version in force. Returns the number of
+    /// versions that were older than the version in force before them.
     fn host(&mut self, now: f64) -> u64 {
         if self.client.wake_at() <= now {
             self.client.poll(now);
@@ -246,7 +249,7 @@
                 self.client.accept_version(now);
             }
         }
-        // What acting called forth goes out in the same turn.
+        // Output that the events caused is sent in the same step.
         if self.client.wake_at() <= now {
             self.client.poll(now);
         }
--- a/crates/lab/src/coordinated/measure.rs
+++ b/crates/lab/src/coordinated/measure.rs
@@ -10,80 +10,86 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bytes are counted in windows of so many seconds.
+/// Length of the windows over which traffic is averaged, seconds.
 const WINDOW: f64 = 10.0;
-/// The steady scenario: a day's changes and restarts in so many seconds.
+/// Time into which the steady scenario compresses the changes and restarts of a day, seconds.
 const DAY: f64 = 600.0;
+/// Configuration changes in the steady scenario.
 const CHANGES_A_DAY: usize = 430;
+/// Server restarts in the steady scenario.
 const RESTARTS_A_DAY: usize = 230;
-/// How long a scenario may take to come to rest.
+/// Maximum time for a fleet to converge, seconds.
 const REST_WITHIN: f64 = 120.0;
-/// A killed zone or coordinator stays away so long.
+/// Downtime of a killed zone, seconds; coordinators stay down for twice that time.
 const AWAY: f64 = 30.0;
-/// Fronts have noticed by then that their coordinator is another process.
+/// Time within which fronts detect that their coordinator has restarted, seconds.
 const NOTICED_WITHIN: f64 = 3.0;
-/// A region stays cut off so long.
+/// Duration of the partition of a region, seconds.
 const CUT: f64 = 300.0;
 
-/// What came of it. Bytes are of frames, without IP and UDP, both ways together; the largest over all nodes and over
-/// all windows of ten seconds, as bytes a second.
+/// Results of one measurement.
+///
+/// Traffic is bytes per second of frames, without IP and UDP headers, sent and received together. Maxima are
+/// over all nodes and all windows of ten seconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct CoordinatedCost {
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: usize,
-    /// Coordinators.
+    /// Number of coordinators.
     pub coordinators: usize,
-    /// What happened.
+    /// The scenario.
     pub scenario: Scenario,
-    /// The seed.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Of the front with the most, in its worst window.
+    /// Traffic of the front with the most traffic, in its worst window.
     pub front_bytes_max: f64,
-    /// Of the median front, over the whole scenario.
+    /// Traffic of the median front, averaged over the whole scenario.
     pub front_bytes_median: f64,
-    /// Of the coordinator with the most, in its worst window.
+    /// Traffic of the coordinator with the most traffic, in its worst window.
     pub coordinator_bytes_max: f64,
-    /// Processor time of a front over its time, codec included.
+    /// Processor time of a front, codec included, divided by elapsed virtual time.
     pub front_core_share: f64,
-    /// The same of a coordinator.
+    /// Processor time of a coordinator, codec included, divided by elapsed virtual time.
     pub coordinator_core_share: f64,
-    /// Resident memory of the whole simulation over its fronts, megabytes: coordinators, frames under way and the
-    /// simulation itself are in it.
+    /// Resident memory of the whole simulation divided by the number of fronts, megabytes; includes
+    /// coordinators, frames in flight and the simulation itself.
     pub front_memory_mb: f64,
-    /// Seconds until the slowest change was acted on by all fronts that were up and reachable.
+    /// Seconds until the slowest change was in force on all fronts that were running when it was announced.
     pub change_all_s: f64,
-    /// Seconds from the last remedy until all fronts are connected, level, and act on one version.
+    /// Seconds from the end of the fault until all fronts are connected, synchronized and act on one version.
     pub recovered_s: f64,
-    /// The longest time since a front was last level with a coordinator, seconds.
+    /// Maximum time since a front was last synchronized with a coordinator, seconds.
     pub age_max_s: f64,
-    /// Snapshots that coordinators began, and clients told that they hold all already.
+    /// Snapshots that coordinators began.
     pub snapshots: u64,
-    /// See `snapshots`.
+    /// Clients to which a coordinator confirmed that their state is already complete.
     pub confirmed: u64,
-    /// Looks of any coordinator at which clients were suspected, and fronts that stayed up and were suspected.
+    /// Suspicions of clients, counted over all coordinators.
     pub suspicions: u64,
-    /// See `suspicions`.
+    /// Running fronts that a coordinator suspects at the end, counted over all coordinators.
     pub suspected_wrongly: u64,
-    /// Versions that lost, as the coordinators list them at the end.
+    /// Versions that lost a conflict, as the first coordinator lists them at the end.
     pub lost_versions: usize,
-    /// Fronts that do not act on the version in force at the end.
+    /// Fronts that do not act on the newest version at the end.
     pub behind: u64,
-    /// Fronts that ever acted on a version older than one they had acted on.
+    /// Number of times that a front changed to an older version than the one it acted on.
     pub went_back: u64,
-    /// Statements of ended processes, or deleted ones, that some coordinator holds at the end.
+    /// Server entries of ended incarnations that a coordinator still stores as live at the end.
     pub resurrected: u64,
 }
 
+/// A version that is not in force everywhere yet.
 struct Announced {
     at: f64,
     number: u64,
     publisher: Place,
 }
 
+/// State of one measurement.
 struct Run {
     fleet: Fleet,
     shape: CoordinatedShape,
-    /// Counts the starts of each server.
+    /// Number of starts of each server.
     server_starts: Vec<u64>,
     next_number: u64,
     pending: Vec<Announced>,
@@ -95,7 +101,7 @@
     coordinator_bytes_max: f64,
 }
 
-/// Measures one fleet.
+/// Measures one simulated fleet.
 pub fn measure(shape: &CoordinatedShape) -> CoordinatedCost {
     let resident_before = resident_bytes();
     let mut run = Run::new(shape.clone());
@@ -158,7 +164,7 @@
         let count = fleet.nodes.len();
         let mut run = Run {
             fleet,
-            // A server stands beside each front.
+            // There is one server per front.
             server_starts: vec![1; shape.fronts],
             shape,
             next_number: 1,
@@ -174,7 +180,7 @@
         run
     }
 
-    /// The servers in a front's scope: those from its own on, round the fleet.
+    /// The servers in a front's scope: its own and those that follow, modulo the number of servers.
     fn scope(&self, place: Place) -> Vec<usize> {
         let front = place - self.shape.coordinators;
         let count = self.shape.servers_in_scope.min(self.shape.fronts);
@@ -186,6 +192,7 @@
         self.fleet.start_front(place, scope.iter().map(|server| server_address(*server)).collect());
     }
 
+    /// Announces the next version at a node.
     fn announce_at(&mut self, place: Place) {
         let (now, number) = (self.fleet.now, self.next_number);
         let announced = match &mut self.fleet.nodes[place] {
@@ -199,7 +206,7 @@
         }
     }
 
-    /// Every front whose list names the server tells what it tells of it.
+    /// Every front that subscribes to the server reports the server's state.
     fn tell_server(&mut self, server: usize, told: ReportedState) {
         let now = self.fleet.now;
         let (address, state) =
@@ -211,7 +218,7 @@
         }
     }
 
-    // ---- looking ----
+    // ---- stepping and observation ----
 
     fn step(&mut self) {
         self.fleet.step();
@@ -236,6 +243,7 @@
         }
     }
 
+    /// Ends a window: updates the maxima of traffic and age.
     fn close_window(&mut self) {
         let seconds = self.fleet.now - self.window_begin;
         for place in 0..self.fleet.nodes.len() {
@@ -265,7 +273,7 @@
         }
     }
 
-    /// All fronts are connected, level, and act on the newest version that anybody announced.
+    /// True if all fronts are connected, have published everything and act on the newest announced version.
     fn is_at_rest(&mut self) -> bool {
         let now = self.fleet.now;
         let newest = self.next_number - 1;
@@ -279,7 +287,8 @@
         })
     }
 
-    /// Steps until all is at rest: seconds, infinite where that does not come.
+    /// Steps until the fleet has converged; returns the elapsed seconds, infinite if it does not converge in
+    /// time.
     fn rest(&mut self) -> f64 {
         let begin = self.fleet.now;
         while !self.is_at_rest() {
@@ -291,7 +300,7 @@
         self.fleet.now - begin
     }
 
-    /// From the start until a first version is in force everywhere; what that cost is not measured.
+    /// Runs from the start until a first version is in force everywhere; excluded from the results.
     fn settle(&mut self) {
         (0..self.shape.fronts).for_each(|server| self.tell_server(server, ReportedState::Ready));
         self.pass(5.0);
@@ -303,10 +312,11 @@
         (self.change_all_s, self.age_max_s) = (0.0, 0.0);
     }
 
-    // ---- scenarios: each returns the time from the last remedy to rest ----
+    // ---- scenarios: each returns the time from the end of the fault to convergence ----
 
     fn steady(&mut self) -> f64 {
-        // In order of time: a change at any node, or a server that is drained, restarted and ready again.
+        // Changes at random nodes, and servers that are drained, restarted and ready again; in order of time,
+        // milliseconds.
         let mut due: BTreeMap<u64, Vec<Happening>> = BTreeMap::new();
         let millis = |seconds: f64| (seconds * 1000.0) as u64;
         for _ in 0..CHANGES_A_DAY {
@@ -340,7 +350,7 @@
             Happening::Drain(server) => self.tell_server(server, ReportedState::Draining),
             Happening::Restart(server) => {
                 self.server_starts[server] += 1;
-                // Its front goes with it.
+                // The front of the server restarts with it.
                 let place = self.shape.coordinators + server;
                 self.forget_unheard(place);
                 self.fleet.kill(place);
@@ -351,7 +361,7 @@
         }
     }
 
-    /// What a front announced and no coordinator has heard goes with it.
+    /// Drops the pending versions of a front that ends before any coordinator has received them.
     fn forget_unheard(&mut self, place: Place) {
         let name = self.fleet.names[place];
         let mut heard = 0;
@@ -365,7 +375,7 @@
         self.pending.retain(|announced| announced.publisher != place || announced.number <= heard);
     }
 
-    /// A front that starts tells what its list names.
+    /// A front that starts reports the servers in its scope as ready.
     fn tell_own_list(&mut self, place: Place) {
         let now = self.fleet.now;
         for server in self.scope(place) {
@@ -376,6 +386,7 @@
         }
     }
 
+    /// The fronts of a zone.
     fn zone(&self, zone: usize) -> Vec<Place> {
         let zones = self.shape.zones;
         self.fleet.fronts().filter(|place| (place - self.shape.coordinators) % zones == zone).collect()
@@ -397,7 +408,7 @@
     fn region_cut(&mut self) -> f64 {
         self.fleet.cut_off = Some(0);
         self.pass(CUT / 2.0);
-        // The same number on both sides: neither side knows of the other's.
+        // The same number on both sides: neither side knows of the other's version.
         let number = self.next_number;
         self.announce_at(0);
         self.next_number = number;
@@ -410,7 +421,8 @@
         recovered
     }
 
-    /// Steps until all fronts act on the very same version.
+    /// Steps until all fronts act on the same version; returns the elapsed seconds, infinite if that takes
+    /// too long.
     fn rest_equal(&mut self) -> f64 {
         let begin = self.fleet.now;
         loop {
@@ -440,7 +452,8 @@
         self.restart_one_and_rest()
     }
 
-    /// A front that starts anew learns from coordinators that lost everything what the other fronts still know.
+    /// Waits for convergence, then restarts one front: it must get the state that the other fronts still hold
+    /// from the coordinators that restarted without state.
     fn restart_one_and_rest(&mut self) -> f64 {
         let recovered = self.rest();
         let place = self.shape.coordinators;
@@ -458,7 +471,7 @@
             self.fleet.kill(place);
             self.fleet.start_coordinator(place);
         }
-        // Fronts notice only when they ask next.
+        // Fronts detect the restart only with their next request.
         self.pass(NOTICED_WITHIN);
         NOTICED_WITHIN + self.restart_one_and_rest()
     }
@@ -477,7 +490,7 @@
         }
     }
 
-    // ---- what is left at the end ----
+    // ---- state at the end of the run ----
 
     fn totals(&mut self) -> (u64, u64, u64) {
         let mut totals = (0, 0, 0);
@@ -503,7 +516,7 @@
         self.fleet.coordinator(0).map_or(0, |coordinator| coordinator.store().conflicting_versions().len())
     }
 
-    /// Fronts that have been up for long and that a coordinator holds to be suspected.
+    /// Counts the running fronts that a coordinator suspects, over all coordinators.
     fn suspected_wrongly(&mut self) -> u64 {
         let names = self.fleet.names.clone();
         let up: Vec<Place> =
@@ -518,7 +531,8 @@
         wrong
     }
 
-    /// Live statements on servers by a process that has ended: those of an incarnation before its front's own.
+    /// Counts the live server entries of ended processes: those of an incarnation older than their front's
+    /// current one.
     fn resurrected(&mut self) -> u64 {
         let names = self.fleet.names.clone();
         let current: BTreeMap<_, _> = self
@@ -539,6 +553,7 @@
     }
 }
 
+/// An event of the steady scenario.
 enum Happening {
     Change,
     Drain(usize),
--- a/crates/lab/src/coordinated/mod.rs
+++ b/crates/lab/src/coordinated/mod.rs
@@ -1,5 +1,7 @@
-//! Hollow fronts and coordinators: the real cores and their codec, many in one process under virtual time, with a
-//! network that delays, loses and cuts. Figures are of simulated fronts, not of sockets.
+//! Simulates fronts with coordinators.
+//!
+//! The real state machines and their codec, many in one process, run under virtual time over a network that
+//! delays and loses frames and can be partitioned. The figures are those of simulated fronts, not of sockets.
 
 mod fleet;
 mod measure;
--- a/crates/lab/src/coordinated/scenario.rs
+++ b/crates/lab/src/coordinated/scenario.rs
@@ -1,59 +1,60 @@
-//! What happens to a simulated fleet while it is measured.
+//! Scenarios and parameters of a measurement of a simulated fleet.
 
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// The troubles that a fleet is measured under.
+/// The load or fault under which a fleet is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// A day's changes of configuration and restarts in ten minutes.
+    /// The configuration changes and restarts of a day, compressed into ten minutes.
     Steady,
-    /// All fronts of a zone are killed, and come back at once half a minute later.
+    /// All fronts of a zone are killed and restart together half a minute later.
     RestartZone,
-    /// A region is cut off for five minutes, with changes on both sides, and heals.
+    /// A region is partitioned for five minutes, with changes on both sides, and then reconnected.
     RegionCut,
-    /// One coordinator after another is killed until none is left; a minute later all come back with nothing.
+    /// The coordinators are killed one after the other; a minute after the last, all restart without state.
     CoordinatorsDown,
-    /// All coordinators are killed and come back with nothing in one moment: every session is lost at once.
+    /// All coordinators are killed and restart without state at the same time: all sessions are lost at once.
     SessionsLost,
 }
 
-/// A fault planted at the end of a run, so that its checks are seen to fail.
+/// A fault injected at the end of a run, to test that the checks of the run detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planted {
-    /// A front starts and is not given the time to learn anything: it is behind, and what its process of before said
-    /// is still held.
+    /// A front restarts and the run ends at once: the front is behind, and coordinators still store the
+    /// entries of its previous incarnation.
     NewcomerWithoutTime,
-    /// A front takes a version for newer than all that will be announced.
+    /// A front records a version number above all that will be announced.
     VersionFromTheFuture,
 }
 
-/// What is measured.
+/// Parameters of one measurement.
 #[derive(Clone, Debug)]
 pub struct CoordinatedShape {
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: usize,
-    /// Coordinators; a third of them in each region.
+    /// Number of coordinators, distributed evenly over the regions.
     pub coordinators: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Zones, over all regions.
+    /// Number of zones in all regions together.
     pub zones: usize,
-    /// Servers that one front subscribes to.
+    /// Number of servers that one front subscribes to.
     pub servers_in_scope: usize,
-    /// Part of the frames that is lost.
+    /// Fraction of the frames that is lost.
     pub loss: f64,
-    /// Draws everything that is left to chance.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// What happens.
+    /// The scenario.
     pub scenario: Scenario,
-    /// None but in tests of the checks.
+    /// Injected fault; only tests of the checks set it.
     pub planted: Option<Planted>,
 }
 
 impl CoordinatedShape {
-    /// The operators' stated regions and zones, and 1% of the frames lost.
+    /// Parameters with the numbers of regions and zones that the operators stated, and a loss of 1% of the
+    /// frames.
     pub fn new(fronts: usize, coordinators: usize, scenario: Scenario, seed: u64) -> CoordinatedShape {
         CoordinatedShape {
             fronts,
