--- a/crates/lab/src/coordinated/measure.rs
+++ b/crates/lab/src/coordinated/measure.rs
@@ -1,6 +1,6 @@
 //! Measures a simulated fleet with coordinators under one scenario.
 
-use super::fleet::{Fleet, Node, Place};
+use super::fleet::{Fleet, Node, NodeIndex};
 use super::scenario::{CoordinatedShape, Planted, Scenario};
 use crate::resources::resident_bytes;
 use rand::Rng;
@@ -13,19 +13,19 @@
 /// Length of the windows over which traffic is averaged, seconds.
 const WINDOW: f64 = 10.0;
 /// Time into which the steady scenario compresses the changes and restarts of a day, seconds.
-const DAY: f64 = 600.0;
+const STEADY_DURATION: f64 = 600.0;
 /// Configuration changes in the steady scenario.
-const CHANGES_A_DAY: usize = 430;
+const CHANGES_PER_DAY: usize = 430;
 /// Server restarts in the steady scenario.
-const RESTARTS_A_DAY: usize = 230;
+const RESTARTS_PER_DAY: usize = 230;
 /// Maximum time for a fleet to converge, seconds.
-const REST_WITHIN: f64 = 120.0;
+const CONVERGENCE_TIMEOUT: f64 = 120.0;
 /// Downtime of a killed zone, seconds; coordinators stay down for twice that time.
-const AWAY: f64 = 30.0;
+const DOWNTIME: f64 = 30.0;
 /// Time within which fronts detect that their coordinator has restarted, seconds.
-const NOTICED_WITHIN: f64 = 3.0;
+const RESTART_DETECTION: f64 = 3.0;
 /// Duration of the partition of a region, seconds.
-const CUT: f64 = 300.0;
+const PARTITION_DURATION: f64 = 300.0;
 
 /// Results of one measurement.
 ///
@@ -64,7 +64,7 @@
     pub snapshots: u64,
     /// Clients to which a coordinator confirmed that their state is already complete.
     pub confirmed: u64,
-    /// Suspicions of clients, counted over all coordinators.
+    /// Checks in which clients were suspected, counted over all coordinators.
     pub suspicions: u64,
     /// Running fronts that a coordinator suspects at the end, counted over all coordinators.
     pub suspected_wrongly: u64,
@@ -82,7 +82,7 @@
 struct Announced {
     at: f64,
     number: u64,
-    publisher: Place,
+    publisher: NodeIndex,
 }
 
 /// State of one measurement.
@@ -117,14 +117,14 @@
         Scenario::SessionsLost => run.sessions_lost(),
     };
     if let Some(planted) = shape.planted {
-        run.plant(planted);
+        run.inject(planted);
     }
     let seconds = run.fleet.now - begin;
     let share = |spent: f64, nodes: usize| spent / seconds / nodes.max(1) as f64;
     let mut front_bytes: Vec<f64> = run
         .fleet
         .fronts()
-        .map(|place| (run.fleet.traffic[place].bytes - traffic_before[place]) as f64 / seconds)
+        .map(|index| (run.fleet.traffic[index].bytes - traffic_before[index]) as f64 / seconds)
         .collect();
     front_bytes.sort_by(f64::total_cmp);
     let (snapshots, confirmed, suspicions) = run.totals();
@@ -148,7 +148,7 @@
         suspected_wrongly: run.suspected_wrongly(),
         lost_versions: run.lost_versions(),
         behind: run.behind(),
-        went_back: run.fleet.went_back,
+        went_back: run.fleet.version_regressions,
         resurrected: run.resurrected(),
     }
 }
@@ -160,7 +160,7 @@
 impl Run {
     fn new(shape: CoordinatedShape) -> Run {
         let mut fleet = Fleet::new(shape.coordinators, shape.fronts, shape.regions, shape.loss, shape.seed);
-        (0..shape.coordinators).for_each(|place| fleet.start_coordinator(place));
+        (0..shape.coordinators).for_each(|index| fleet.start_coordinator(index));
         let count = fleet.nodes.len();
         let mut run = Run {
             fleet,
@@ -176,43 +176,45 @@
             front_bytes_max: 0.0,
             coordinator_bytes_max: 0.0,
         };
-        run.fleet.fronts().for_each(|place| run.start_front(place));
+        run.fleet.fronts().for_each(|index| run.start_front(index));
         run
     }
 
     /// The servers in a front's scope: its own and those that follow, modulo the number of servers.
-    fn scope(&self, place: Place) -> Vec<usize> {
-        let front = place - self.shape.coordinators;
+    fn scope(&self, index: NodeIndex) -> Vec<usize> {
+        let front = index - self.shape.coordinators;
         let count = self.shape.servers_in_scope.min(self.shape.fronts);
         (0..count).map(|n| (front + n) % self.shape.fronts).collect()
     }
 
-    fn start_front(&mut self, place: Place) {
-        let scope = self.scope(place);
-        self.fleet.start_front(place, scope.iter().map(|server| server_address(*server)).collect());
+    fn start_front(&mut self, index: NodeIndex) {
+        let scope = self.scope(index);
+        self.fleet.start_front(index, scope.iter().map(|server| server_address(*server)).collect());
     }
 
     /// Announces the next version at a node.
-    fn announce_at(&mut self, place: Place) {
+    fn announce_at(&mut self, index: NodeIndex) {
         let (now, number) = (self.fleet.now, self.next_number);
-        let announced = match &mut self.fleet.nodes[place] {
+        let announced = match &mut self.fleet.nodes[index] {
             Node::Coordinator(coordinator) => coordinator.announce(now, number, number).is_ok(),
             Node::Front(front) => front.client.announce(now, number, number).is_ok(),
             Node::Down => false,
         };
         if announced {
             self.next_number += 1;
-            self.pending.push(Announced { at: now, number, publisher: place });
+            self.pending.push(Announced { at: now, number, publisher: index });
         }
     }
 
     /// Every front that subscribes to the server reports the server's state.
-    fn tell_server(&mut self, server: usize, told: ReportedState) {
+    fn report_server_state(&mut self, server: usize, reported: ReportedState) {
         let now = self.fleet.now;
-        let (address, state) =
-            (server_address(server), ServerState { incarnation: self.server_starts[server], state: told });
-        for place in self.fleet.fronts() {
-            if let Some(front) = self.fleet.front(place).filter(|front| front.scope.contains(&address)) {
+        let (address, state) = (
+            server_address(server),
+            ServerState { incarnation: self.server_starts[server], state: reported },
+        );
+        for index in self.fleet.fronts() {
+            if let Some(front) = self.fleet.front(index).filter(|front| front.scope.contains(&address)) {
                 front.client.report_server(now, address, Some(state));
             }
         }
@@ -226,14 +228,14 @@
         if now - self.window_begin >= WINDOW {
             self.close_window();
         }
-        let number = |fleet: &mut Fleet, place| fleet.front(place).map_or(u64::MAX, |front| front.in_force);
+        let number = |fleet: &mut Fleet, index| fleet.front(index).map_or(u64::MAX, |front| front.in_force);
         while let Some(oldest) = self.pending.first() {
-            let (at, wanted) = (oldest.at, oldest.number);
+            let (at, target) = (oldest.at, oldest.number);
             let fleet = &mut self.fleet;
-            let mut reached = fleet.fronts();
-            let all = reached.all(|place| {
-                let started = fleet.front(place).map_or(f64::INFINITY, |front| front.started_at);
-                started > at || number(fleet, place) >= wanted
+            let mut fronts = fleet.fronts();
+            let all = fronts.all(|index| {
+                let started = fleet.front(index).map_or(f64::INFINITY, |front| front.started_at);
+                started > at || number(fleet, index) >= target
             });
             if !all {
                 break;
@@ -246,27 +248,27 @@
     /// Ends a window: updates the maxima of traffic and age.
     fn close_window(&mut self) {
         let seconds = self.fleet.now - self.window_begin;
-        for place in 0..self.fleet.nodes.len() {
-            let bytes = self.fleet.traffic[place].bytes;
-            let rate = (bytes - self.window_bytes[place]) as f64 / seconds;
-            let max = match place < self.shape.coordinators {
+        for index in 0..self.fleet.nodes.len() {
+            let bytes = self.fleet.traffic[index].bytes;
+            let rate = (bytes - self.window_bytes[index]) as f64 / seconds;
+            let max = match index < self.shape.coordinators {
                 true => &mut self.coordinator_bytes_max,
                 false => &mut self.front_bytes_max,
             };
             *max = max.max(rate);
-            self.window_bytes[place] = bytes;
+            self.window_bytes[index] = bytes;
         }
         self.window_begin = self.fleet.now;
         let now = self.fleet.now;
-        for place in self.fleet.fronts() {
-            if let Some(front) = self.fleet.front(place) {
+        for index in self.fleet.fronts() {
+            if let Some(front) = self.fleet.front(index) {
                 let age = front.client.status(now).age.unwrap_or(now - front.started_at);
                 self.age_max_s = self.age_max_s.max(age);
             }
         }
     }
 
-    fn pass(&mut self, seconds: f64) {
+    fn run_for(&mut self, seconds: f64) {
         let until = self.fleet.now + seconds;
         while self.fleet.now < until {
             self.step();
@@ -274,13 +276,13 @@
     }
 
     /// True if all fronts are connected, have published everything and act on the newest announced version.
-    fn is_at_rest(&mut self) -> bool {
+    fn has_converged(&mut self) -> bool {
         let now = self.fleet.now;
         let newest = self.next_number - 1;
         let fleet = &mut self.fleet;
         let mut fronts = fleet.fronts();
-        fronts.all(|place| {
-            fleet.front(place).is_some_and(|front| {
+        fronts.all(|index| {
+            fleet.front(index).is_some_and(|front| {
                 let status = front.client.status(now);
                 status.coordinator.is_some() && status.unpublished == 0 && front.in_force >= newest
             })
@@ -289,10 +291,10 @@
 
     /// Steps until the fleet has converged; returns the elapsed seconds, infinite if it does not converge in
     /// time.
-    fn rest(&mut self) -> f64 {
+    fn converge(&mut self) -> f64 {
         let begin = self.fleet.now;
-        while !self.is_at_rest() {
-            if self.fleet.now - begin > REST_WITHIN {
+        while !self.has_converged() {
+            if self.fleet.now - begin > CONVERGENCE_TIMEOUT {
                 return f64::INFINITY;
             }
             self.step();
@@ -302,11 +304,11 @@
 
     /// Runs from the start until a first version is in force everywhere; excluded from the results.
     fn settle(&mut self) {
-        (0..self.shape.fronts).for_each(|server| self.tell_server(server, ReportedState::Ready));
-        self.pass(5.0);
+        (0..self.shape.fronts).for_each(|server| self.report_server_state(server, ReportedState::Ready));
+        self.run_for(5.0);
         self.announce_at(0);
-        self.rest();
-        self.pass(10.0);
+        self.converge();
+        self.run_for(10.0);
         self.close_window();
         (self.front_bytes_max, self.coordinator_bytes_max) = (0.0, 0.0);
         (self.change_all_s, self.age_max_s) = (0.0, 0.0);
@@ -317,125 +319,125 @@
     fn steady(&mut self) -> f64 {
         // Changes at random nodes, and servers that are drained, restarted and ready again; in order of time,
         // milliseconds.
-        let mut due: BTreeMap<u64, Vec<Happening>> = BTreeMap::new();
+        let mut schedule: BTreeMap<u64, Vec<SteadyEvent>> = BTreeMap::new();
         let millis = |seconds: f64| (seconds * 1000.0) as u64;
-        for _ in 0..CHANGES_A_DAY {
-            let at = millis(DAY * self.fleet.rng.random::<f64>());
-            due.entry(at).or_default().push(Happening::Change);
+        for _ in 0..CHANGES_PER_DAY {
+            let at = millis(STEADY_DURATION * self.fleet.rng.random::<f64>());
+            schedule.entry(at).or_default().push(SteadyEvent::Change);
         }
-        for _ in 0..RESTARTS_A_DAY {
-            let at = DAY * self.fleet.rng.random::<f64>();
+        for _ in 0..RESTARTS_PER_DAY {
+            let at = STEADY_DURATION * self.fleet.rng.random::<f64>();
             let server = self.fleet.rng.random_range(0..self.shape.fronts);
-            due.entry(millis(at)).or_default().push(Happening::Drain(server));
-            due.entry(millis(at + 5.0)).or_default().push(Happening::Restart(server));
+            schedule.entry(millis(at)).or_default().push(SteadyEvent::Drain(server));
+            schedule.entry(millis(at + 5.0)).or_default().push(SteadyEvent::Restart(server));
         }
         let begin = self.fleet.now;
-        while let Some((at, happenings)) = due.pop_first() {
+        while let Some((at, events)) = schedule.pop_first() {
             while millis(self.fleet.now - begin) < at {
                 self.step();
             }
-            happenings.into_iter().for_each(|happening| self.happen(happening));
+            events.into_iter().for_each(|event| self.handle(event));
         }
-        let recovered = self.rest();
-        self.pass(10.0);
+        let recovered = self.converge();
+        self.run_for(10.0);
         recovered
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Change => {
-                let place = self.fleet.rng.random_range(0..self.fleet.nodes.len());
-                self.announce_at(place);
+    fn handle(&mut self, event: SteadyEvent) {
+        match event {
+            SteadyEvent::Change => {
+                let index = self.fleet.rng.random_range(0..self.fleet.nodes.len());
+                self.announce_at(index);
             }
-            Happening::Drain(server) => self.tell_server(server, ReportedState::Draining),
-            Happening::Restart(server) => {
+            SteadyEvent::Drain(server) => self.report_server_state(server, ReportedState::Draining),
+            SteadyEvent::Restart(server) => {
                 self.server_starts[server] += 1;
                 // The front of the server restarts with it.
-                let place = self.shape.coordinators + server;
-                self.forget_unheard(place);
-                self.fleet.kill(place);
-                self.start_front(place);
-                self.tell_own_list(place);
-                self.tell_server(server, ReportedState::Ready);
+                let index = self.shape.coordinators + server;
+                self.drop_unreceived(index);
+                self.fleet.kill(index);
+                self.start_front(index);
+                self.report_own_scope(index);
+                self.report_server_state(server, ReportedState::Ready);
             }
         }
     }
 
     /// Drops the pending versions of a front that ends before any coordinator has received them.
-    fn forget_unheard(&mut self, place: Place) {
-        let name = self.fleet.names[place];
-        let mut heard = 0;
+    fn drop_unreceived(&mut self, index: NodeIndex) {
+        let name = self.fleet.names[index];
+        let mut received = 0;
         for coordinator in 0..self.shape.coordinators {
             let store = self.fleet.coordinator(coordinator).map(|coordinator| coordinator.store());
             if let Some(Value::Configuration(version)) = store.and_then(|s| s.value(name, Key::Configuration))
             {
-                heard = heard.max(version.id.number);
+                received = received.max(version.id.number);
             }
         }
-        self.pending.retain(|announced| announced.publisher != place || announced.number <= heard);
+        self.pending.retain(|announced| announced.publisher != index || announced.number <= received);
     }
 
     /// A front that starts reports the servers in its scope as ready.
-    fn tell_own_list(&mut self, place: Place) {
+    fn report_own_scope(&mut self, index: NodeIndex) {
         let now = self.fleet.now;
-        for server in self.scope(place) {
+        for server in self.scope(index) {
             let state = ServerState { incarnation: self.server_starts[server], state: ReportedState::Ready };
-            if let Some(front) = self.fleet.front(place) {
+            if let Some(front) = self.fleet.front(index) {
                 front.client.report_server(now, server_address(server), Some(state));
             }
         }
     }
 
     /// The fronts of a zone.
-    fn zone(&self, zone: usize) -> Vec<Place> {
+    fn zone(&self, zone: usize) -> Vec<NodeIndex> {
         let zones = self.shape.zones;
-        self.fleet.fronts().filter(|place| (place - self.shape.coordinators) % zones == zone).collect()
+        self.fleet.fronts().filter(|index| (index - self.shape.coordinators) % zones == zone).collect()
     }
 
     fn restart_zone(&mut self) -> f64 {
         let zone = self.zone(0);
-        zone.iter().for_each(|place| self.fleet.kill(*place));
-        self.pass(AWAY);
-        for place in zone {
-            self.start_front(place);
-            self.tell_own_list(place);
+        zone.iter().for_each(|index| self.fleet.kill(*index));
+        self.run_for(DOWNTIME);
+        for index in zone {
+            self.start_front(index);
+            self.report_own_scope(index);
         }
-        let recovered = self.rest();
-        self.pass(WINDOW);
+        let recovered = self.converge();
+        self.run_for(WINDOW);
         recovered
     }
 
     fn region_cut(&mut self) -> f64 {
-        self.fleet.cut_off = Some(0);
-        self.pass(CUT / 2.0);
+        self.fleet.partitioned_region = Some(0);
+        self.run_for(PARTITION_DURATION / 2.0);
         // The same number on both sides: neither side knows of the other's version.
         let number = self.next_number;
         self.announce_at(0);
         self.next_number = number;
         self.announce_at(1);
         self.pending.clear();
-        self.pass(CUT / 2.0);
-        self.fleet.cut_off = None;
-        let recovered = self.rest_equal();
-        self.pass(WINDOW);
+        self.run_for(PARTITION_DURATION / 2.0);
+        self.fleet.partitioned_region = None;
+        let recovered = self.converge_on_one_version();
+        self.run_for(WINDOW);
         recovered
     }
 
     /// Steps until all fronts act on the same version; returns the elapsed seconds, infinite if that takes
     /// too long.
-    fn rest_equal(&mut self) -> f64 {
+    fn converge_on_one_version(&mut self) -> f64 {
         let begin = self.fleet.now;
         loop {
             let now = self.fleet.now;
             let fleet = &mut self.fleet;
             let versions: std::collections::BTreeSet<_> = fleet
                 .fronts()
-                .filter_map(|place| Some(fleet.front(place)?.client.status(now).acts_on))
+                .filter_map(|index| Some(fleet.front(index)?.client.status(now).acts_on))
                 .collect();
-            if versions.len() == 1 && self.is_at_rest() {
+            if versions.len() == 1 && self.has_converged() {
                 return now - begin;
             }
-            if now - begin > REST_WITHIN {
+            if now - begin > CONVERGENCE_TIMEOUT {
                 return f64::INFINITY;
             }
             self.step();
@@ -443,49 +445,49 @@
     }
 
     fn coordinators_down(&mut self) -> f64 {
-        for place in 0..self.shape.coordinators {
-            self.fleet.kill(place);
-            self.pass(5.0);
+        for index in 0..self.shape.coordinators {
+            self.fleet.kill(index);
+            self.run_for(5.0);
         }
-        self.pass(2.0 * AWAY);
-        (0..self.shape.coordinators).for_each(|place| self.fleet.start_coordinator(place));
-        self.restart_one_and_rest()
+        self.run_for(2.0 * DOWNTIME);
+        (0..self.shape.coordinators).for_each(|index| self.fleet.start_coordinator(index));
+        self.converge_and_restart_one()
     }
 
     /// Waits for convergence, then restarts one front: it must get the state that the other fronts still hold
     /// from the coordinators that restarted without state.
-    fn restart_one_and_rest(&mut self) -> f64 {
-        let recovered = self.rest();
-        let place = self.shape.coordinators;
-        self.start_front(place);
-        self.tell_own_list(place);
-        if self.rest().is_infinite() {
+    fn converge_and_restart_one(&mut self) -> f64 {
+        let recovered = self.converge();
+        let index = self.shape.coordinators;
+        self.start_front(index);
+        self.report_own_scope(index);
+        if self.converge().is_infinite() {
             return f64::INFINITY;
         }
-        self.pass(WINDOW);
+        self.run_for(WINDOW);
         recovered
     }
 
     fn sessions_lost(&mut self) -> f64 {
-        for place in 0..self.shape.coordinators {
-            self.fleet.kill(place);
-            self.fleet.start_coordinator(place);
+        for index in 0..self.shape.coordinators {
+            self.fleet.kill(index);
+            self.fleet.start_coordinator(index);
         }
         // Fronts detect the restart only with their next request.
-        self.pass(NOTICED_WITHIN);
-        NOTICED_WITHIN + self.restart_one_and_rest()
+        self.run_for(RESTART_DETECTION);
+        RESTART_DETECTION + self.converge_and_restart_one()
     }
 
-    fn plant(&mut self, planted: Planted) {
-        let place = self.shape.coordinators;
+    fn inject(&mut self, planted: Planted) {
+        let index = self.shape.coordinators;
         match planted {
-            Planted::NewcomerWithoutTime => self.start_front(place),
-            Planted::VersionFromTheFuture => {
-                if let Some(front) = self.fleet.front(place) {
+            Planted::FrontWithoutCatchUp => self.start_front(index),
+            Planted::FutureVersion => {
+                if let Some(front) = self.fleet.front(index) {
                     front.in_force = u64::MAX;
                 }
                 self.announce_at(0);
-                self.rest();
+                self.converge();
             }
         }
     }
@@ -494,8 +496,8 @@
 
     fn totals(&mut self) -> (u64, u64, u64) {
         let mut totals = (0, 0, 0);
-        for place in 0..self.shape.coordinators {
-            if let Some(coordinator) = self.fleet.coordinator(place) {
+        for index in 0..self.shape.coordinators {
+            if let Some(coordinator) = self.fleet.coordinator(index) {
                 let counts = coordinator.counts();
                 totals.0 += counts.snapshots;
                 totals.1 += counts.confirmed;
@@ -508,7 +510,7 @@
     fn behind(&mut self) -> u64 {
         let newest = self.next_number - 1;
         let fleet = &mut self.fleet;
-        let behind = fleet.fronts().filter(|place| fleet.front(*place).is_some_and(|f| f.in_force < newest));
+        let behind = fleet.fronts().filter(|index| fleet.front(*index).is_some_and(|f| f.in_force < newest));
         behind.count() as u64
     }
 
@@ -519,16 +521,16 @@
     /// Counts the running fronts that a coordinator suspects, over all coordinators.
     fn suspected_wrongly(&mut self) -> u64 {
         let names = self.fleet.names.clone();
-        let up: Vec<Place> =
-            self.fleet.fronts().filter(|place| matches!(self.fleet.nodes[*place], Node::Front(_))).collect();
-        let mut wrong = 0;
-        for place in 0..self.shape.coordinators {
-            let Some(coordinator) = self.fleet.coordinator(place) else { continue };
-            let state = |front: &Place| coordinator.store().member(names[*front]);
+        let up: Vec<NodeIndex> =
+            self.fleet.fronts().filter(|index| matches!(self.fleet.nodes[*index], Node::Front(_))).collect();
+        let mut count = 0;
+        for index in 0..self.shape.coordinators {
+            let Some(coordinator) = self.fleet.coordinator(index) else { continue };
+            let state = |front: &NodeIndex| coordinator.store().member(names[*front]);
             let suspected = Some(shalespindle_coordinator::MemberState::Suspected);
-            wrong += up.iter().filter(|front| state(front) == suspected).count() as u64;
+            count += up.iter().filter(|front| state(front) == suspected).count() as u64;
         }
-        wrong
+        count
     }
 
     /// Counts the live server entries of ended processes: those of an incarnation older than their front's
@@ -538,23 +540,23 @@
         let current: BTreeMap<_, _> = self
             .fleet
             .fronts()
-            .filter_map(|place| Some((names[place], self.fleet.front(place)?.client.incarnation())))
+            .filter_map(|index| Some((names[index], self.fleet.front(index)?.client.incarnation())))
             .collect();
-        let mut wrong = 0;
-        for place in 0..self.shape.coordinators {
-            let Some(coordinator) = self.fleet.coordinator(place) else { continue };
+        let mut count = 0;
+        for index in 0..self.shape.coordinators {
+            let Some(coordinator) = self.fleet.coordinator(index) else { continue };
             for (owner, key, value) in coordinator.store().live() {
                 let is_server = matches!((key, value), (Key::Server(_), Value::Server(_)));
                 let written = coordinator.store().incarnation_of(owner, key);
-                wrong += u64::from(is_server && current.get(&owner) > written.as_ref());
+                count += u64::from(is_server && current.get(&owner) > written.as_ref());
             }
         }
-        wrong
+        count
     }
 }
 
 /// An event of the steady scenario.
-enum Happening {
+enum SteadyEvent {
     Change,
     Drain(usize),
     Restart(usize),
--- a/crates/lab/src/coordinated/scenario.rs
+++ b/crates/lab/src/coordinated/scenario.rs
@@ -24,9 +24,9 @@
 pub enum Planted {
     /// A front restarts and the run ends at once: the front is behind, and coordinators still store the
     /// entries of its previous incarnation.
-    NewcomerWithoutTime,
+    FrontWithoutCatchUp,
     /// A front records a version number above all that will be announced.
-    VersionFromTheFuture,
+    FutureVersion,
 }
 
 /// Parameters of one measurement.
--- a/crates/lab/tests/coordinated.rs
+++ b/crates/lab/tests/coordinated.rs
@@ -54,9 +54,9 @@
 fn the_checks_find_planted_faults() {
     let planted =
         |planted| measure(&CoordinatedShape { planted: Some(planted), ..shape(Scenario::RestartZone, 1) });
-    let newcomer = planted(Planted::NewcomerWithoutTime);
+    let newcomer = planted(Planted::FrontWithoutCatchUp);
     assert!(newcomer.behind > 0 && newcomer.resurrected > 0, "{newcomer:?}");
-    let future = planted(Planted::VersionFromTheFuture);
+    let future = planted(Planted::FutureVersion);
     assert!(future.went_back > 0, "{future:?}");
     // A network that loses all: nobody is up to date, and it is said.
     let silent = measure(&CoordinatedShape { loss: 1.0, ..shape(Scenario::RestartZone, 1) });
