--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page says what its runs gave, and nothing else.
+//! The tables of the capacity page must match the stored runs.
 
 use shalespindle_lab::capacity::{fill, Line, PageFault, Runs, RunsFault};
 use std::path::{Path, PathBuf};
@@ -8,14 +8,14 @@
 }
 
 #[test]
-fn the_page_and_its_runs_agree() {
+fn page_tables_match_the_stored_runs() {
     let runs = Runs::read(&docs("capacity")).unwrap();
     let page = std::fs::read_to_string(docs("CAPACITY.md")).unwrap();
     let filled = fill(&page, &runs).unwrap();
     assert_eq!(page, filled, "docs/CAPACITY.md is written by `shalespindle lab capacity-page`");
-    // A figure changed by hand, or a run that is another one, is found.
-    let digit = page.find("| 600 |").unwrap() + 2;
-    let changed = format!("{}7{}", &page[..digit], &page[digit + 1..]);
+    // A figure edited by hand and a changed run are both detected.
+    let first_digit = page.find("| 600 |").unwrap() + 2;
+    let changed = format!("{}7{}", &page[..first_digit], &page[first_digit + 1..]);
     assert_ne!(fill(&changed, &runs).unwrap(), changed);
     let mut other = runs.clone();
     other.gossip[0].idle_bytes *= 1.5;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_page_or_a_run_that_cannot_be_read_is_named() {
+fn errors_name_the_unreadable_page_block_or_run() {
     let runs = Runs::read(&docs("capacity")).unwrap();
     assert_eq!(fill("text", &runs), Err(PageFault::Missing("ranking")));
     let unknown = fill("<!-- table: nothing -->\n<!-- end -->", &runs);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_line_goes_through_points_that_lie_on_one_and_says_what_it_misses() {
+fn line_fits_collinear_points_exactly_and_reports_the_residual() {
     let line = Line::through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).unwrap();
     assert!((line.at(10.0) - 23.0).abs() < 1e-9 && line.residual < 1e-9);
     assert!(Line::through(&[(0.0, 0.0), (1.0, 1.0), (2.0, 0.0)]).unwrap().residual > 0.4);
--- a/crates/lab/tests/coordinated.rs
+++ b/crates/lab/tests/coordinated.rs
@@ -1,4 +1,5 @@
-//! The simulated fleet with coordinators keeps its promises at a size that CI bears, and its checks find what is planted.
+//! The simulated fleet with coordinators meets its requirements at a size that is fast enough for CI, and its
+//! checks detect injected faults.
 
 use shalespindle_lab::coordinated::{measure, CoordinatedCost, CoordinatedShape, Planted, Scenario};
 
@@ -9,18 +10,18 @@
     CoordinatedShape::new(FRONTS, COORDINATORS, scenario, seed)
 }
 
-fn is_kept(cost: &CoordinatedCost) -> bool {
+fn meets_invariants(cost: &CoordinatedCost) -> bool {
     cost.behind == 0 && cost.went_back == 0 && cost.resurrected == 0 && cost.suspected_wrongly == 0
 }
 
 #[test]
-fn every_trouble_ends_with_all_fronts_up_to_date_within_seven_seconds() {
-    let troubles =
+fn all_fronts_are_up_to_date_within_seven_seconds_after_every_fault() {
+    let faults =
         [Scenario::RestartZone, Scenario::RegionCut, Scenario::CoordinatorsDown, Scenario::SessionsLost];
-    for scenario in troubles {
+    for scenario in faults {
         for seed in 1..=3 {
             let cost = measure(&shape(scenario, seed));
-            assert!(is_kept(&cost), "{cost:?}");
+            assert!(meets_invariants(&cost), "{cost:?}");
             assert!(cost.recovered_s <= 7.0, "{cost:?}");
             assert!(cost.front_bytes_max <= 2000.0, "{cost:?}");
         }
@@ -28,43 +29,43 @@
 }
 
 #[test]
-fn a_days_changes_in_ten_minutes_are_in_force_everywhere_within_seven_seconds_each() {
+fn each_change_of_the_steady_scenario_is_in_force_everywhere_within_seven_seconds() {
     let cost = measure(&shape(Scenario::Steady, 1));
-    assert!(is_kept(&cost), "{cost:?}");
+    assert!(meets_invariants(&cost), "{cost:?}");
     assert!(cost.change_all_s <= 7.0 && cost.front_bytes_max <= 2000.0, "{cost:?}");
     assert!(cost.suspicions == 0 && cost.age_max_s <= 7.0, "{cost:?}");
 }
 
 #[test]
-fn a_version_that_lost_is_listed_after_a_region_was_cut_off() {
+fn version_that_lost_a_conflict_is_listed_after_a_partition() {
     assert_eq!(measure(&shape(Scenario::RegionCut, 4)).lost_versions, 1);
 }
 
 #[test]
-fn what_a_front_sends_and_is_sent_does_not_grow_with_the_fleet() {
-    let idle = |fronts| {
+fn traffic_of_a_front_does_not_grow_with_the_fleet() {
+    let median_traffic = |fronts| {
         let shape = CoordinatedShape::new(fronts, COORDINATORS, Scenario::RestartZone, 5);
         measure(&shape).front_bytes_median
     };
-    let (small, large) = (idle(FRONTS), idle(4 * FRONTS));
+    let (small, large) = (median_traffic(FRONTS), median_traffic(4 * FRONTS));
     assert!(large < 1.1 * small, "{small} and {large} bytes a second");
 }
 
 #[test]
-fn the_checks_find_planted_faults() {
+fn checks_detect_planted_faults() {
     let planted =
         |planted| measure(&CoordinatedShape { planted: Some(planted), ..shape(Scenario::RestartZone, 1) });
-    let newcomer = planted(Planted::FrontWithoutCatchUp);
-    assert!(newcomer.behind > 0 && newcomer.resurrected > 0, "{newcomer:?}");
+    let behind_front = planted(Planted::FrontWithoutCatchUp);
+    assert!(behind_front.behind > 0 && behind_front.resurrected > 0, "{behind_front:?}");
     let future = planted(Planted::FutureVersion);
     assert!(future.went_back > 0, "{future:?}");
-    // A network that loses all: nobody is up to date, and it is said.
+    // On a network that loses every frame no front is up to date, and the result reports it.
     let silent = measure(&CoordinatedShape { loss: 1.0, ..shape(Scenario::RestartZone, 1) });
     assert!(silent.behind > 0 && silent.recovered_s.is_infinite(), "{silent:?}");
 }
 
 #[test]
-fn one_seed_gives_one_run() {
+fn same_seed_gives_the_same_run() {
     let run = || {
         let cost = measure(&shape(Scenario::RegionCut, 9));
         (cost.front_bytes_max, cost.coordinator_bytes_max, cost.recovered_s, cost.snapshots)
--- a/crates/lab/tests/names.rs
+++ b/crates/lab/tests/names.rs
@@ -1,4 +1,4 @@
-//! SRV records under virtual time.
+//! DNS as a source of servers (SRV records), under virtual time.
 
 use shalespindle_lab::compare::Variant;
 use shalespindle_lab::scenario::Scenario;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn deploy_and_stale_days_keep_the_rules_with_every_script() {
+fn rules_hold_on_a_day_with_stale_records_under_every_name_server_script() {
     let mut day = scenario("stale-day-dns.toml");
     let (mut stood, mut asked) = (0, 0);
     for (seed, script) in
@@ -34,9 +34,9 @@
     assert!(stood > 10_000 && asked > 1000, "{stood} stood, {asked} questions");
 }
 
-/// The checker of rule 3 sees a front that does not hear that a record was withdrawn.
+/// The checker of rule 3 detects a front that does not receive the withdrawal of a record.
 #[test]
-fn a_front_deaf_to_withdrawn_records_is_found() {
+fn front_that_ignores_withdrawn_records_is_detected() {
     let mut day = scenario("deploy-day-dns.toml");
     let dns = day.dns.as_mut().unwrap();
     (dns.alone, dns.ttl) = (true, 1);
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -1,4 +1,4 @@
-//! The bad day under virtual time.
+//! The bad-day scenario and others under virtual time.
 
 use shalespindle_lab::baseline::Pick;
 use shalespindle_lab::compare::{compare, Variant, Where};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_bad_day_keeps_the_rules_and_is_the_same_each_time() {
+fn rules_hold_on_the_bad_day_and_the_same_seed_gives_the_same_run() {
     for seed in 0..12 {
         let run = sim::run(&bad_day(), seed, &Setup::of(Variant::Module));
         let summary = &run.report.summary;
@@ -22,13 +22,13 @@
         assert_eq!(summary.unanswered, 0);
         assert!(summary.attaches > 2000 && summary.within_target_utility > 0.5, "{summary:?}");
         let again = sim::run(&bad_day(), seed, &Setup::of(Variant::Module));
-        assert_eq!(run.trace.sorted(), again.trace.sorted(), "seed {seed} is one run");
+        assert_eq!(run.trace.sorted(), again.trace.sorted(), "seed {seed} must give the same run twice");
     }
 }
 
-/// Each checker fails on the fault that is planted for it, and names the rule.
+/// Each checker fails on the fault that is planted for it, and names the broken rule.
 #[test]
-fn planted_faults_are_found() {
+fn planted_faults_are_detected() {
     let faults = [
         (Planted::SecondAnswer, 1),
         (Planted::NoRefusal, 1),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_module_beats_any_route_at_random() {
+fn decision_module_beats_random_routing() {
     let day = bad_day();
     let result =
         compare((&day, Variant::Module), (&day, Variant::Baseline(Pick::Random)), Where::VirtualTime, 1, 4)
@@ -56,9 +56,10 @@
     assert!(result.rules_kept && all.mean + all.half < 0.0, "{result}");
 }
 
-/// Servers that swing: the levels earn more than they refuse, and change no faster than they may.
+/// With servers of varying speed, levels of reduced service gain more utility than they refuse, and a level
+/// is not changed before its minimum stay.
 #[test]
-fn levels_gain_where_servers_swing_and_keep_their_stay() {
+fn levels_gain_utility_with_varying_servers_and_keep_their_minimum_stay() {
     let swing = Scenario::read(include_str!("../scenarios/swing.toml")).unwrap();
     let result =
         compare((&swing, Variant::WithoutLevels), (&swing, Variant::Module), Where::VirtualTime, 1, 4)
@@ -75,16 +76,16 @@
 }
 
 #[test]
-fn scenarios_load_over_their_bases_and_bad_ones_say_why() {
+fn scenarios_load_over_their_bases_and_invalid_ones_are_reported() {
     let folder = std::path::Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios"));
-    let mut seen = 0;
+    let mut count = 0;
     for file in std::fs::read_dir(folder).unwrap() {
         let path = file.unwrap().path();
         let scenario = Scenario::load(&path).unwrap_or_else(|why| panic!("{}: {why}", path.display()));
         assert_eq!(path.file_stem().unwrap().to_str().unwrap(), scenario.name);
-        seen += 1;
+        count += 1;
     }
-    assert!(seen >= 14, "{seen} scenarios");
+    assert!(count >= 14, "{count} scenarios");
     let full = Scenario::load(&folder.join("swing-full.toml")).unwrap();
     let swing = Scenario::load(&folder.join("swing.toml")).unwrap();
     assert_eq!((full.fleet.fronts, full.fleet.list_delay), (281, swing.fleet.list_delay));
@@ -100,9 +101,10 @@
     assert!(bad("kind.toml", "base = 3").starts_with("base: "));
 }
 
-/// The table has a row for each kind and size; slow servers are what a route at random never sees.
+/// The table has a row for each kind of fault and each size of fleet. Random routing does not react to slow
+/// servers, so the decision module must gain there.
 #[test]
-fn the_table_over_sizes_pairs_the_module_with_each_baseline() {
+fn table_over_sizes_compares_the_module_with_each_baseline() {
     let mut day = bad_day();
     day.seconds = 12.0;
     let table = shalespindle_lab::scale::table(&day, &[2, 6], &[TroubleKind::Slow, TroubleKind::Burst], 2);
--- a/crates/lab/tests/sites.rs
+++ b/crates/lab/tests/sites.rs
@@ -1,4 +1,5 @@
-//! A site's loss and return under virtual time: found by all, rules kept, nothing narrowed without a plan.
+//! Loss and return of a site under virtual time: every front detects both, all rules hold, and without a plan
+//! no attach is refused for it.
 
 use shalespindle_lab::compare::Variant;
 use shalespindle_lab::scenario::Scenario;
@@ -14,31 +15,31 @@
 }
 
 #[test]
-fn the_loss_and_the_return_of_a_site_are_found_by_all_and_cost_no_rule() {
+fn all_fronts_detect_loss_and_return_of_a_site_and_the_rules_hold() {
     let run = run(&scenario(8), 3, &Setup::of(Variant::Module));
     assert!(run.report.rules_kept(), "{:?}", run.report.summary);
     let fronts = |stage: Stage| -> usize {
-        let mut held: Vec<usize> = run.words.iter().filter(|w| w.3.stage == stage).map(|w| w.1).collect();
-        held.sort_unstable();
-        held.dedup();
-        held.len()
+        let mut fronts: Vec<usize> = run.words.iter().filter(|w| w.3.stage == stage).map(|w| w.1).collect();
+        fronts.sort_unstable();
+        fronts.dedup();
+        fronts.len()
     };
     assert_eq!((fronts(Stage::Lost), fronts(Stage::Up)), (8, 8));
-    assert!(run.words.iter().all(|w| w.2 == 0), "only the site that was lost is spoken of");
-    // Rounded to seconds: what the fleet found, whoever found it first.
+    assert!(run.words.iter().all(|w| w.2 == 0), "reports name only the lost site");
+    // The stages that the fleet decided on; which front decided first does not matter.
     let text = run.timeline().to_string();
     insta::assert_snapshot!("site_loss_of_eight_fronts", text);
 }
 
 #[test]
-fn without_the_plan_no_word_is_said_and_nothing_refused_for_it() {
+fn without_the_plan_no_stage_is_reported_and_no_attach_is_refused() {
     let run = run(&scenario(8), 3, &Setup::of(Variant::WithoutPlan));
     assert!(run.report.rules_kept() && run.words.is_empty());
     assert_eq!(run.counters.iter().map(|c| c.plan_refused).sum::<u64>(), 0);
 }
 
 #[test]
-fn equal_seed_equal_run() {
+fn same_seed_gives_the_same_run() {
     let of = |seed| {
         let run = run(&scenario(8), seed, &Setup::of(Variant::Module));
         (run.words, run.report.summary.stood)
--- a/crates/lab/tests/walk.rs
+++ b/crates/lab/tests/walk.rs
@@ -1,4 +1,4 @@
-//! The walk through the membership module, and that it finds what is planted.
+//! Exhaustive walk through the step sequences of the membership module; it must detect planted faults.
 
 use shalespindle_lab::walk::{steps, walk, Fault};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn planted_faults_are_found() {
+fn planted_faults_are_detected() {
     for (fault, what) in
         [(Fault::NoHold, "took it out"), (Fault::FalseDrain, "known to live"), (Fault::Deaf, "known to live")]
     {
