--- a/crates/lab/src/capacity/data.rs
+++ b/crates/lab/src/capacity/data.rs
@@ -6,7 +6,7 @@
 
 /// Error reading the runs.
 #[derive(Debug, thiserror::Error)]
-pub enum RunsFault {
+pub enum RunsError {
     /// The file is missing or cannot be read.
     #[error("{file}: {why}; run the command that docs/CAPACITY.md names for it")]
     File {
@@ -77,12 +77,14 @@
     pub hops: usize,
     pub failing: f64,
     pub at: String,
-    pub stood: f64,
+    #[serde(rename = "stood")]
+    pub established: f64,
     pub tries_at_last: f64,
     pub tries: f64,
     pub p50_s: f64,
     pub p99_s: f64,
-    pub run_for_nobody: f64,
+    #[serde(rename = "run_for_nobody")]
+    pub tries_after_give_up: f64,
 }
 
 /// Latency that a front adds on sockets: a line of `lab throughput --rate`.
@@ -111,7 +113,7 @@
 
 impl Runs {
     /// Reads all runs from a folder.
-    pub fn read(folder: &Path) -> Result<Runs, RunsFault> {
+    pub fn read(folder: &Path) -> Result<Runs, RunsError> {
         Ok(Runs {
             gossip: lines(folder, "gossip-idle.jsonl")?,
             churn: lines(folder, "gossip-calls.jsonl")?,
@@ -124,12 +126,12 @@
     }
 }
 
-fn lines<T: DeserializeOwned>(folder: &Path, name: &str) -> Result<Vec<T>, RunsFault> {
+fn lines<T: DeserializeOwned>(folder: &Path, name: &str) -> Result<Vec<T>, RunsError> {
     let file = name.to_string();
     let text = std::fs::read_to_string(folder.join(name))
-        .map_err(|why| RunsFault::File { file: file.clone(), why })?;
+        .map_err(|why| RunsError::File { file: file.clone(), why })?;
     let read = |(n, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|why| RunsFault::Line { file: file.clone(), line: n + 1, why })
+        serde_json::from_str(line).map_err(|why| RunsError::Line { file: file.clone(), line: n + 1, why })
     };
     text.lines().enumerate().map(read).collect()
 }
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -5,6 +5,6 @@
 mod page;
 mod tables;
 
-pub use data::{Runs, RunsFault};
+pub use data::{Runs, RunsError};
 pub use fit::Line;
-pub use page::{fill, PageFault};
+pub use page::{fill, PageError};
--- a/crates/lab/src/capacity/tables.rs
+++ b/crates/lab/src/capacity/tables.rs
@@ -307,12 +307,12 @@
             run.hops.to_string(),
             format!("{}%", run.failing * 100.0),
             run.at.clone(),
-            format!("{:.3}", run.stood),
+            format!("{:.3}", run.established),
             format!("{:.3}", run.tries_at_last),
             figure(run.tries),
             figure(run.p50_s),
             figure(run.p99_s),
-            format!("{:.4}", run.run_for_nobody),
+            format!("{:.4}", run.tries_after_give_up),
         ]);
     }
     table.0
--- a/crates/lab/src/chain.rs
+++ b/crates/lab/src/chain.rs
@@ -63,7 +63,8 @@
     /// Seed of the random generator.
     pub seed: u64,
     /// Fraction of the calls that were established.
-    pub stood: f64,
+    #[serde(rename = "stood")]
+    pub established: f64,
     /// Tries that reached the last server, per call.
     pub tries_at_last: f64,
     /// Tries of all hops, per call.
@@ -73,7 +74,8 @@
     /// 99th percentile of the same time, seconds.
     pub p99_s: f64,
     /// Tries that reached the last server after the caller had given up, per call.
-    pub run_for_nobody: f64,
+    #[serde(rename = "run_for_nobody")]
+    pub tries_after_give_up: f64,
 }
 
 type Ue = u32;
@@ -88,32 +90,39 @@
     Wake { hop: usize },
 }
 
+/// A pending attach of one hop.
 struct Attach {
     call: u32,
     /// The try of the previous hop that this attach serves; none at the first hop.
     previous: Option<(Ue, u32)>,
+    /// Number of tries so far.
     tries: u32,
+    /// Pool and sending time of the pending try.
     pending: Option<(u64, f64)>,
 }
 
+/// A front of the chain.
 struct Hop {
     control: Control,
     attaches: BTreeMap<Ue, Attach>,
     last_ue: Ue,
 }
 
+/// State of a simulation.
 struct Chain<'a> {
     shape: &'a ChainShape,
     hops: Vec<Hop>,
+    /// Times, microseconds, and numbers of the pending events, earliest first.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     last_event: u64,
     rng: ChaCha8Rng,
     arrived_at: Vec<f64>,
+    /// Time from arrival until established of each established call, seconds.
     setup_times: Vec<f64>,
     tries: u64,
     tries_at_last: u64,
-    run_for_nobody: u64,
+    tries_after_give_up: u64,
 }
 
 fn micros(seconds: f64) -> u64 {
@@ -164,12 +173,12 @@
         failing: shape.failing,
         at: shape.at,
         seed: shape.seed,
-        stood: established as f64 / calls,
+        established: established as f64 / calls,
         tries_at_last: chain.tries_at_last as f64 / calls,
         tries: chain.tries as f64 / calls,
         p50_s: quantile(0.5),
         p99_s: quantile(0.99),
-        run_for_nobody: chain.run_for_nobody as f64 / calls,
+        tries_after_give_up: chain.tries_after_give_up as f64 / calls,
     }
 }
 
@@ -194,7 +203,7 @@
             setup_times: Vec::new(),
             tries: 0,
             tries_at_last: 0,
-            run_for_nobody: 0,
+            tries_after_give_up: 0,
         };
         for call in 0..shape.calls {
             let event = Event::Arrives { hop: 0, call, patience: shape.patience, previous: None };
@@ -242,7 +251,7 @@
     fn at_last_server(&mut self, now: f64, call: u32, previous: Option<(Ue, u32)>) {
         self.tries_at_last += 1;
         let gives_up_at = self.arrived_at[call as usize] + self.shape.patience;
-        self.run_for_nobody += u64::from(now > gives_up_at);
+        self.tries_after_give_up += u64::from(now > gives_up_at);
         if let Some((ue, number)) = previous {
             let hop = self.shape.hops - 1;
             self.schedule(now + SERVER_DELAY, Event::Answered { hop, ue, number, ended: None });
@@ -308,6 +317,7 @@
         }
     }
 
+    /// Carries out the pending decisions of a hop.
     fn decide(&mut self, now: f64, hop: usize) {
         while let Some(decision) = self.hops[hop].control.next_decision(now) {
             match decision {
@@ -332,6 +342,7 @@
         }
     }
 
+    /// True once every caller has been answered or has given up, with a margin.
     fn has_ended(&self, now: f64) -> bool {
         now > f64::from(self.shape.calls) * CALL_INTERVAL + 2.0 * self.shape.patience
     }
--- a/crates/lab/src/fleet_cost.rs
+++ b/crates/lab/src/fleet_cost.rs
@@ -30,7 +30,7 @@
     /// Per round: the front without peers, one of four fronts, one of four fronts with a file.
     pub rounds: Vec<[LoadResults; 3]>,
     /// Bytes per second that the measured front sent to its peers under load, without and with a file.
-    pub sent_a_second: [f64; 2],
+    pub sent_per_second: [f64; 2],
 }
 
 /// Fleet settings of front number `index`; `with_file` adds a file for its records.
@@ -79,7 +79,7 @@
     }
     std::thread::sleep(Duration::from_millis(1500));
     let address = |n: usize| services[measured[n]].address();
-    let mut out = FleetCost::default();
+    let mut cost = FleetCost::default();
     for _ in 0..rounds {
         let closed =
             |n| drive(address(n), &Load::with_default_servers(Pace::Closed(WINDOW), seconds, CALL_DURATION));
@@ -90,23 +90,23 @@
         let half = [half(0)?, half(1)?, half(2)?];
         let [c0, c1, c2] = closed;
         let [h0, h1, h2] = half;
-        out.rounds.push([(c0, h0), (c1, h1), (c2, h2)]);
+        cost.rounds.push([(c0, h0), (c1, h1), (c2, h2)]);
     }
-    for (n, sent) in out.sent_a_second.iter_mut().enumerate() {
+    for (n, sent) in cost.sent_per_second.iter_mut().enumerate() {
         let status = services[measured[n + 1]].fleet();
         let bytes = status.and_then(|s| s.counts.get("bytes_sent").copied()).unwrap_or(0);
         *sent = bytes as f64 / (2.0 * seconds * rounds as f64);
     }
     drop(services);
     servers.finish();
-    Ok(out)
+    Ok(cost)
 }
 
 impl fmt::Display for FleetCost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "closed loop of {WINDOW}, calls last {CALL_DURATION:?}; then open loop at half of the plain front's rate")?;
         for round in &self.rounds {
-            for ((closed, half), name) in round.iter().zip(["alone", "of four", "of four, kept"]) {
+            for ((closed, half), name) in round.iter().zip(["alone", "of four", "of four, file"]) {
                 writeln!(
                     f,
                     "{name:14} {:6.0} attaches/s, {:.3} of alone; at half p50 {} us, p99 {} us; lost {}, refused {}",
@@ -127,7 +127,7 @@
             };
             (quantile(0.5), quantile(0.25), quantile(0.75))
         };
-        for (n, name) in [(1, "of four"), (2, "of four, kept")] {
+        for (n, name) in [(1, "of four"), (2, "of four, file")] {
             let (rate, low, high) = median(&|r| r[n].0.per_second / r[0].0.per_second);
             let (p99, p99_low, p99_high) = median(&|r| r[n].1.p99_us as f64 / r[0].1.p99_us as f64);
             writeln!(
@@ -136,7 +136,7 @@
                  p99 at half {p99:.2} times ({p99_low:.2} to {p99_high:.2})"
             )?;
         }
-        let [without_file, with_file] = self.sent_a_second;
+        let [without_file, with_file] = self.sent_per_second;
         writeln!(f, "bytes per second of load sent to peers: {without_file:.0} without a file, {with_file:.0} with a file")
     }
 }
--- a/crates/lab/src/fleet_size.rs
+++ b/crates/lab/src/fleet_size.rs
@@ -74,7 +74,8 @@
     pub catch_up_bytes: u64,
     /// Maximum over the other fronts of the bytes per second sent during the catch-up, idle traffic
     /// subtracted.
-    pub most_asked: f64,
+    #[serde(rename = "most_asked")]
+    pub catch_up_rate_max: f64,
     /// Seconds from the start until every front knows the incarnation of every other front.
     pub met_after: f64,
 }
@@ -375,5 +376,5 @@
     let idle = out.idle_bytes * (sim.now - begin) * count as f64;
     let bytes: u64 = (0..count).map(|n| sim.sent[n].1 - before[n].1).sum();
     out.catch_up_bytes = (bytes as f64 - idle).max(0.0) as u64;
-    out.most_asked = (max_rate - out.idle_bytes).max(0.0);
+    out.catch_up_rate_max = (max_rate - out.idle_bytes).max(0.0);
 }
--- a/crates/lab/src/throughput.rs
+++ b/crates/lab/src/throughput.rs
@@ -31,6 +31,7 @@
 /// Pending attaches in the closed loop.
 pub(crate) const WINDOW: usize = 320;
 
+/// Calls of this duration are released as soon as they are established.
 const NO_DURATION: Duration = Duration::ZERO;
 
 /// Results of one measurement.
@@ -55,7 +56,7 @@
     /// Status that the front reports at the end.
     pub snapshot: Option<FrontStatus>,
     /// Resident memory that each pending attach adds, bytes.
-    pub bytes_an_attach: f64,
+    pub bytes_per_attach: f64,
 }
 
 /// Rate control of the generated load.
@@ -70,6 +71,7 @@
 /// Load generated on a front or on the relay.
 pub(crate) struct Load {
     pub pace: Pace,
+    /// Duration of the measurement, seconds.
     pub seconds: f64,
     /// Duration of a call.
     pub call_duration: Duration,
@@ -161,7 +163,7 @@
 
     drop(service);
     servers.finish();
-    out.bytes_an_attach = bytes_per_pending_attach()?;
+    out.bytes_per_attach = bytes_per_pending_attach()?;
     Ok(out)
 }
 
@@ -288,10 +290,10 @@
     let mut delays = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
     // Scheduled sending time of each pending call. Delays in the open loop count from there, so that a slow
     // answer does not hide the delay of the calls behind it.
-    let mut out: HashMap<u64, Instant> = HashMap::new();
-    let (mut next, mut done, mut lost, mut refused) = (0u64, 0u64, 0u64, 0u64);
+    let mut pending: HashMap<u64, Instant> = HashMap::new();
+    let (mut next, mut answered, mut lost, mut refused) = (0u64, 0u64, 0u64, 0u64);
     let begin = Instant::now();
-    let length = Duration::from_secs_f64(seconds);
+    let duration = Duration::from_secs_f64(seconds);
     let mut buffer = vec![0; 65_536];
     let mut last_expiry = begin;
     let mut established: VecDeque<(Instant, u64, String)> = VecDeque::new();
@@ -300,12 +302,12 @@
         while let Some((_, call, tag)) = established.pop_front_if(|(due, ..)| *due <= now) {
             socket.send_to(&in_dialog_request(&host, to, call, &tag, Method::Bye), to)?;
         }
-        if now - begin > length {
+        if now - begin > duration {
             break;
         }
         loop {
             let due = match pace {
-                Pace::Closed(window) if out.len() < window => now,
+                Pace::Closed(window) if pending.len() < window => now,
                 Pace::Closed(_) => break,
                 Pace::Open(rate) => {
                     let due = begin + Duration::from_secs_f64(next as f64 / rate);
@@ -317,14 +319,14 @@
             };
             let call = next + 1_000_000 * u64::from(to.port());
             socket.send_to(&invite(&host, to, call, servers), to)?;
-            out.insert(call, due);
+            pending.insert(call, due);
             next += 1;
         }
         if now - last_expiry > Duration::from_millis(500) {
             last_expiry = now;
-            let before = out.len();
-            out.retain(|_, sent| now - *sent < Duration::from_secs(2));
-            lost += (before - out.len()) as u64;
+            let before = pending.len();
+            pending.retain(|_, sent| now - *sent < Duration::from_secs(2));
+            lost += (before - pending.len()) as u64;
         }
         let Ok((size, _)) = socket.recv_from(&mut buffer) else { continue };
         let Ok(message) = Message::parse(&buffer[..size]) else { continue };
@@ -332,15 +334,15 @@
         let (Ok((_, method)), Ok(id)) = (message.cseq(), message.call_id()) else { continue };
         let Some(call) = id.split('@').next().and_then(|c| c.parse::<u64>().ok()) else { continue };
         if method == Method::Invite && status == 200 {
-            if let Some(sent) = out.remove(&call) {
+            if let Some(sent) = pending.remove(&call) {
                 delays.saturating_record(sent.elapsed().as_micros() as u64);
-                done += 1;
+                answered += 1;
                 let tag = message.to().unwrap_or_default().to_string();
                 socket.send_to(&in_dialog_request(&host, to, call, &tag, Method::Ack), to)?;
                 established.push_back((now + call_duration, call, tag));
             }
         } else if method == Method::Invite && status > 200 {
-            refused += u64::from(out.remove(&call).is_some());
+            refused += u64::from(pending.remove(&call).is_some());
         }
     }
     for (due, call, tag) in established {
@@ -348,7 +350,7 @@
         socket.send_to(&in_dialog_request(&host, to, call, &tag, Method::Bye), to)?;
     }
     Ok(Measured {
-        per_second: done as f64 / seconds,
+        per_second: answered as f64 / seconds,
         lost,
         refused,
         p50_us: delays.value_at_quantile(0.5),
@@ -479,7 +481,7 @@
         writeln!(
             f,
             "resident bytes per pending attach (front and stand-in servers together): {:.0}",
-            self.bytes_an_attach
+            self.bytes_per_attach
         )
     }
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! The tables of the capacity page must match the stored runs.
 
-use shalespindle_lab::capacity::{fill, Line, PageFault, Runs, RunsFault};
+use shalespindle_lab::capacity::{fill, Line, PageError, Runs, RunsError};
 use std::path::{Path, PathBuf};
 
 fn docs(file: &str) -> PathBuf {
@@ -25,16 +25,16 @@
 #[test]
 fn errors_name_the_unreadable_page_block_or_run() {
     let runs = Runs::read(&docs("capacity")).unwrap();
-    assert_eq!(fill("text", &runs), Err(PageFault::Missing("ranking")));
+    assert_eq!(fill("text", &runs), Err(PageError::Missing("ranking")));
     let unknown = fill("<!-- table: nothing -->\n<!-- end -->", &runs);
     assert!(unknown.unwrap_err().to_string().contains("ranking, held-against"));
     assert_eq!(
         fill("<!-- table: gossip -->\n| 1 |", &runs),
-        Err(PageFault::Unterminated("gossip -->".into()))
+        Err(PageError::Unterminated("gossip -->".into()))
     );
     let folder = tempfile::tempdir().unwrap();
     assert!(
-        matches!(Runs::read(folder.path()), Err(RunsFault::File { file, .. }) if file == "gossip-idle.jsonl")
+        matches!(Runs::read(folder.path()), Err(RunsError::File { file, .. }) if file == "gossip-idle.jsonl")
     );
     std::fs::write(folder.path().join("gossip-idle.jsonl"), "{\"fronts\":8}\n").unwrap();
     let why = Runs::read(folder.path()).unwrap_err().to_string();
--- a/crates/lab/tests/sites.rs
+++ b/crates/lab/tests/sites.rs
@@ -26,7 +26,7 @@
     };
     assert_eq!((fronts(Stage::Lost), fronts(Stage::Up)), (8, 8));
     assert!(run.words.iter().all(|w| w.2 == 0), "reports name only the lost site");
-    // The stages that the fleet decided on; which front decided first does not matter.
+    // Each stage at the time of the first front that reached it; times are rounded to a tenth of a second.
     let text = run.timeline().to_string();
     insta::assert_snapshot!("site_loss_of_eight_fronts", text);
 }
