--- a/crates/lab/tests/names.rs
+++ b/crates/lab/tests/names.rs
@@ -14,7 +14,7 @@
 #[test]
 fn rules_hold_on_a_day_with_stale_records_under_every_name_server_script() {
     let mut day = scenario("stale-day-dns.toml");
-    let (mut stood, mut asked) = (0, 0);
+    let (mut established, mut query_count) = (0, 0);
     for (seed, script) in
         [Script::Plain, Script::Truncates, Script::Lossy(0.3), Script::Nxdomain, Script::TcpHangs]
             .into_iter()
@@ -28,10 +28,10 @@
         let run = sim::run(&day, seed as u64, &Setup::of(Variant::Module));
         assert!(run.report.rules_kept(), "{script:?}: {:?}", run.report.verdict.broken.first());
         assert_eq!(run.report.summary.unanswered, 0);
-        stood += run.report.summary.established;
-        asked += run.dns_queries.len();
+        established += run.report.summary.established;
+        query_count += run.dns_queries.len();
     }
-    assert!(stood > 10_000 && asked > 1000, "{stood} stood, {asked} questions");
+    assert!(established > 10_000 && query_count > 1000, "{established} established, {query_count} queries");
 }
 
 /// The checker of rule 3 detects a front that does not receive the withdrawal of a record.
