--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -56,8 +56,8 @@
     },
 }
 
-fn run_one(scenario: &Scenario, variant: Variant, place: Where, seed: u64) -> io::Result<Report> {
-    if place == Where::VirtualTime {
+fn run_one(scenario: &Scenario, variant: Variant, mode: Where, seed: u64) -> io::Result<Report> {
+    if mode == Where::VirtualTime {
         return Ok(sim::run(scenario, seed, &Setup::of(variant)).report);
     }
     let mut scenario = scenario.clone();
@@ -75,18 +75,18 @@
 pub fn compare(
     a: (&Scenario, Variant),
     b: (&Scenario, Variant),
-    place: Where,
+    mode: Where,
     first_seed: u64,
     pairs: u64,
 ) -> io::Result<Comparison> {
     let seeds: Vec<u64> = (first_seed..first_seed + pairs).collect();
-    let concurrency = match place {
+    let concurrency = match mode {
         Where::VirtualTime => parallel::cores(),
         Where::Sockets { pairs_at_once } => pairs_at_once,
     };
     let results = parallel::each(&seeds, concurrency, |_, &seed| -> io::Result<[Report; 2]> {
-        let run = |(scenario, variant)| run_one(scenario, variant, place, seed);
-        if place == Where::VirtualTime {
+        let run = |(scenario, variant)| run_one(scenario, variant, mode, seed);
+        if mode == Where::VirtualTime {
             return Ok([run(a)?, run(b)?]);
         }
         std::thread::scope(|scope| {
--- a/crates/lab/src/fleet_sites.rs
+++ b/crates/lab/src/fleet_sites.rs
@@ -50,8 +50,8 @@
     /// None where the scenario has no sites, or no plan for them.
     pub fn new(scenario: &Scenario) -> Option<FleetSites> {
         let section = scenario.sites.as_ref().filter(|sites| sites.on)?;
-        let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-        let (params, table) = scenario.settings(nowhere, nowhere, &[], 0.0).sites_params()?;
+        let unused = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
+        let (params, table) = scenario.settings(unused, unused, &[], 0.0).sites_params()?;
         let names: Vec<FrontId> = (0..scenario.fleet.fronts).map(|f| front_id(&front_name(f))).collect();
         let index_by_name = names.iter().enumerate().map(|(index, name)| (*name, index)).collect();
         let fronts = names.iter().map(|_| None).collect();
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -14,12 +14,12 @@
     StopServer(usize),
     /// The server starts again, cold.
     StartServer(usize),
-    /// The pool list's state of a server changes; fronts receive it after the list's delay. `anew`: it is a
-    /// restarted processor.
+    /// The pool list's state of a server changes; fronts receive it after the list's delay.
+    /// `restarted`: the state is that of a new processor.
     List {
         server: usize,
         state: Listed,
-        anew: bool,
+        restarted: bool,
     },
     /// The server's work takes so many times as long.
     Slow(usize, f64),
@@ -101,11 +101,11 @@
     let (from, to) = (fault.from, fault.from + fault.duration);
     let fleet = &scenario.fleet;
     let list_gone = |server, at, out: &mut Vec<(f64, Action)>| {
-        out.push((at, Action::List { server, state: Listed::Gone, anew: false }));
+        out.push((at, Action::List { server, state: Listed::Gone, restarted: false }));
     };
     let restart = |server, at, out: &mut Vec<(f64, Action)>| {
         out.push((at, Action::StartServer(server)));
-        out.push((at, Action::List { server, state: Listed::Ready, anew: true }));
+        out.push((at, Action::List { server, state: Listed::Ready, restarted: true }));
     };
     match fault.kind {
         FaultKind::Crash => {
@@ -146,7 +146,7 @@
             let step = fault.duration / servers.len() as f64;
             for (index, server) in servers.into_iter().enumerate() {
                 let at = from + step * index as f64;
-                out.push((at, Action::List { server, state: Listed::Draining, anew: false }));
+                out.push((at, Action::List { server, state: Listed::Draining, restarted: false }));
                 out.push((at + DRAIN_TIME, Action::StopServer(server)));
                 list_gone(server, at + DRAIN_TIME, out);
                 restart(server, at + DRAIN_TIME + START_TIME, out);
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -270,8 +270,8 @@
         match action {
             Action::StopServer(s) => self.servers[s].stop(),
             Action::StartServer(s) => self.servers[s].start_again()?,
-            Action::List { server, state, anew } => {
-                self.feed.act(move |feed, now| feed.change(now, server, state, anew));
+            Action::List { server, state, restarted } => {
+                self.feed.act(move |feed, now| feed.change(now, server, state, restarted));
             }
             Action::Slow(s, factor) => self.servers[s].core.act(move |core, _| core.slow(factor)),
             Action::Silent(s, on) => self.servers[s].core.act(move |core, _| core.faults.silent = on),
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -420,8 +420,8 @@
                 self.servers[s].start(now, true);
                 self.run_server(s);
             }
-            Action::List { server, state, anew } => {
-                self.feed.change(now, server, state, anew);
+            Action::List { server, state, restarted } => {
+                self.feed.change(now, server, state, restarted);
                 self.send_feed();
             }
             Action::Slow(s, factor) => self.servers[s].slow(factor),
@@ -563,7 +563,7 @@
             levels: self.levels,
             end_time: self.now,
             trace: self.trace,
-            dns_queries: self.zone.asked(),
+            dns_queries: self.zone.query_times(),
             status_changes: self.status_changes,
             site_records: self.site_records,
             actions: self.actions,
--- a/crates/lab/src/summary.rs
+++ b/crates/lab/src/summary.rs
@@ -250,7 +250,8 @@
         write!(
             f,
             "{} changes of servers; half of the fronts knew after {:.2} s, the last after {:.2} s, \
-             {} changes missed by some front; {} DNS queries, at most {} a second in the first minute, {} later",
+             {} changes missed by some front; {} DNS queries, \
+             at most {} a second in the first minute, {} later",
             self.changes, self.half, self.last, self.missed, self.queries, self.first_minute, self.later
         )
     }
--- a/crates/lab/src/walk.rs
+++ b/crates/lab/src/walk.rs
@@ -12,11 +12,11 @@
 /// An event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The pool list reports a server's state; `anew`: of a restarted processor.
+    /// The pool list reports a server's state; `restarted`: of a new processor.
     Listed {
         server: usize,
         state: ReportedState,
-        anew: bool,
+        restarted: bool,
     },
     /// The pool list sends its whole contents, as after a reconnect.
     FullList,
@@ -32,10 +32,10 @@
 pub fn steps() -> Vec<Step> {
     let mut all = Vec::new();
     for server in 0..SERVERS {
-        all.push(Step::Listed { server, state: ReportedState::Ready, anew: false });
-        all.push(Step::Listed { server, state: ReportedState::Ready, anew: true });
-        all.push(Step::Listed { server, state: ReportedState::Draining, anew: false });
-        all.push(Step::Listed { server, state: ReportedState::Gone, anew: false });
+        all.push(Step::Listed { server, state: ReportedState::Ready, restarted: false });
+        all.push(Step::Listed { server, state: ReportedState::Ready, restarted: true });
+        all.push(Step::Listed { server, state: ReportedState::Draining, restarted: false });
+        all.push(Step::Listed { server, state: ReportedState::Gone, restarted: false });
     }
     all.extend([Step::FullList, Step::FeedLost, Step::LookupFailed]);
     all.extend((0..1 << SERVERS).map(Step::DnsAnswer));
@@ -139,11 +139,11 @@
         self.now += 0.01;
         let now = self.now;
         match step {
-            Step::Listed { server, state, anew } => {
+            Step::Listed { server, state, restarted } => {
                 self.feed_lost_at = None;
                 let model = &mut self.servers[server];
-                model.incarnation += u64::from(anew);
-                let since = model.listed.filter(|l| l.0 == state && !anew).map_or(now, |l| l.1);
+                model.incarnation += u64::from(restarted);
+                let since = model.listed.filter(|l| l.0 == state && !restarted).map_or(now, |l| l.1);
                 model.listed = Some((state, since));
                 let line = self.list_entry(server, state);
                 self.members.apply_list(now, false, &[line]);
--- a/crates/lab/src/zone.rs
+++ b/crates/lab/src/zone.rs
@@ -90,7 +90,7 @@
     }
 
     /// Arrival times of the questions at all name servers, in order.
-    pub fn asked(&self) -> Vec<f64> {
+    pub fn query_times(&self) -> Vec<f64> {
         let mut all: Vec<f64> = self.servers.iter().flat_map(|s| s.asked.iter().copied()).collect();
         all.sort_by(f64::total_cmp);
         all
