--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -48,8 +48,8 @@
     pub counters: Vec<Counters>,
     /// Changes of level: time, front, old level, new level.
     pub levels: Vec<(f64, usize, usize, usize)>,
-    /// Virtual time at the end, seconds.
-    pub lasted: f64,
+    /// Virtual time of the last event, seconds.
+    pub end_time: f64,
     pub trace: Trace,
     /// Times at which queries arrived at name servers.
     pub dns_queries: Vec<f64>,
@@ -420,8 +420,8 @@
                 self.servers[s].start(now, true);
                 self.run_server(s);
             }
-            Action::List { server, state, anew } => {
-                self.feed.change(now, server, state, anew);
+            Action::List { server, state, restarted } => {
+                self.feed.change(now, server, state, restarted);
                 self.send_feed();
             }
             Action::Slow(s, factor) => self.servers[s].slow(factor),
@@ -561,9 +561,9 @@
             report: report(&self.scenario.name, seed, &callers, verdict),
             counters: self.hosts.iter().filter_map(|h| h.front.as_ref()).map(|f| f.counters()).collect(),
             levels: self.levels,
-            lasted: self.now,
+            end_time: self.now,
             trace: self.trace,
-            dns_queries: self.zone.asked(),
+            dns_queries: self.zone.query_times(),
             status_changes: self.status_changes,
             site_records: self.site_records,
             actions: self.actions,
