--- a/crates/cli/tests/sites.rs
+++ b/crates/cli/tests/sites.rs
@@ -232,7 +232,7 @@
     let text =
         Command::new(PROGRAM).args(["fleet", "status", "--config"]).arg(sites.fleet.settings(0)).output();
     let text = String::from_utf8(text.unwrap().stdout).unwrap();
-    assert!(text.contains("west") && text.contains("were it lost"), "{text}");
+    assert!(text.contains("west") && text.contains("if it is lost"), "{text}");
 }
 
 #[test]
